--- a/endivepick/core/dispatch/__init__.py
+++ b/endivepick/core/dispatch/__init__.py
@@ -1,4 +1,4 @@
-"""Placement, admission, retries and target states at a service's owner."""
+"""Target selection, admission control, queueing and retries for an owned service."""
 
 from endivepick.core.dispatch.dispatcher import ServiceDispatcher
 from endivepick.core.dispatch.fairness import WaitingAllowance
--- a/endivepick/core/dispatch/admission.py
+++ b/endivepick/core/dispatch/admission.py
@@ -1,4 +1,4 @@
-"""Prediction of waiting times and limits of the queues."""
+"""Admission control: predicted waiting times and queue limits."""
 
 from collections.abc import Sequence
 from dataclasses import dataclass
@@ -22,12 +22,12 @@
 
 @dataclass(frozen=True)
 class Admit:
-    """The request may wait."""
+    """The request is admitted to the queue."""
 
 
 @dataclass(frozen=True)
 class Replace:
-    """The request may wait in place of another, which is refused."""
+    """The request is admitted in place of a queued request, which is refused."""
 
     other: PendingRequest
     wait_s: float
@@ -35,7 +35,7 @@
 
 @dataclass(frozen=True)
 class Reject:
-    """The request may not wait; a place is expected after a time, in seconds."""
+    """The request is refused; ``wait_s`` is its predicted waiting time, in seconds."""
 
     reason: RefusalReason
     wait_s: float
@@ -50,33 +50,34 @@
     queue: WaitingQueue,
     limit: int,
     wait_s: float,
-    usual_s: float,
+    service_time_s: float,
     now_s: float,
 ) -> AdmissionResult:
-    """Decide whether a request may wait in a queue.
+    """Decide whether a request is admitted to a queue.
 
-    A full queue takes a request only before its last one.  Requests of new
-    flows, and long ones, may use only a share of the places, so that a rush
-    leaves room to established flows and short requests.
+    A full queue admits a request only if it is ordered before the last queued
+    one.  Requests of new flows and long requests may fill only a share of the
+    queue, so that a burst of them leaves capacity to established flows and short
+    requests.
 
     Parameters
     ----------
     settings : DispatchSettings
-        Shares of the queue.
+        Queue shares of new flows and of long requests.
     request : PendingRequest
-        The request with its place in the queue.
+        The request with its queue order.
     queue : WaitingQueue
-        The queue.
+        Queue to wait in.
     limit : int
-        Most requests in the queue.
+        Maximum length of the queue.
     wait_s : float
         Predicted time until its start, in seconds.
-    usual_s : float
-        Usual time that it runs, in seconds.
+    service_time_s : float
+        Mean service time of its cost class, in seconds.
     now_s : float
-        Present time, in seconds.
+        Current time, in seconds.
     """
-    if now_s + wait_s + usual_s > request.intent.deadline_at_s:
+    if now_s + wait_s + service_time_s > request.intent.deadline_at_s:
         return Reject(RefusalReason.WAIT_TOO_LONG, wait_s)
     if len(queue) < limit * _queue_share(settings, request):
         return Admit()
@@ -98,10 +99,10 @@
 def queue_limit(
     targets: Sequence[TargetState], waiting_per_slot: int, now_s: float
 ) -> int:
-    """Return how many requests may wait for these targets.
+    """Return the maximum number of requests that may wait for these targets.
 
-    Only slots in service count, or all slots if none is: what waits while no
-    target takes anything is served when the first one comes back.
+    Only the slots of targets with usable slots count.  If no target has usable
+    slots, all slots count, since the queue is served once a target recovers.
     """
     slots = sum(t.record.slots for t in targets if t.usable_slots(now_s) > 0)
     return waiting_per_slot * (slots or sum(t.record.slots for t in targets))
@@ -116,40 +117,43 @@
 ) -> float:
     """Predict how long a request waits for a slot.
 
-    The work ahead of it in the queues is shared by all slots; the first of
-    these becomes free after the usual time over their number.
+    The queued work ahead of it is divided among all slots.  The first slot is
+    expected to become free after the mean service time of the running requests
+    divided by the number of slots.
 
     Parameters
     ----------
     request : PendingRequest
-        The request with its place in the queue.
+        The request with its queue order.
     targets : sequence of TargetState
-        Targets that could take it; at least one.
+        Targets that can run it; at least one.
     queues : sequence of WaitingQueue
         Queues that these targets serve.
     estimate : ServiceTimeEstimate
-        Usual service times.
+        Estimated service times.
     now_s : float
-        Present time, in seconds.
+        Current time, in seconds.
 
     Returns
     -------
     float
-        Waiting time, in seconds.
+        Predicted waiting time, in seconds.
     """
     slots = sum(target.usable_slots(now_s) for target in targets)
     blocked_s = 0.0
     if slots == 0:
         blocked_s = min(target.blocked_until_s() for target in targets) - now_s
         slots = sum(target.record.slots for target in targets)
-    work_s = _usual_s(targets, estimate)
+    work_s = _mean_service_time_s(targets, estimate)
     for cost_class in CostClass:
         ahead = sum(queue.count_ahead(request.order, cost_class) for queue in queues)
         work_s += ahead * estimate.mean_s(cost_class)
     return max(0.0, blocked_s) + work_s / slots
 
 
-def _usual_s(targets: Sequence[TargetState], estimate: ServiceTimeEstimate) -> float:
+def _mean_service_time_s(
+    targets: Sequence[TargetState], estimate: ServiceTimeEstimate
+) -> float:
     running = [request for target in targets for request in target.running.values()]
     if not running:
         return 0.0
--- a/endivepick/core/dispatch/attempt.py
+++ b/endivepick/core/dispatch/attempt.py
@@ -1,14 +1,14 @@
-"""Begin of an attempt at a target."""
+"""Start of an attempt at a target."""
 
 from endivepick.core.dispatch.messages import Start
 from endivepick.core.dispatch.target import TargetState
 from endivepick.core.dispatch.waiting import PendingRequest
 
-__all__ = ["begin_attempt"]
+__all__ = ["start_attempt"]
 
 
-def begin_attempt(request: PendingRequest, target: TargetState, now_s: float) -> Start:
-    """Note an attempt in the request and its target, and say where to send it."""
+def start_attempt(request: PendingRequest, target: TargetState, now_s: float) -> Start:
+    """Record a new attempt in the request and its target and return its decision."""
     request.target = target.name
     request.attempt += 1
     request.started_at_s = now_s
--- a/endivepick/core/dispatch/backlog.py
+++ b/endivepick/core/dispatch/backlog.py
@@ -1,4 +1,4 @@
-"""All waiting requests of a service, by the targets that may take them."""
+"""Waiting requests of a service, grouped by the targets that may run them."""
 
 from collections.abc import Callable, Hashable
 
@@ -11,7 +11,7 @@
 
 
 class Backlog:
-    """One queue for each target, and one that all targets serve.
+    """Per-target queues of a service and one queue shared by all its targets.
 
     Parameters
     ----------
@@ -20,7 +20,7 @@
     targets : TargetSet
         Targets with their queues.
     allowance : WaitingAllowance
-        Places for waiting requests, shared with other services.
+        Limit on waiting requests, shared with other services.
     """
 
     def __init__(
@@ -37,79 +37,81 @@
         return len(self._waiting)
 
     def get(self, request_id: Hashable) -> PendingRequest | None:
-        """Return a waiting request."""
+        """Return a waiting request, or ``None`` if its id is unknown."""
         return self._waiting.get(request_id)
 
-    def queue_of(self, pinned: TargetState | None) -> WaitingQueue:
-        """Return the queue of a target, or the one that all serve."""
+    def queue_for(self, pinned: TargetState | None) -> WaitingQueue:
+        """Return the queue of a target, or the shared queue for ``None``."""
         return self.unpinned if pinned is None else pinned.queue
 
     def push(self, request: PendingRequest, pinned: TargetState | None) -> bool:
-        """Let a request wait for one target, or for any; false without a place."""
-        if not self._allowance.take(self._service):
+        """Queue a request; return false if the limit on waiting requests is reached."""
+        if not self._allowance.acquire(self._service):
             return False
         request.target = "" if pinned is None else pinned.name
-        self.queue_of(pinned).push(request)
+        self.queue_for(pinned).push(request)
         self._waiting[request.intent.request_id] = request
         self._streams += request.intent.stream
         return True
 
     def remove(self, request: PendingRequest) -> None:
-        """End the wait of a request."""
+        """Remove a request from its queue, if it waits."""
         if self._waiting.pop(request.intent.request_id, None) is None:
             return
         pinned = self._targets[request.target] if request.target else None
-        self.queue_of(pinned).remove(request)
+        self.queue_for(pinned).remove(request)
         self._streams -= request.intent.stream
         self._allowance.release(self._service)
 
-    def take_expired(self, now_s: float) -> list[PendingRequest]:
+    def pop_expired(self, now_s: float) -> list[PendingRequest]:
         """Remove and return the requests whose deadline has passed."""
         expired = [
             request
             for request in self._waiting.values()
             if now_s >= request.intent.deadline_at_s
         ]
-        return self._take(expired)
+        return self._remove_all(expired)
 
-    def take_pinned(self, target: TargetState) -> list[PendingRequest]:
-        """Remove and return the requests that wait for one target, in order."""
-        return self._take(list(target.queue))
+    def pop_pinned(self, target: TargetState) -> list[PendingRequest]:
+        """Remove and return the requests pinned to one target, in queue order."""
+        return self._remove_all(list(target.queue))
 
-    def take_streams(self, target: TargetState) -> list[PendingRequest]:
-        """Remove and return the streams that a target may hold, in order."""
+    def pop_streams(self, target: TargetState) -> list[PendingRequest]:
+        """Remove and return the streams that a target may serve, in queue order."""
         if self._streams == 0:
             return []
         waiting = [*target.queue, *self.unpinned]
-        return self._take([request for request in waiting if request.intent.stream])
+        return self._remove_all(
+            [request for request in waiting if request.intent.stream]
+        )
 
-    def take_next(
+    def pop_next(
         self,
         target: TargetState,
         shared: bool,
-        suits: Callable[[PendingRequest], bool],
+        accepts: Callable[[PendingRequest], bool],
     ) -> PendingRequest | None:
-        """Remove and return the first request that a target may run.
+        """Remove and return the next request that a target may run.
 
         Parameters
         ----------
         target : TargetState
-            The target.
+            Target with a free slot.
         shared : bool
-            Requests that wait for any target may run there too.
-        suits : callable
-            Tells whether the target may run a request.
+            Whether requests of the shared queue are considered too.
+        accepts : callable
+            Returns whether the target may run a given request.
         """
-        heads = [target.queue.first_where(suits)]
+        heads = [target.queue.first_where(accepts)]
         if shared:
-            heads.append(self.unpinned.first_where(suits))
+            heads.append(self.unpinned.first_where(accepts))
         waiting = [head for head in heads if head is not None]
         first = min(waiting, key=lambda request: request.order, default=None)
         if first is not None:
             self.remove(first)
         return first
 
-    def _take(self, requests: list[PendingRequest]) -> list[PendingRequest]:
+    def _remove_all(self, requests: list[PendingRequest]) -> list[PendingRequest]:
         for request in requests:
             self.remove(request)
         return requests
--- a/endivepick/core/dispatch/dispatcher.py
+++ b/endivepick/core/dispatch/dispatcher.py
@@ -1,4 +1,4 @@
-"""The owner's decisions for one service: place, queue, admit, refuse, retry."""
+"""Dispatch decisions of an owner for one service."""
 
 from collections.abc import Hashable, Mapping
 from itertools import count
@@ -17,34 +17,35 @@
 from endivepick.core.dispatch.scheduler import Scheduler
 from endivepick.core.dispatch.settings import DispatchSettings
 from endivepick.core.dispatch.snapshot import DispatchSnapshot, snapshot_target
-from endivepick.core.dispatch.waiting import PendingRequest, order_key
+from endivepick.core.dispatch.waiting import PendingRequest, queue_order
 from endivepick.records.model import Affinity, ServiceRecord
 
 __all__ = ["ServiceDispatcher"]
 
 QUIET_AFTER_S = 3.0
-"""Time without any request of a service after which it counts as quiet."""
+"""Time without requests after which a service is quiet."""
 
 
 class ServiceDispatcher:
-    """Decides for the requests of one service at its owner.
+    """Dispatcher for the requests of one service at its owner.
 
-    It has no sockets, no clock and no randomness: each method takes the present
-    time and returns the decisions that the caller carries out, in order.
+    It is a pure state machine without sockets, clock or random numbers: each
+    method takes the current time and returns the decisions that the calling code
+    carries out, in order.
 
     Parameters
     ----------
     settings : DispatchSettings
         Settings of the dispatcher.
     record : ServiceRecord
-        Record in force.
+        Current version of the service record.
     own_zone : str
         Availability zone of the owner.
     now_s : float
-        Present time, in seconds.
+        Current time, in seconds.
     allowance : WaitingAllowance, optional
-        Places for waiting requests, shared with the other services of this
-        instance; by default a service has all places for itself.
+        Limit on waiting requests, shared with the other services of this
+        instance; by default the service uses the whole limit.
 
     Examples
     --------
@@ -72,72 +73,73 @@
         self._settings = settings
         if allowance is None:
             allowance = WaitingAllowance(settings.waiting_per_instance)
-        allowance.join(record.name)
+        allowance.add_service(record.name)
         self._scheduler = Scheduler(settings, record, own_zone, allowance, now_s)
         self._targets = self._scheduler.targets
-        self._numbers = count()
-        self._used_at_s = now_s
+        self._sequence_numbers = count()
+        self._last_used_s = now_s
 
     @property
     def record(self) -> ServiceRecord:
-        """Record in force."""
+        """Current version of the service record."""
         return self._scheduler.record
 
     def update_record(self, record: ServiceRecord, now_s: float) -> list[Decision]:
-        """Take a newer record into force; leaving targets get no new work.
+        """Apply a newer record; leaving targets get no new requests.
 
-        A record with a lower version changes nothing.
+        A record with a lower version is ignored.
         """
         if record.version < self.record.version:
             return []
         self._scheduler.record = record
         self._targets.update_record(record, now_s)
-        return self._scheduler.settle(now_s)
+        return self._scheduler.reschedule(now_s)
 
     def is_quiet(self, now_s: float) -> bool:
-        """Tell whether no request is here or is to be expected at once.
+        """Return whether the service is unused and its targets are stable.
 
-        A service is never quiet while a target is other than its record says: its
-        next word is awaited.
+        A service is not quiet while a target's state differs from its record,
+        since the next probe of that target is expected to change it.
         """
         if self._scheduler.running or len(self._scheduler.backlog):
             return False
-        if now_s < self._used_at_s + QUIET_AFTER_S:
+        if now_s < self._last_used_s + QUIET_AFTER_S:
             return False
-        return all(target.settled for target in self._targets)
+        return all(target.in_expected_state for target in self._targets)
 
     def place_flow(self, flow: FlowActivity, now_s: float, random_number: float) -> str:
-        """Return the target of a new flow; empty if any target may serve it.
+        """Return the target of a new flow; empty if the flow is not pinned.
 
-        It is also empty while no target is known to serve: the flow's first
-        request then finds one.
+        It is also empty while no target is serving; the flow is then pinned when
+        its first request starts.
 
         Parameters
         ----------
         flow : FlowActivity
-            Activity of the flow, which its requests and its end name again.
+            Activity of the flow; its requests and `close_flow` pass the same
+            object.
         now_s : float
-            Present time, in seconds.
+            Current time, in seconds.
         random_number : float
-            Number from 0 to 1 that decides between equal targets.
+            Number from 0 to 1 that breaks ties between targets.
         """
-        self._used_at_s = now_s
+        self._last_used_s = now_s
         if self.record.affinity is Affinity.REQUEST:
             return ""
-        target = self._scheduler.flow_target(random_number, now_s)
+        target = self._scheduler.select_flow_target(random_number, now_s)
         if target is None:
             return ""
         self._targets.add_flow(target, flow, now_s)
         return target.name
 
     def adopt_flow(self, target: str, flow: FlowActivity, now_s: float) -> None:
-        """Count a flow in that another owner handed over with its target."""
+        """Add a flow that another owner handed over together with its target."""
         state = self._targets.get(target)
         if state is not None:
             self._targets.add_flow(state, flow, now_s)
 
     def close_flow(self, target: str, flow: FlowActivity, now_s: float) -> None:
-        """Count a flow out that was closed or handed over."""
+        """Remove a flow that was closed or handed over."""
         state = self._targets.get(target)
         if state is not None:
             self._targets.remove_flow(state, flow, now_s)
@@ -152,13 +154,13 @@
         intent : RequestIntent
             The request; its id must be new.
         now_s : float
-            Present time, in seconds.
+            Current time, in seconds.
         random_number : float
-            Number from 0 to 1 that decides between equal targets.
+            Number from 0 to 1 that breaks ties between targets.
         """
-        self._used_at_s = now_s
-        order = order_key(self._settings, intent, now_s, next(self._numbers))
-        self._scheduler.take_random(random_number)
+        self._last_used_s = now_s
+        order = queue_order(self._settings, intent, now_s, next(self._sequence_numbers))
+        self._scheduler.set_tie_breaker(random_number)
         self._scheduler.budget.count_request()
         self._targets.advance_if_due(now_s)
         pinned = self._targets.get(intent.pinned_target)
@@ -175,36 +177,36 @@
         duration_s: float,
         retry_after_s: float = 0.0,
     ) -> list[Decision]:
-        """Take in the end of an attempt and use the slot that it leaves.
+        """Process the end of an attempt and reuse the slot that it frees.
 
         Parameters
         ----------
         request_id : Hashable
-            The request; an unknown one changes nothing.
+            Id of the request; an unknown id is ignored.
         now_s : float
-            Present time, in seconds.
+            Current time, in seconds.
         kind : FinishKind
             How the attempt ended.
         duration_s : float
             Time since its start, in seconds.
         retry_after_s : float
-            Back-off that a shedding target asked for, in seconds; 0 if none.
+            Backoff that a shedding target requested, in seconds; 0 if none.
         """
         request = self._scheduler.running.pop(request_id, None)
         if request is None:
             return []
-        self._used_at_s = now_s
+        self._last_used_s = now_s
         target = self._targets[request.target]
         target.remove_request(request_id)
-        slow = self._learn_duration(request.intent, kind, duration_s)
+        slow = self._update_estimate(request.intent, kind, duration_s)
         target.on_finished(kind, slow, retry_after_s, now_s)
         decisions = self._scheduler.after_attempt(request, kind, now_s)
-        return decisions + self._scheduler.settle_target(target, now_s)
+        return decisions + self._scheduler.reschedule_target(target, now_s)
 
-    def _learn_duration(
+    def _update_estimate(
         self, intent: RequestIntent, kind: FinishKind, duration_s: float
     ) -> bool:
-        """Take in how long a request took, and tell whether it was slow."""
+        """Update the service time estimate and return whether the attempt was slow."""
         if intent.stream:
             return False
         estimate = self._scheduler.estimate
@@ -217,7 +219,7 @@
         return slow
 
     def cancel(self, request_id: Hashable, now_s: float) -> list[Decision]:
-        """Give up a request: drop it from the queue or cancel it at its target."""
+        """Cancel a request: remove it from its queue or cancel it at its target."""
         running = self._scheduler.running.get(request_id)
         if running is not None:
             address = self._targets[running.target].record.address
@@ -229,53 +231,54 @@
         return [self._scheduler.refuse(waiting, RefusalReason.CANCELLED, 0.0)]
 
     def tick(self, now_s: float) -> list[Decision]:
-        """Follow the passing of time: expiries, back-offs, ejections, slow start."""
-        return self._scheduler.settle(now_s)
+        """Process expired deadlines, backoffs, ejections and slow start."""
+        return self._scheduler.reschedule(now_s)
 
     def on_probe(
         self, target: str, now_s: float, outcome: ProbeOutcome
     ) -> list[Decision]:
-        """Take in the outcome of a probe of a target."""
+        """Process the outcome of a probe of a target."""
         state = self._targets.get(target)
         if state is None:
             return []
         state.on_probe(outcome, now_s)
-        return self._scheduler.settle(now_s)
+        return self._scheduler.reschedule(now_s)
 
     def on_draining_note(
         self, target: str, incarnation: int, now_s: float
     ) -> list[Decision]:
-        """Take in a peer's word that this incarnation of a target drains."""
+        """Process a peer's notice that this incarnation of a target is draining."""
         state = self._targets.get(target)
         if state is None:
             return []
-        state.note_draining(incarnation, now_s)
-        return self._scheduler.settle(now_s)
+        state.on_peer_draining(incarnation, now_s)
+        return self._scheduler.reschedule(now_s)
 
     def on_peer_in_flight(
         self, instance: str, counts: Mapping[str, int], now_s: float
     ) -> list[Decision]:
-        """Take in how many requests another owner has at each target."""
+        """Process the number of requests that another owner has at each target."""
         if counts:
-            # What a target tells here is passed on to that owner.
-            self._used_at_s = now_s
+            # Target states learnt here are forwarded to that owner, so the
+            # service must not become quiet.
+            self._last_used_s = now_s
         for target in self._targets:
             target.load.on_peer(instance, counts.get(target.name, 0), now_s)
-        return self._scheduler.settle(now_s)
+        return self._scheduler.reschedule(now_s)
 
     def remove_peer(self, instance: str, now_s: float) -> list[Decision]:
-        """Forget the counts of another owner."""
+        """Remove the in-flight counts of another owner."""
         for target in self._targets:
             target.load.remove_peer(instance)
-        return self._scheduler.settle(now_s)
+        return self._scheduler.reschedule(now_s)
 
     def in_flight(self, target: str) -> int:
-        """Return how many requests of this owner hold a slot of a target."""
+        """Return the number of slots of a target used by requests of this owner."""
         state = self._targets.get(target)
         return len(state.running) if state is not None else 0
 
     def snapshot(self) -> DispatchSnapshot:
-        """Return the present state, for status, metrics and peers."""
+        """Return the current state, for status, metrics and peers."""
         scheduler = self._scheduler
         targets = sorted(self._targets, key=lambda target: target.name)
         return DispatchSnapshot(
--- a/endivepick/core/dispatch/drain_note.py
+++ b/endivepick/core/dispatch/drain_note.py
@@ -1,44 +1,50 @@
-"""Word that a target drains, from itself or from a peer."""
+"""Draining status of a target, reported by itself or by a peer."""
 
 from endivepick.core.dispatch.messages import ProbeResult
 from endivepick.core.dispatch.settings import DispatchSettings
 
-__all__ = ["DrainNote"]
+__all__ = ["DrainStatus"]
 
 
-class DrainNote:
-    """Remembers which incarnation drains, and whether a probe may deny it.
+class DrainStatus:
+    """Tracks which incarnation of a target is draining.
 
-    A target's health endpoint may lag, so a peer's word holds against it for a
-    while.  What the endpoint said itself it may take back.
+    A target's health endpoint may lag behind, so a peer's notice overrides a
+    ready endpoint of the same incarnation for ``draining_note_s``.  Draining that
+    was reported by the endpoint itself ends as soon as the endpoint reports ready.
 
     Parameters
     ----------
     settings : DispatchSettings
-        How long a peer's word holds.
+        Time for which a peer's notice is valid.
+
+    Attributes
+    ----------
+    is_draining : bool
+        Whether the target is draining.
     """
 
     def __init__(self, settings: DispatchSettings) -> None:
         self._settings = settings
         self._incarnation = 0
-        self._holds_until_s = 0.0
-        self.active = False
+        self._valid_until_s = 0.0
+        self.is_draining = False
 
     def set_by_peer(self, incarnation: int, now_s: float) -> None:
-        """Take in a peer's word."""
+        """Process a peer's notice that an incarnation is draining."""
         self._set(incarnation, now_s + self._settings.draining_note_s)
 
     def set_by_target(self, incarnation: int, now_s: float) -> None:
-        """Take in the word of the target's health endpoint."""
+        """Process a health endpoint that reports draining."""
         self._set(incarnation, now_s)
 
-    def deny(self, result: ProbeResult, now_s: float) -> None:
-        """Take in that the health endpoint says ready."""
+    def on_ready(self, result: ProbeResult, now_s: float) -> None:
+        """Process a health endpoint that reports ready."""
         same = result.incarnation == self._incarnation
-        if not same or now_s >= self._holds_until_s:
-            self.active = False
+        if not same or now_s >= self._valid_until_s:
+            self.is_draining = False
 
     def _set(self, incarnation: int, until_s: float) -> None:
         self._incarnation = incarnation
-        self._holds_until_s = until_s
-        self.active = True
+        self._valid_until_s = until_s
+        self.is_draining = True
--- a/endivepick/core/dispatch/fairness.py
+++ b/endivepick/core/dispatch/fairness.py
@@ -1,54 +1,54 @@
-"""One limit for the waiting requests of all services that an instance owns."""
+"""Limit on the waiting requests of all services that an instance owns."""
 
 __all__ = ["WaitingAllowance"]
 
 
 class WaitingAllowance:
-    """Shares a number of places among services.
+    """Shares a limited number of waiting requests fairly among services.
 
-    A service may always use its equal share; beyond it, only places that are
-    free.  A busy service thus borrows what others leave, and can't keep them
-    from their own share: the limit may be passed for as long as it takes the
-    borrower's requests to start.
+    A service may always use an equal share of the capacity, and beyond its share
+    only capacity that is unused.  A busy service can thus exceed its share, but
+    cannot keep other services from theirs: the total may exceed the capacity
+    until the excess requests of the busy service have started.
 
     Parameters
     ----------
-    places : int
-        Requests that may wait in all services together.
+    capacity : int
+        Maximum number of waiting requests of all services together.
 
     Examples
     --------
-    >>> allowance = WaitingAllowance(places=2)
-    >>> allowance.join("notes"), allowance.join("packs")
+    >>> allowance = WaitingAllowance(capacity=2)
+    >>> allowance.add_service("notes"), allowance.add_service("packs")
     (None, None)
-    >>> [allowance.take("packs") for _ in range(3)]
+    >>> [allowance.acquire("packs") for _ in range(3)]
     [True, True, False]
-    >>> allowance.take("notes")
+    >>> allowance.acquire("notes")
     True
     """
 
-    def __init__(self, places: int) -> None:
-        self._places = places
-        self._taken: dict[str, int] = {}
+    def __init__(self, capacity: int) -> None:
+        self._capacity = capacity
+        self._acquired: dict[str, int] = {}
 
-    def join(self, service: str) -> None:
+    def add_service(self, service: str) -> None:
         """Add a service."""
-        self._taken.setdefault(service, 0)
+        self._acquired.setdefault(service, 0)
 
     def leave(self, service: str) -> None:
-        """Remove a service with all its places."""
-        self._taken.pop(service, None)
-
-    def take(self, service: str) -> bool:
-        """Take a place for a waiting request; false if there is none."""
-        taken = self._taken.setdefault(service, 0)
-        own_share = self._places / len(self._taken)
-        if taken >= own_share and sum(self._taken.values()) >= self._places:
+        """Remove a service and release its capacity."""
+        self._acquired.pop(service, None)
+
+    def acquire(self, service: str) -> bool:
+        """Acquire capacity for a waiting request; return false if there is none."""
+        acquired = self._acquired.setdefault(service, 0)
+        own_share = self._capacity / len(self._acquired)
+        if acquired >= own_share and sum(self._acquired.values()) >= self._capacity:
             return False
-        self._taken[service] = taken + 1
+        self._acquired[service] = acquired + 1
         return True
 
     def release(self, service: str) -> None:
-        """Give back the place of a request that waits no more."""
-        if self._taken.get(service, 0) > 0:
-            self._taken[service] -= 1
+        """Release the capacity of a request that no longer waits."""
+        if self._acquired.get(service, 0) > 0:
+            self._acquired[service] -= 1
--- a/endivepick/core/dispatch/flow_activity.py
+++ b/endivepick/core/dispatch/flow_activity.py
@@ -1,4 +1,4 @@
-"""Estimates of how fast flows send requests, for each flow and for each target."""
+"""Request rate estimates of flows and of targets, with exponential decay."""
 
 import math
 from dataclasses import dataclass
@@ -8,14 +8,14 @@
 
 @dataclass(slots=True)
 class FlowActivity:
-    """How fast one flow has sent of late; its holder keeps it.
+    """Recent request rate of one flow, stored by the holder of the flow.
 
     Attributes
     ----------
     rate_per_s : float
         Rate at the time of the last update, in requests per second.
     updated_s : float
-        When it was updated, in seconds.
+        Time of the last update, in seconds.
     """
 
     rate_per_s: float = 0.0
@@ -23,21 +23,21 @@
 
 
 class TargetActivity:
-    """Sums over the flows that are pinned to a target, where older news weigh less.
+    """Request rate and number of active flows pinned to a target.
 
-    A flow that stays silent weighs less and less, both in the rate and in the
-    number of flows that the rate stands for: flows whose callers are gone, or sleep
-    for hours, say nothing about what the next flow will send.
+    Both decay exponentially.  The contribution of a silent flow to the rate and
+    to the number of flows decreases with time, since flows whose callers are gone
+    or inactive for hours do not predict the rate of the next flow.
 
     Parameters
     ----------
-    memory_s : float
-        Age at which an arrival has lost about two thirds of its weight, in
-        seconds.
+    time_constant_s : float
+        Time constant of the decay, after which the weight of a request is
+        ``1 / e`` (about one third), in seconds.
 
     Examples
     --------
-    >>> target, flow = TargetActivity(memory_s=10.0), FlowActivity()
+    >>> target, flow = TargetActivity(time_constant_s=10.0), FlowActivity()
     >>> target.join(flow, rate_per_s=1.0, now_s=0.0)
     >>> round(target.rate_per_s(now_s=10.0), 2)
     0.37
@@ -46,40 +46,40 @@
     0.0
     """
 
-    def __init__(self, memory_s: float) -> None:
-        self._memory_s = memory_s
+    def __init__(self, time_constant_s: float) -> None:
+        self._time_constant_s = time_constant_s
         self._rate_per_s = 0.0
         self._active_flows = 0.0
         self._updated_s = 0.0
 
     def rate_per_s(self, now_s: float) -> float:
         """Return the expected rate of all flows, in requests per second."""
-        return self._rate_per_s * self._weight(self._updated_s, now_s)
+        return self._rate_per_s * self._decay(self._updated_s, now_s)
 
     def active_flows(self, now_s: float) -> float:
-        """Return the number of flows, each with the weight of its last request."""
-        return self._active_flows * self._weight(self._updated_s, now_s)
+        """Return the number of flows, each weighted by the age of its last request."""
+        return self._active_flows * self._decay(self._updated_s, now_s)
 
     def join(self, flow: FlowActivity, rate_per_s: float, now_s: float) -> None:
-        """Count a flow in that is expected to send at this rate."""
+        """Add a flow with its expected rate, in requests per second."""
         flow.rate_per_s = rate_per_s
         flow.updated_s = now_s
         self._add(rate_per_s, 1.0, now_s)
 
     def leave(self, flow: FlowActivity, now_s: float) -> None:
-        """Count a flow out, with what it still weighs."""
-        weight = self._weight(flow.updated_s, now_s)
+        """Remove a flow and its remaining contribution."""
+        weight = self._decay(flow.updated_s, now_s)
         self._add(-flow.rate_per_s * weight, -weight, now_s)
 
     def on_request(self, flow: FlowActivity, now_s: float) -> None:
-        """Take in a request of a flow that was counted in."""
-        weight = self._weight(flow.updated_s, now_s)
-        flow.rate_per_s = flow.rate_per_s * weight + 1.0 / self._memory_s
+        """Record a request of a flow that was added before."""
+        weight = self._decay(flow.updated_s, now_s)
+        flow.rate_per_s = flow.rate_per_s * weight + 1.0 / self._time_constant_s
         flow.updated_s = now_s
-        self._add(1.0 / self._memory_s, 1.0 - weight, now_s)
+        self._add(1.0 / self._time_constant_s, 1.0 - weight, now_s)
 
     def take_report(self, rate_per_s: float, flows: float, now_s: float) -> None:
-        """Believe what another instance counted of all flows."""
+        """Replace the totals by those that another instance reports."""
         self._rate_per_s = rate_per_s
         self._active_flows = flows
         self._updated_s = now_s
@@ -89,5 +89,5 @@
         self._active_flows = max(0.0, self.active_flows(now_s) + flows)
         self._updated_s = now_s
 
-    def _weight(self, since_s: float, now_s: float) -> float:
-        return math.exp(-max(0.0, now_s - since_s) / self._memory_s)
+    def _decay(self, since_s: float, now_s: float) -> float:
+        return math.exp(-max(0.0, now_s - since_s) / self._time_constant_s)
--- a/endivepick/core/dispatch/load.py
+++ b/endivepick/core/dispatch/load.py
@@ -1,66 +1,68 @@
-"""Work at a target that the owner did not send itself."""
+"""Load of a target caused by requests that this owner did not send."""
 
 from endivepick.core.dispatch.messages import ProbeResult
 from endivepick.core.dispatch.settings import DispatchSettings
 
-__all__ = ["LoadView"]
+__all__ = ["ExternalLoad"]
 
 
-class LoadView:
-    """Counts from peers, and load reports that are believed less as they age.
+class ExternalLoad:
+    """In-flight counts of peers and load reports, weighted by the age of the report.
 
     Parameters
     ----------
     settings : DispatchSettings
-        Ages at which reports count for nothing.
+        Ages at which reports are ignored.
     """
 
     def __init__(self, settings: DispatchSettings) -> None:
         self._settings = settings
         self._peers: dict[str, tuple[int, float]] = {}
-        self._unexplained = 0.0
+        self._external_requests = 0.0
         self._reported_at_s = float("-inf")
-        self._peak = 0
-        self._earlier_peak = 0
+        self._own_peak = 0
+        self._previous_own_peak = 0
 
-    def on_own_count(self, own: int) -> None:
-        """Remember the most requests that ran at once since the last reports."""
-        self._peak = max(self._peak, own)
+    def update_own_peak(self, own: int) -> None:
+        """Update the maximum number of own requests since the last reports."""
+        self._own_peak = max(self._own_peak, own)
 
     def on_peer(self, instance: str, count: int, now_s: float) -> None:
-        """Take in how many requests a peer has at the target."""
+        """Set the number of requests that a peer has at the target."""
         self._peers[instance] = (count, now_s)
 
     def remove_peer(self, instance: str) -> None:
-        """Forget the count of a peer."""
+        """Remove the count of a peer."""
         self._peers.pop(instance, None)
 
     def on_report(self, result: ProbeResult, own: int, now_s: float) -> None:
-        """Take in a load report.
+        """Process a load report.
 
-        A report lags, so it is compared with the most requests that this owner
-        had there since the report before the last one: only what lies above is
-        work that somebody else sent.
+        A report lags behind, so it is compared with the maximum number of requests
+        that this owner had at the target since the report before the last one.
+        Only the excess is load from other senders.
         """
-        explained = max(self._peak, self._earlier_peak, own) + self.peers(now_s)
+        known_requests = max(
+            self._own_peak, self._previous_own_peak, own
+        ) + self.peer_requests(now_s)
         reported = result.in_progress + result.waiting
-        self._unexplained = max(0.0, float(reported - explained))
+        self._external_requests = max(0.0, float(reported - known_requests))
         self._reported_at_s = now_s - result.age_ms / 1000.0
-        self._earlier_peak, self._peak = self._peak, own
+        self._previous_own_peak, self._own_peak = self._own_peak, own
 
-    def peers(self, now_s: float) -> int:
-        """Return the requests that peers have at the target."""
+    def peer_requests(self, now_s: float) -> int:
+        """Return the number of requests that peers have at the target."""
         limit_s = self._settings.peer_report_age_limit_s
         return sum(
             count for count, at_s in self._peers.values() if now_s - at_s < limit_s
         )
 
-    def others(self, usable_slots: int, now_s: float) -> int:
-        """Return the slots to leave to others.
+    def reserved_slots(self, usable_slots: int, now_s: float) -> int:
+        """Return the number of slots to leave to other senders.
 
-        A report alone never takes the last slot, since it may mislead.
+        A load report alone never reserves the last slot, since it may be wrong.
         """
         age_s = now_s - self._reported_at_s
-        trust = max(0.0, 1.0 - age_s / self._settings.load_report_age_limit_s)
-        believed = trust * min(self._unexplained, usable_slots - 1)
-        return self.peers(now_s) + round(believed)
+        confidence = max(0.0, 1.0 - age_s / self._settings.load_report_age_limit_s)
+        external_slots = confidence * min(self._external_requests, usable_slots - 1)
+        return self.peer_requests(now_s) + round(external_slots)
--- a/endivepick/core/dispatch/messages.py
+++ b/endivepick/core/dispatch/messages.py
@@ -1,4 +1,4 @@
-"""Events that a dispatcher takes and decisions that it returns."""
+"""Events that a dispatcher processes and decisions that it returns."""
 
 from collections.abc import Hashable
 from dataclasses import dataclass, field
@@ -27,69 +27,69 @@
 
 
 class CostClass(Enum):
-    """How long a request is expected to hold its slot."""
+    """Expected service time class of a request."""
 
     SHORT = "short"
     LONG = "long"
 
 
 class FinishKind(Enum):
-    """How one attempt at a target ended."""
+    """Outcome of one attempt at a target."""
 
     OK = "ok"
-    """The whole answer arrived."""
+    """The complete answer arrived."""
     SHED = "shed"
-    """The target answered that it did not run the request."""
+    """The target shed the request and reported that it did not run it."""
     CONNECT_FAILED = "connect_failed"
-    """No connection, and no byte of the request was sent."""
+    """The connection failed before any byte of the request was sent."""
     MISDIRECTED = "misdirected"
-    """The target is of another service or incarnation and ran nothing."""
+    """The target belongs to another service or incarnation and did not run it."""
     BROKEN = "broken"
-    """The connection broke after the send; it may have run."""
+    """The connection broke after the request was sent; it may have run."""
     CANCELLED = "cancelled"
-    """The caller gave up; nobody waits for an outcome."""
+    """The caller cancelled the request and no longer needs an outcome."""
     LATE = "late"
-    """No answer until the deadline; it may have run."""
+    """No answer arrived before the deadline; it may have run."""
     EXPIRED = "expired"
-    """The target answered that the deadline passed before it ran anything."""
+    """The target reported that the deadline passed before it ran the request."""
 
 
 class RefusalReason(Enum):
-    """Why a request did not run."""
+    """Reason why a request did not run."""
 
     DEADLINE_PASSED = "deadline_passed"
-    """The deadline had passed before a target could take it."""
+    """The deadline passed before a target could run it."""
     WAIT_TOO_LONG = "wait_too_long"
-    """It would have waited beyond its deadline."""
+    """Its predicted completion time is after its deadline."""
     QUEUE_FULL = "queue_full"
-    """As many requests wait as the record allows."""
+    """The queue has reached the limit of the service record."""
     INSTANCE_FULL = "instance_full"
-    """As many requests wait as the instance allows for all its services."""
+    """The limit on waiting requests of all services of the instance is reached."""
     NO_TARGET = "no_target"
-    """The record names no target that can take it."""
+    """The service record has no target that can run it."""
     TARGETS_SHED = "targets_shed"
-    """Targets refused it, and the retry budget is used up."""
+    """Targets shed it, and its attempts or the retry budget are exhausted."""
     TARGETS_UNREACHABLE = "targets_unreachable"
-    """No connection to a target, and the retry budget is used up."""
+    """Connections failed, and its attempts or the retry budget are exhausted."""
     CONNECTIONS_FULL = "connections_full"
-    """All connections that the record allows are in use."""
+    """All connections that the service record permits are in use."""
     CANCELLED = "cancelled"
-    """The caller gave it up before it started."""
+    """The caller cancelled it before it started."""
 
 
 class FailReason(Enum):
-    """Why the outcome of a request is unknown."""
+    """Reason why the outcome of a request is unknown."""
 
     BROKEN = "broken"
-    """The connection to the target broke after the send."""
+    """The connection to the target broke after the request was sent."""
     LATE = "late"
     """The target did not answer before the deadline."""
     RETRY_REFUSED = "retry_refused"
-    """An earlier attempt may have run and no further one could."""
+    """An earlier attempt may have run and no further attempt was possible."""
 
 
 class TargetHealth(Enum):
-    """What the health endpoint of a target says."""
+    """State that the health endpoint of a target reports."""
 
     STARTING = "starting"
     READY = "ready"
@@ -98,32 +98,32 @@
 
 @dataclass(frozen=True)
 class RequestIntent:
-    """A request that asks for a target.
+    """A request to be dispatched to a target.
 
     Attributes
     ----------
     request_id : Hashable
-        Names the request in all further events and decisions.
+        Identifies the request in all later events and decisions.
     pinned_target : str
-        Target of its flow; empty if any target may run it.
+        Target that its flow is pinned to; empty if any target may run it.
     deadline_at_s : float
-        Time after which nobody waits for the answer, in seconds.
+        Time after which the answer is no longer needed, in seconds.
     idempotent : bool
         Whether it may run more than once.
     stream : bool
-        It holds a connection of the target and no slot.
+        Whether it is an event stream, which uses a connection but no slot.
     established : bool
-        Its flow has had a request before.
+        Whether its flow has sent a request before.
     cost_class : CostClass
-        Expected cost.
+        Expected service time class.
     movable : bool
-        Its flow has no other request in progress and so may change its target.
-        A flow whose target leaves is moved in any case.
+        Whether its flow may change its target, having no other request in
+        progress.  A flow whose target leaves is moved in any case.
     may_have_run : bool
-        An attempt before this submission may have run: it is never refused as
-        not run.
+        Whether an attempt before this submission may have run.  If so, the request
+        is never reported as not run.
     activity : FlowActivity
-        Activity of its flow, kept by the flow's holder.
+        Request rate of its flow, stored by the holder of the flow.
     """
 
     request_id: Hashable
@@ -140,22 +140,22 @@
 
 @dataclass(frozen=True)
 class ProbeResult:
-    """What a target said about itself.
+    """Health and load report of a target.
 
     Attributes
     ----------
     state : TargetHealth
-        State from its health endpoint.
+        State reported by its health endpoint.
     service : str
-        Service that it serves.
+        Service that it belongs to.
     incarnation : int
         Its incarnation.
     in_progress : int
-        Requests that it runs.
+        Number of requests that it is running.
     waiting : int
-        Requests that wait at the target.
+        Number of requests that wait at the target.
     slots : int
-        Slots that it reports.
+        Number of slots that it reports.
     age_ms : int
         Age of the load figures, in milliseconds.
     """
@@ -171,7 +171,7 @@
 
 @dataclass(frozen=True)
 class ProbeFailed:
-    """A probe got no proper answer."""
+    """A probe that received no valid answer."""
 
 
 ProbeOutcome = ProbeResult | ProbeFailed
@@ -179,18 +179,18 @@
 
 @dataclass(frozen=True)
 class Start:
-    """Send the request to this target now.
+    """Decision to send a request to a target now.
 
     Attributes
     ----------
     request_id : Hashable
-        The request.
+        Id of the request.
     target : str
-        Name of the target; its flow is pinned to it from now on.
+        Name of the target; the flow of the request is pinned to it from now on.
     target_incarnation : int
-        Incarnation to name in the request.
+        Incarnation of the target, to be sent with the request.
     address : str
-        ``host:port``.
+        Address of the target as ``host:port``.
     timeout_s : float
         Time left until the deadline, in seconds.
     attempt : int
@@ -207,14 +207,14 @@
 
 @dataclass(frozen=True)
 class Queued:
-    """The request waits; a later decision ends its wait."""
+    """The request was queued; a later decision starts or refuses it."""
 
     request_id: Hashable
 
 
 @dataclass(frozen=True)
 class Refuse:
-    """The request did not run and will not; come back after a while."""
+    """The request did not run and will not; the caller may retry after a delay."""
 
     request_id: Hashable
     reason: RefusalReason
@@ -223,7 +223,7 @@
 
 @dataclass(frozen=True)
 class Fail:
-    """Nobody knows whether the request ran."""
+    """It is unknown whether the request ran."""
 
     request_id: Hashable
     reason: FailReason
@@ -232,7 +232,7 @@
 
 @dataclass(frozen=True)
 class Repin:
-    """The request's flow moves; the ``Start`` that follows names the target too."""
+    """The flow of a request moves to the target of the ``Start`` that follows."""
 
     request_id: Hashable
     old_target: str
@@ -241,7 +241,7 @@
 
 @dataclass(frozen=True)
 class CancelRunning:
-    """Cancel the request at its target, then report ``CANCELLED``."""
+    """Cancel the request at its target, then report ``FinishKind.CANCELLED``."""
 
     request_id: Hashable
     target: str
--- a/endivepick/core/dispatch/occupancy.py
+++ b/endivepick/core/dispatch/occupancy.py
@@ -1,9 +1,9 @@
-"""What a target holds: requests, streams, flows and its queue."""
+"""Occupancy of a target: requests, streams, flows and its queue."""
 
 from collections.abc import Hashable
 
 from endivepick.core.dispatch.flow_activity import TargetActivity
-from endivepick.core.dispatch.load import LoadView
+from endivepick.core.dispatch.load import ExternalLoad
 from endivepick.core.dispatch.settings import DispatchSettings
 from endivepick.core.dispatch.waiting import PendingRequest, WaitingQueue
 from endivepick.records.model import TargetRecord
@@ -12,29 +12,29 @@
 
 
 class TargetOccupancy:
-    """Counts what a target holds; decides nothing.
+    """Requests, streams and flows of a target, without any decisions.
 
     Parameters
     ----------
     settings : DispatchSettings
         Settings of the dispatcher.
     record : TargetRecord
-        The target's part of the service record.
+        Entry of the target in the service record.
 
     Attributes
     ----------
     running : dict
-        Requests of this owner that hold a slot, by id.
+        Requests of this owner that use a slot, by id.
     streams : dict
         Event streams of this owner, by id.
     queue : WaitingQueue
-        Requests that wait for this very target.
+        Requests that are pinned to this target and wait.
     flows : int
-        Flows that are pinned to it.
+        Number of flows that are pinned to it.
     activity : TargetActivity
-        How fast these send requests.
-    load : LoadView
-        Work that others sent there.
+        Request rate of these flows.
+    load : ExternalLoad
+        Load caused by other senders.
     """
 
     def __init__(self, settings: DispatchSettings, record: TargetRecord) -> None:
@@ -44,26 +44,26 @@
         self.queue = WaitingQueue()
         self.flows = 0
         self.activity = TargetActivity(settings.arrival_memory_s)
-        self.load = LoadView(settings)
+        self.load = ExternalLoad(settings)
 
     def add(self, request: PendingRequest) -> None:
-        """Count a request in that starts now."""
+        """Add a request or stream that starts now."""
         request_id = request.intent.request_id
         if request.intent.stream:
             self.streams[request_id] = request
             return
         self.running[request_id] = request
-        self.load.on_own_count(len(self.running))
+        self.load.update_own_peak(len(self.running))
 
     def remove_request(self, request_id: Hashable) -> None:
-        """Count a request out whose attempt ended."""
+        """Remove a request or stream whose attempt ended."""
         self.running.pop(request_id, None)
         self.streams.pop(request_id, None)
 
-    def in_use(self, now_s: float) -> int:
-        """Return the slots that its own and known other requests hold."""
-        return len(self.running) + self.load.peers(now_s)
+    def used_slots(self, now_s: float) -> int:
+        """Return the number of slots used by requests of this owner and of peers."""
+        return len(self.running) + self.load.peer_requests(now_s)
 
     def free_connections(self) -> int:
-        """Return how many connections it can still hold."""
+        """Return the number of unused connections."""
         return self.record.connections - len(self.running) - len(self.streams)
--- a/endivepick/core/dispatch/placement.py
+++ b/endivepick/core/dispatch/placement.py
@@ -1,19 +1,20 @@
-"""Choice of a target."""
+"""Target selection rules."""
 
 from collections.abc import Sequence
 
 from endivepick.core.dispatch.target import TargetState
 
-__all__ = ["SpillCounter", "choose_flow_target", "choose_target"]
+__all__ = ["ZoneSpillLimiter", "choose_flow_target", "choose_target"]
 
-_SPILL_MEMORY = 0.99
+_SPILL_SHARE_DECAY = 0.99
 _RATE_WEIGHT = 4.0
 
 
-class SpillCounter:
-    """Keeps the share of requests that leave their zone under a cap.
+class ZoneSpillLimiter:
+    """Limits the share of requests that are sent to other availability zones.
 
-    Only requests that could have had a free slot in the own zone count.
+    The share is a moving average.  It covers only requests for which a slot was
+    free in the owner's zone.
 
     Parameters
     ----------
@@ -25,17 +26,17 @@
         self._own_zone = own_zone
         self._share = 0.0
 
-    def allowed(
+    def allowed_targets(
         self, targets: Sequence[TargetState], share_limit: float
     ) -> Sequence[TargetState]:
-        """Return the targets that a request may take.
+        """Return the targets that the limit permits.
 
         Parameters
         ----------
         targets : sequence of TargetState
             Targets with a free slot.
         share_limit : float
-            Largest share that leaves its zone, from 0 to 1.
+            Largest share of requests sent to other zones, from 0 to 1.
         """
         if share_limit >= 1.0:
             return targets
@@ -44,21 +45,25 @@
             return targets
         return own
 
-    def count(self, targets: Sequence[TargetState], chosen: TargetState) -> None:
-        """Take in a choice among these targets."""
+    def record_choice(
+        self, targets: Sequence[TargetState], chosen: TargetState
+    ) -> None:
+        """Update the share with the target chosen among these targets."""
         if all(t.record.zone != self._own_zone for t in targets):
             return
-        left = chosen.record.zone != self._own_zone
-        self._share = _SPILL_MEMORY * self._share + (1 - _SPILL_MEMORY) * left
+        left_zone = chosen.record.zone != self._own_zone
+        self._share = (
+            _SPILL_SHARE_DECAY * self._share + (1 - _SPILL_SHARE_DECAY) * left_zone
+        )
 
 
 def choose_target(
-    targets: Sequence[TargetState], tried: set[str], tie: float, now_s: float
+    targets: Sequence[TargetState], tried: set[str], tie_breaker: float, now_s: float
 ) -> TargetState:
-    """Choose among targets with a free slot: the least loaded one.
+    """Return the least loaded of several targets with a free slot.
 
-    Targets that an earlier attempt went to, and ones whose health endpoint
-    fails, come last.
+    Targets of earlier attempts are ranked last, and among the others those whose
+    health endpoint fails.
 
     Parameters
     ----------
@@ -66,52 +71,54 @@
         At least one.
     tried : set of str
         Targets of earlier attempts.
-    tie : float
-        Number from 0 to 1 that decides between equals.
+    tie_breaker : float
+        Number from 0 to 1 that breaks ties.
     now_s : float
-        Present time, in seconds.
+        Current time, in seconds.
     """
 
     def rank(target: TargetState) -> tuple[bool, bool, float]:
-        load = (target.in_use(now_s) + 1) / target.record.slots
+        load = (target.used_slots(now_s) + 1) / target.record.slots
         return (target.name in tried, not target.healthy, load)
 
-    return _lowest([(rank(target), target) for target in targets], tie)
+    return _select_lowest([(rank(target), target) for target in targets], tie_breaker)
 
 
 def choose_flow_target(
-    targets: Sequence[TargetState], tie: float, now_s: float
+    targets: Sequence[TargetState], tie_breaker: float, now_s: float
 ) -> TargetState:
-    """Choose the target of a new flow: the one with the least expected work.
+    """Return the target with the least expected work for a new flow.
 
-    The requests that run and wait there say how much work a target has now; the
-    rate at which its flows send says how much will come.  Both are weighed as
-    shares of all targets' work, so that the rule fits busy and quiet services.
+    Running and waiting requests measure the current work of a target; the request
+    rate of its flows predicts its future work.  The rate is weighted by the total
+    work of all targets, so that the rule suits both busy and quiet services.
 
     Parameters
     ----------
     targets : sequence of TargetState
         At least one.
-    tie : float
-        Number from 0 to 1 that decides between equals.
+    tie_breaker : float
+        Number from 0 to 1 that breaks ties.
     now_s : float
-        Present time, in seconds.
+        Current time, in seconds.
     """
-    work = {t.name: t.in_use(now_s) + len(t.queue) for t in targets}
+    work = {t.name: t.used_slots(now_s) + len(t.queue) for t in targets}
     rates_per_s = {t.name: t.activity.rate_per_s(now_s) for t in targets}
-    work_all = sum(work.values()) + 1
-    rate_all_per_s = sum(rates_per_s.values()) or 1.0
+    total_work = sum(work.values()) + 1
+    total_rate_per_s = sum(rates_per_s.values()) or 1.0
 
     def rank(target: TargetState) -> tuple[bool, float, float]:
-        rate_share = rates_per_s[target.name] / rate_all_per_s
-        expected = work[target.name] + _RATE_WEIGHT * work_all * rate_share
+        rate_share = rates_per_s[target.name] / total_rate_per_s
+        expected_work = work[target.name] + _RATE_WEIGHT * total_work * rate_share
         slots = target.record.slots
-        return (not target.healthy, expected / slots, target.flows / slots)
+        return (not target.healthy, expected_work / slots, target.flows / slots)
 
-    return _lowest([(rank(target), target) for target in targets], tie)
+    return _select_lowest([(rank(target), target) for target in targets], tie_breaker)
 
 
-def _lowest(ranked: list[tuple[tuple, TargetState]], tie: float) -> TargetState:
+def _select_lowest(
+    ranked: list[tuple[tuple, TargetState]], tie_breaker: float
+) -> TargetState:
     best = min(rank for rank, _ in ranked)
-    equals = [target for rank, target in ranked if rank == best]
-    return equals[int(tie * len(equals)) % len(equals)]
+    tied = [target for rank, target in ranked if rank == best]
+    return tied[int(tie_breaker * len(tied)) % len(tied)]
--- a/endivepick/core/dispatch/refusal.py
+++ b/endivepick/core/dispatch/refusal.py
@@ -1,4 +1,4 @@
-"""Final answers for requests that no target answered."""
+"""Final decisions for requests that no target answered."""
 
 from endivepick.core.dispatch.messages import Fail, FailReason, RefusalReason, Refuse
 from endivepick.core.dispatch.settings import DispatchSettings
@@ -12,26 +12,27 @@
     request: PendingRequest,
     reason: RefusalReason,
     wait_s: float,
-    spread: float,
+    jitter: float,
 ) -> Refuse | Fail:
-    """Say that a request did not run, unless one of its attempts may have.
+    """Return a refusal, or a failure if an attempt of the request may have run.
 
     Parameters
     ----------
     settings : DispatchSettings
-        Shortest time to come back.
+        Minimum retry delay.
     request : PendingRequest
         The request.
     reason : RefusalReason
-        Why no target takes it.
+        Reason of the refusal.
     wait_s : float
-        Predicted time until one could, in seconds.
-    spread : float
-        Number from 0 to 1 by which callers are kept from coming back at once.
+        Predicted time until a target can run it, in seconds.
+    jitter : float
+        Number from 0 to 1 that randomizes the retry delay, so that callers do not
+        retry at the same time.
     """
     if request.may_have_run:
-        return fail_request(settings, request, FailReason.RETRY_REFUSED, wait_s, spread)
-    retry_after_ms = _retry_after_ms(settings, wait_s, spread)
+        return fail_request(settings, request, FailReason.RETRY_REFUSED, wait_s, jitter)
+    retry_after_ms = _retry_after_ms(settings, wait_s, jitter)
     return Refuse(request.intent.request_id, reason, retry_after_ms)
 
 
@@ -40,13 +41,13 @@
     request: PendingRequest,
     reason: FailReason,
     wait_s: float,
-    spread: float,
+    jitter: float,
 ) -> Fail:
-    """Say that nobody knows whether a request ran; see `refuse_request`."""
-    retry_after_ms = _retry_after_ms(settings, wait_s, spread)
+    """Return the decision for an unknown outcome; see `refuse_request`."""
+    retry_after_ms = _retry_after_ms(settings, wait_s, jitter)
     return Fail(request.intent.request_id, reason, retry_after_ms)
 
 
-def _retry_after_ms(settings: DispatchSettings, wait_s: float, spread: float) -> int:
-    factor = 1.0 + 0.5 * spread
+def _retry_after_ms(settings: DispatchSettings, wait_s: float, jitter: float) -> int:
+    factor = 1.0 + 0.5 * jitter
     return int(factor * max(settings.refused_wait_min_ms, 1000 * wait_s))
--- a/endivepick/core/dispatch/retries.py
+++ b/endivepick/core/dispatch/retries.py
@@ -1,54 +1,61 @@
-"""What follows from the way in which an attempt ended."""
+"""Classification of attempt outcomes for retries."""
 
 from dataclasses import dataclass
 
 from endivepick.core.dispatch.messages import FailReason, FinishKind, RefusalReason
 from endivepick.core.dispatch.waiting import PendingRequest
 
-__all__ = ["AttemptVerdict", "Done", "Refused", "Retry", "Unknown", "judge_attempt"]
+__all__ = [
+    "AttemptResult",
+    "Done",
+    "OutcomeUnknown",
+    "Refused",
+    "Retry",
+    "classify_attempt",
+]
 
 
 @dataclass(frozen=True)
 class Done:
-    """The request needs no further word."""
+    """The request needs no further decision."""
 
 
 @dataclass(frozen=True)
 class Retry:
-    """It may run again, if the budget allows; else it ends for this reason."""
+    """The request may be retried within the budget, else it is refused."""
 
     reason: RefusalReason
 
 
 @dataclass(frozen=True)
 class Refused:
-    """It ends without another attempt."""
+    """The request is refused without another attempt."""
 
     reason: RefusalReason
 
 
 @dataclass(frozen=True)
-class Unknown:
-    """It may have run and must not run again."""
+class OutcomeUnknown:
+    """The request may have run and must not be retried."""
 
     reason: FailReason
 
 
-AttemptVerdict = Done | Retry | Refused | Unknown
+AttemptResult = Done | Retry | Refused | OutcomeUnknown
 
 
-def judge_attempt(request: PendingRequest, kind: FinishKind) -> AttemptVerdict:
-    """Return what follows, and note in the request what it has to remember.
+def classify_attempt(request: PendingRequest, kind: FinishKind) -> AttemptResult:
+    """Classify the outcome of an attempt and update the flags of its request.
 
-    Only two kinds of attempt are followed by another: one that surely did not
-    run, and one of an idempotent request.
+    An attempt is retried only if it certainly did not run or if its request is
+    idempotent.
 
     Parameters
     ----------
     request : PendingRequest
         The request.
     kind : FinishKind
-        How its attempt ended.
+        Outcome of its attempt.
     """
     match kind:
         case FinishKind.OK | FinishKind.CANCELLED:
@@ -58,19 +65,19 @@
         case FinishKind.MISDIRECTED:
             return Retry(RefusalReason.NO_TARGET)
         case FinishKind.CONNECT_FAILED:
-            request.unpinned = request.intent.movable
+            request.ignores_pin = request.intent.movable
             return Retry(RefusalReason.TARGETS_UNREACHABLE)
         case FinishKind.EXPIRED:
             return Refused(RefusalReason.DEADLINE_PASSED)
         case FinishKind.LATE:
-            return Unknown(FailReason.LATE)
+            return OutcomeUnknown(FailReason.LATE)
         case FinishKind.BROKEN:
-            return _judge_broken(request)
+            return _classify_broken(request)
 
 
-def _judge_broken(request: PendingRequest) -> AttemptVerdict:
+def _classify_broken(request: PendingRequest) -> AttemptResult:
     request.may_have_run = True
     if not request.intent.idempotent:
-        return Unknown(FailReason.BROKEN)
-    request.unpinned = request.intent.movable
+        return OutcomeUnknown(FailReason.BROKEN)
+    request.ignores_pin = request.intent.movable
     return Retry(RefusalReason.TARGETS_UNREACHABLE)
--- a/endivepick/core/dispatch/retry_budget.py
+++ b/endivepick/core/dispatch/retry_budget.py
@@ -1,4 +1,4 @@
-"""One allowance for all further attempts of a service's requests."""
+"""Retry budget of a service."""
 
 from endivepick.core.dispatch.settings import DispatchSettings
 
@@ -6,14 +6,14 @@
 
 
 class RetryBudget:
-    """Allows retries as a share of recent requests plus a small constant.
+    """Token bucket that limits retries to a share of requests plus a constant rate.
 
     Parameters
     ----------
     settings : DispatchSettings
-        Share, constant and burst.
+        Share of requests, constant rate and burst size.
     now_s : float
-        Present time, in seconds.
+        Current time, in seconds.
 
     Examples
     --------
@@ -29,15 +29,15 @@
 
     @property
     def tokens(self) -> float:
-        """Retries that are allowed at once."""
+        """Number of retries that are available now."""
         return self._tokens
 
     def count_request(self) -> None:
-        """Add the share that a first attempt earns."""
+        """Add the tokens for the first attempt of a request."""
         self._add(self._settings.retry_share)
 
     def take(self, now_s: float) -> bool:
-        """Use up one retry; false if there is none."""
+        """Consume one retry token; return false if there is none."""
         elapsed_s = max(0.0, now_s - self._refilled_at_s)
         self._refilled_at_s = now_s
         self._add(elapsed_s * self._settings.retry_constant_per_s)
--- a/endivepick/core/dispatch/selection.py
+++ b/endivepick/core/dispatch/selection.py
@@ -1,9 +1,9 @@
-"""Which targets a request may run on, and which of them it gets."""
+"""Selection of a target for a request, a stream or a flow."""
 
 from collections.abc import Sequence
 
 from endivepick.core.dispatch.placement import (
-    SpillCounter,
+    ZoneSpillLimiter,
     choose_flow_target,
     choose_target,
 )
@@ -13,11 +13,11 @@
 from endivepick.core.dispatch.waiting import PendingRequest
 from endivepick.records.model import Affinity, ServiceRecord
 
-__all__ = ["TargetSelector", "suits"]
+__all__ = ["TargetSelector", "can_run"]
 
 
 class TargetSelector:
-    """Finds a target for a request; changes nothing but the spill count.
+    """Selects targets; its only state is the share of requests sent to other zones.
 
     Parameters
     ----------
@@ -34,13 +34,13 @@
     ) -> None:
         self._settings = settings
         self._targets = targets
-        self._spill = SpillCounter(own_zone)
+        self._spill_limiter = ZoneSpillLimiter(own_zone)
 
-    def pinned(
+    def find_pinned_target(
         self, request: PendingRequest, record: ServiceRecord, now_s: float
     ) -> TargetState | None:
-        """Return the target that a request has to run on; ``None`` if any may."""
-        if record.affinity is Affinity.REQUEST or request.unpinned:
+        """Return the target that a request is pinned to; ``None`` if any may run it."""
+        if record.affinity is Affinity.REQUEST or request.ignores_pin:
             return None
         target = self._targets.get(request.intent.pinned_target)
         if target is None or not target.keeps_flows:
@@ -50,78 +50,80 @@
             return None
         return target
 
-    def free(
+    def select_target(
         self,
         request: PendingRequest,
         candidates: Sequence[TargetState],
         record: ServiceRecord,
-        tie: float,
+        tie_breaker: float,
         now_s: float,
     ) -> TargetState | None:
-        """Return the best target that can start a request now, if there is one.
+        """Return the best target that can start a request now; ``None`` if none can.
 
         Parameters
         ----------
         request : PendingRequest
-            The request.
+            Request to start.
         candidates : sequence of TargetState
-            Targets that it may run on; a single one is not passed over for its
-            health.
+            Targets that it may run on; a single one keeps all its slots even if its
+            health endpoint fails.
         record : ServiceRecord
-            Record in force.
-        tie : float
-            Number from 0 to 1 that decides between equals.
+            Current version of the service record.
+        tie_breaker : float
+            Number from 0 to 1 that breaks ties.
         now_s : float
-            Present time, in seconds.
+            Current time, in seconds.
         """
         others = len(candidates) > 1
         free = [
             target
             for target in candidates
-            if target.can_start(now_s, others and self.is_reduced(target))
-            and suits(request, target, now_s)
+            if target.can_start(now_s, others and self.has_reduced_slots(target))
+            and can_run(request, target, now_s)
         ]
         if not free:
             return None
-        allowed = self._spill.allowed(free, record.spill_share)
-        target = choose_target(allowed, request.tried, tie, now_s)
-        self._spill.count(free, target)
+        allowed = self._spill_limiter.allowed_targets(free, record.spill_share)
+        target = choose_target(allowed, request.tried, tie_breaker, now_s)
+        self._spill_limiter.record_choice(free, target)
         return target
 
-    def for_flow(
-        self, record: ServiceRecord, tie: float, now_s: float
+    def select_for_flow(
+        self, record: ServiceRecord, tie_breaker: float, now_s: float
     ) -> TargetState | None:
-        """Return the best target for a new flow; ``None`` if none serves.
+        """Return the best target for a new flow; ``None`` if none is serving.
 
-        While targets of the own zone have a free slot, the cap on requests that
-        leave their zone holds for flows too.
+        While targets in the owner's zone have a free slot, the limit on requests
+        sent to other zones applies to flows too.
         """
         serving = [target for target in self._targets if target.serving]
-        rested = [target for target in serving if now_s >= target.backoff_until_s]
-        free = [target for target in rested if target.can_start(now_s)]
-        allowed = self._spill.allowed(free, record.spill_share)
+        without_backoff = [
+            target for target in serving if now_s >= target.backoff_until_s
+        ]
+        free = [target for target in without_backoff if target.can_start(now_s)]
+        allowed = self._spill_limiter.allowed_targets(free, record.spill_share)
         if len(allowed) == len(free):
-            allowed = rested or serving
+            allowed = without_backoff or serving
         if not allowed:
             return None
-        target = choose_flow_target(allowed, tie, now_s)
-        self._spill.count(free, target)
+        target = choose_flow_target(allowed, tie_breaker, now_s)
+        self._spill_limiter.record_choice(free, target)
         return target
 
-    def for_stream(self, serving: Sequence[TargetState]) -> TargetState | None:
-        """Return the target with the fewest streams that can hold one more."""
-        able = [target for target in serving if target.free_connections() > 0]
+    def select_for_stream(self, serving: Sequence[TargetState]) -> TargetState | None:
+        """Return the target with the fewest streams per slot and a free connection."""
+        with_capacity = [target for target in serving if target.free_connections() > 0]
         return min(
-            able,
+            with_capacity,
             key=lambda target: len(target.streams) / target.record.slots,
             default=None,
         )
 
-    def is_reduced(self, target: TargetState) -> bool:
-        """Tell whether requests that could run elsewhere mostly should."""
-        return not target.healthy and not self._targets.ignore_health
+    def has_reduced_slots(self, target: TargetState) -> bool:
+        """Return whether only a share of its slots may serve unpinned requests."""
+        return not target.healthy and not self._targets.ignores_health
 
 
-def suits(request: PendingRequest, target: TargetState, now_s: float) -> bool:
-    """Tell whether a target may run a request, slots left aside."""
-    return request.intent.idempotent or target.takes_any(now_s)
+def can_run(request: PendingRequest, target: TargetState, now_s: float) -> bool:
+    """Return whether a target may run a request, regardless of free slots."""
+    return request.intent.idempotent or target.accepts_non_idempotent(now_s)
--- a/endivepick/core/dispatch/service_time.py
+++ b/endivepick/core/dispatch/service_time.py
@@ -1,4 +1,4 @@
-"""Estimate of how long requests hold a slot."""
+"""Estimate of the service times of requests."""
 
 from endivepick.core.dispatch.messages import CostClass
 from endivepick.core.dispatch.settings import DispatchSettings
@@ -9,12 +9,12 @@
 
 
 class ServiceTimeEstimate:
-    """Moving average of service times for each cost class.
+    """Exponential moving average of service times for each cost class.
 
     Parameters
     ----------
     settings : DispatchSettings
-        First guess and weight of the newest request.
+        Initial estimates and weight of the newest request.
     """
 
     def __init__(self, settings: DispatchSettings) -> None:
@@ -26,15 +26,16 @@
         self._mean_s: dict[CostClass, float] = {}
 
     def add(self, cost_class: CostClass, duration_s: float) -> None:
-        """Take in the duration of a finished request, in seconds."""
+        """Update the average with a completed request, in seconds."""
         mean_s = self._mean_s.get(cost_class, duration_s)
         self._mean_s[cost_class] = mean_s + self._weight * (duration_s - mean_s)
 
     def add_unfinished(self, cost_class: CostClass, duration_s: float) -> None:
-        """Take in a request that was given up; it would have taken longer.
+        """Update the average with a request that ended without an answer.
 
-        It counts at most as twice the average, so that a target that answers
-        nothing does not spoil the estimate for those that do.
+        Its duration is a lower bound of its service time, so it only raises the
+        average.  It is limited to twice the average, so that a target without any
+        answers does not distort the estimate for the others.
         """
         mean_s = self.mean_s(cost_class)
         if duration_s > mean_s:
@@ -42,9 +43,9 @@
             self.add(cost_class, min(duration_s, 2.0 * mean_s))
 
     def is_slow(self, cost_class: CostClass, duration_s: float) -> bool:
-        """Tell whether a request takes much longer than usual."""
+        """Return whether a duration is far above the average."""
         return duration_s >= _SLOW_FACTOR * self.mean_s(cost_class)
 
     def mean_s(self, cost_class: CostClass) -> float:
-        """Return the expected duration, in seconds."""
+        """Return the expected service time, in seconds."""
         return self._mean_s.get(cost_class, self._initial_s[cost_class])
--- a/endivepick/core/dispatch/settings.py
+++ b/endivepick/core/dispatch/settings.py
@@ -1,4 +1,4 @@
-"""Settings of the dispatcher, validated at the border."""
+"""Settings of the dispatcher, validated on input."""
 
 from pydantic import BaseModel, ConfigDict, Field
 
@@ -6,9 +6,9 @@
 
 
 class DispatchSettings(BaseModel):
-    """How an owner places, queues, refuses and retries requests.
+    """Settings for target selection, queues, admission, retries and ejection.
 
-    Every field has a default that suits targets of two or three slots.
+    The defaults suit targets with two or three slots.
     """
 
     model_config = ConfigDict(frozen=True, extra="forbid")
--- a/endivepick/core/dispatch/slow_start.py
+++ b/endivepick/core/dispatch/slow_start.py
@@ -1,19 +1,19 @@
-"""How a cold target's slots open one by one."""
+"""Slow start: gradual increase of the usable slots of a cold target."""
 
 __all__ = ["ramped_slots"]
 
 
 def ramped_slots(slots: int, age_s: float, slow_start_s: float) -> int:
-    """Return the slots that a target may use at an age.
+    """Return the number of usable slots during slow start.
 
     Parameters
     ----------
     slots : int
-        All its slots.
+        Total number of slots.
     age_s : float
-        Time since it was ready, in seconds.
+        Time since the slow start began, in seconds.
     slow_start_s : float
-        Time until all slots are open, in seconds; 0 for at once.
+        Time until all slots are usable, in seconds; 0 disables slow start.
 
     Examples
     --------
--- a/endivepick/core/dispatch/snapshot.py
+++ b/endivepick/core/dispatch/snapshot.py
@@ -1,4 +1,4 @@
-"""Present state of a dispatcher, for status and metrics."""
+"""Snapshot of the state of a dispatcher, for status and metrics."""
 
 from dataclasses import dataclass
 
@@ -9,30 +9,30 @@
 
 @dataclass(frozen=True)
 class TargetSnapshot:
-    """Present state of one target.
+    """State of one target.
 
     Attributes
     ----------
     name : str
         Name of the target.
     state : str
-        State in its chart.
+        State in the target state chart.
     incarnation : int
-        Its incarnation; 0 if unknown.
+        Incarnation of the target; 0 if unknown.
     healthy : bool
-        Its last probe succeeded.
+        Whether its last probe succeeded.
     slots : int
-        Slots of its record.
+        Number of slots in its record.
     in_flight : int
-        Requests of this owner that hold a slot.
+        Number of requests of this owner that use a slot.
     streams : int
-        Event streams of this owner.
+        Number of event streams of this owner.
     waiting : int
-        Requests that wait for this very target.
+        Number of waiting requests that are pinned to it.
     flows : int
-        Flows that are pinned to it.
+        Number of flows that are pinned to it.
     blocked_until_s : float
-        End of its back-off or ejection, in seconds.
+        End of its backoff or ejection, in seconds.
     """
 
     name: str
@@ -49,24 +49,24 @@
 
 @dataclass(frozen=True)
 class DispatchSnapshot:
-    """Present state of a service at its owner.
+    """State of a service at its owner.
 
     Attributes
     ----------
     service : str
         Name of the service.
     record_version : int
-        Version of the record in force.
+        Version of the current service record.
     waiting : int
-        Requests that wait.
+        Number of waiting requests.
     waiting_unpinned : int
-        Those of them that any target may take.
+        Number of waiting requests that any target may run.
     retry_tokens : float
-        Retries that are allowed at once.
+        Number of retries that are available now.
     short_service_time_s, long_service_time_s : float
-        Usual service times, in seconds.
+        Estimated service times, in seconds.
     targets : tuple of TargetSnapshot
-        Targets in order of their names.
+        Targets sorted by name.
     """
 
     service: str
@@ -80,7 +80,7 @@
 
 
 def snapshot_target(target: TargetState) -> TargetSnapshot:
-    """Return the present state of one target."""
+    """Return the current state of one target."""
     return TargetSnapshot(
         name=target.name,
         state=target.state,
--- a/endivepick/core/dispatch/tests/test_flow_activity.py
+++ b/endivepick/core/dispatch/tests/test_flow_activity.py
@@ -8,12 +8,12 @@
 from endivepick.core.dispatch.tests.support import make_dispatcher, make_record, submit
 from endivepick.records.model import Affinity
 
-REQUESTS = 20
+REQUESTS_PER_FLOW = 20
 INTERVAL_S = 0.05
 
 
-class ShortFlows:
-    """Three flows at a time, each of twenty requests in a second."""
+class ShortFlowLoad:
+    """Three concurrent flows, each with 20 requests in one second."""
 
     def __init__(self, dispatcher):
         self.dispatcher = dispatcher
@@ -22,7 +22,7 @@
         self.numbers = itertools.count()
 
     def run(self, start_s, end_s, kept=()):
-        """Run flows; those on a target of ``kept`` stay open, and silent."""
+        """Run flows; flows on a target in ``kept`` are left open without requests."""
         flows = [self.flows(sent, kept) for sent in (0, 7, 13)]
         for flow in flows:
             next(flow)
@@ -33,14 +33,14 @@
             flow.close()
 
     def flows(self, sent, kept):
-        """Take the time of each request; open a new flow after the last one."""
+        """Send a request at each received time; open a new flow after the last one."""
         now_s = yield
         while True:
             flow = FlowActivity()
             target = self.dispatcher.place_flow(flow, now_s, self.random.random())
             self.opened[target] += 1
             try:
-                for _ in range(sent, REQUESTS):
+                for _ in range(sent, REQUESTS_PER_FLOW):
                     self.request(target, flow, now_s)
                     now_s = yield
             finally:
@@ -55,9 +55,9 @@
 
 
 class TestSilentFlows(unittest.TestCase):
-    def test_target_of_flows_without_callers_gets_new_ones(self):
+    def test_silent_flows_do_not_keep_new_flows_from_their_target(self):
         record = make_record(Affinity.FLOW, targets=2, slots=2)
-        load = ShortFlows(make_dispatcher(record))
+        load = ShortFlowLoad(make_dispatcher(record))
         load.run(0.0, 10.0, kept=["t1"])
         load.opened.clear()
         load.run(11.0, 71.0)
@@ -65,8 +65,8 @@
 
 
 class TestTargetActivity(unittest.TestCase):
-    def test_flow_takes_off_what_it_added(self):
-        target = TargetActivity(memory_s=60.0)
+    def test_leaving_flow_removes_its_contribution(self):
+        target = TargetActivity(time_constant_s=60.0)
         fast, slow = FlowActivity(), FlowActivity()
         target.join(fast, 1.0, now_s=0.0)
         target.join(slow, 1.0, now_s=0.0)
@@ -78,8 +78,8 @@
         self.assertAlmostEqual(target.rate_per_s(30.0), 0.0)
         self.assertAlmostEqual(target.active_flows(30.0), 0.0)
 
-    def test_silent_flow_counts_as_one_again_when_it_sends(self):
-        target, flow = TargetActivity(memory_s=10.0), FlowActivity()
+    def test_silent_flow_counts_fully_after_its_next_request(self):
+        target, flow = TargetActivity(time_constant_s=10.0), FlowActivity()
         target.join(flow, 1.0, now_s=0.0)
         self.assertLess(target.active_flows(100.0), 0.001)
         target.on_request(flow, 100.0)
