--- a/endivepick/core/dispatch/load.py
+++ b/endivepick/core/dispatch/external_load.py
@@ -27,7 +27,7 @@
         """Update the maximum number of own requests since the last reports."""
         self._own_peak = max(self._own_peak, own)
 
-    def on_peer(self, instance: str, count: int, now_s: float) -> None:
+    def set_peer_count(self, instance: str, count: int, now_s: float) -> None:
         """Set the number of requests that a peer has at the target."""
         self._peers[instance] = (count, now_s)
 
--- a/endivepick/core/dispatch/target.py
+++ b/endivepick/core/dispatch/target.py
@@ -1,8 +1,8 @@
 """State of one target as seen by the owner of its service."""
 
 from endivepick.core.chart import load_chart
-from endivepick.core.dispatch.drain_note import DrainStatus
-from endivepick.core.dispatch.failures import FailureTracker
+from endivepick.core.dispatch.drain_status import DrainStatus
+from endivepick.core.dispatch.failure_tracker import FailureTracker
 from endivepick.core.dispatch.messages import (
     FinishKind,
     ProbeFailed,
--- a/endivepick/core/dispatch/fairness.py
+++ b/endivepick/core/dispatch/waiting_allowance.py
@@ -35,7 +35,7 @@
         """Add a service."""
         self._acquired.setdefault(service, 0)
 
-    def leave(self, service: str) -> None:
+    def remove_service(self, service: str) -> None:
         """Remove a service and release its capacity."""
         self._acquired.pop(service, None)
 
