--- a/endivepick/forwarding/__init__.py
+++ b/endivepick/forwarding/__init__.py
@@ -1,4 +1,4 @@
-"""Forwarding of flows whose packets carry a cookie of their target."""
+"""Packet forwarding of flows whose packets carry a cookie of their target."""
 
 from endivepick.forwarding.actions import (
     Drop,
--- a/endivepick/forwarding/actions.py
+++ b/endivepick/forwarding/actions.py
@@ -1,4 +1,4 @@
-"""What the forwarding core asks for, and what it decided, as typed messages."""
+"""Verdicts and effects of the forwarding core, as typed messages."""
 
 from enum import Enum
 
@@ -41,7 +41,7 @@
 
 
 class DropReason(Enum):
-    """Why a packet goes nowhere."""
+    """Why a packet is dropped."""
 
     NOT_READY = "not_ready"
     NO_COOKIE = "no_cookie"
@@ -56,18 +56,18 @@
 
 
 class Reset(Struct, frozen=True):
-    """Tell the caller that the flow is over.
+    """Send the caller a reset for the flow.
 
     Attributes
     ----------
     flow : FlowKey
         The flow.
     sequence : int
-        Sequence number that the caller takes.
+        Sequence number that the caller accepts.
     reason : ResetReason
-        Why.
+        Why the flow is reset.
     target : str
-        Its target, "" if it has none.
+        Target of the flow, "" if it has none.
     """
 
     flow: FlowKey
@@ -77,30 +77,30 @@
 
 
 class Drop(Struct, frozen=True):
-    """Forget the packet."""
+    """Drop the packet."""
 
     reason: DropReason
 
 
 class Hold(Struct, frozen=True):
-    """The packet is kept until more is known."""
+    """Hold the packet until its target or the routes are known."""
 
 
 Verdict = Forward | Reset | Drop | Hold
 
 
 class ProbeTarget(Struct, frozen=True):
-    """Find out whether a target lives.
+    """Probe a target to find out whether it is alive.
 
     Attributes
     ----------
     target : Target
         The target.
     path : str
-        What it is asked for.
+        Path of the health check.
     control : Target or None
-        Another target that made progress of late.  While it accepts connections, it is
-        not this instance's link that keeps answers back.
+        Another target that made progress recently.  While it accepts connections, a
+        missing answer is not caused by this instance's own link.
     """
 
     target: Target
@@ -111,13 +111,13 @@
 class ReadRegistry(Struct, frozen=True):
     """Read the registry now.
 
-    A packet names a target that is not known, or entries have to be given up that
-    might have returned.
+    A packet names an unknown target, or lapsed entries are about to be given up that
+    may have returned.
     """
 
 
 class Release(Struct, frozen=True):
-    """Carry out the verdict about a packet that was held."""
+    """Carry out the verdict on a held packet."""
 
     data: bytes
     verdict: Verdict
@@ -135,15 +135,15 @@
     target : str
         Target concerned, "" if none.
     reason : str
-        Outcome in a word.
+        Short reason for the decision.
     candidates, load : int, float
-        What a placement chose from, and the load of the chosen one.
+        Number of candidates of a placement, and the load of the chosen target.
     copy : int
-        Copies of the opening packet before this one.
+        Number of earlier copies of the opening packet.
     version : int
-        Version of the configuration that decided.
+        Version of the configuration that the decision is based on.
     age_s : float
-        Age of the belief that decided, in seconds.
+        Age of the information that the decision is based on, in seconds.
     """
 
     name: str
@@ -165,11 +165,11 @@
     target, service : str
         The target and its service.
     fault : ConfirmedFault
-        What is confirmed.
+        The confirmed fault.
     reason : str
-        What was seen of its requests, here and in the zone.
+        Request counts that confirmed it, of this instance and of the zone.
     told_before_s : float or None
-        How old the zone's word is, in seconds; None if nothing was told.
+        Age of the zone's report, in seconds; None if there is none.
     """
 
     target: str
@@ -185,7 +185,7 @@
 
 
 class ProbeOutcome(Enum):
-    """How a probe ended."""
+    """Outcome of a probe."""
 
     ALIVE = "alive"
     REFUSED = "refused"
@@ -194,19 +194,19 @@
 
 
 class ProbeResult(Struct, frozen=True):
-    """Outcome of a probe of a target.
+    """Result of a probe of a target.
 
     Attributes
     ----------
     target : str
         Name of the target.
     outcome : ProbeOutcome
-        How it ended.
+        Outcome of the probe.
     probed_born_ms : int
-        Start of the incarnation that was to be probed, in Unix milliseconds; 0 if its
-        entry does not say.
+        Start time of the incarnation to be probed, in Unix milliseconds; 0 if its
+        entry has none.
     shown_born_ms : int
-        Start that the answer shows, in Unix milliseconds; 0 if it does not say.
+        Start time in the answer, in Unix milliseconds; 0 if the answer has none.
     """
 
     target: str
--- a/endivepick/forwarding/changes.py
+++ b/endivepick/forwarding/changes.py
@@ -1,9 +1,10 @@
-"""What differs between two versions of the configuration.
+"""Differences between two versions of the configuration.
 
-Load pattern: an operator changes a few of thousands of routes, at times twice a second,
-and all instances need each version within seconds.  Whole, a version keeps a slow link
-busy, and read from the store by each instance it is a large part of all calls.  Its
-difference to the version before is small, so whoever reads the store can pass it on.
+Load pattern: an operator changes a few of thousands of routes, up to twice a second,
+and all instances need each version within seconds.  A complete version would saturate
+a slow link, and if each instance read it from the store, these reads would be a large
+part of all calls.  The difference to the previous version is small, so the instance
+that reads the store (a feeder) sends only the difference to the others.
 """
 
 from collections import deque
@@ -16,12 +17,12 @@
 
 __all__ = ["ChangeHistory", "ConfigurationChange", "apply_change", "change_between"]
 
-REMEMBERED_CHANGES = 16
-"""Changes that can be told; at two a second these are what an instance misses while
-its feeder is replaced, which takes some seconds."""
-TOLD_ROUTES = 100
-"""Most routes of a change that is told: a feeder sends it to all whom it feeds, on the
-link of its packets."""
+MAX_HISTORY_CHANGES = 16
+"""Changes kept for sending.  At two changes per second they cover the seconds in which
+an instance receives nothing because its feeder is replaced."""
+MAX_CHANGE_ROUTES = 100
+"""Most routes of a change that is sent: a feeder sends it to each instance it feeds, on
+the link that also carries its packets."""
 
 
 _Value = TypeVar("_Value")
@@ -33,21 +34,21 @@
     Attributes
     ----------
     before_revision : int
-        Revision of the store that wrote the version it starts from.
+        Store revision of the version that the change applies to.
     version, revision : int
-        Of the version that it leads to, as in `Configuration`.
+        Version and revision of the result, as in `Configuration`.
     routes : tuple of Route
-        Routes that are new or different.
+        Added or modified routes.
     removed_routes : tuple of str
-        Names of routes that are no longer there.
+        Names of removed routes.
     health_paths : dict of str to str
-        Path of the health check of services that are new or different.
+        Path of the health check of services whose path was added or modified.
     removed_services : tuple of str
-        Services that are no longer there.
+        Removed services.
     idle_timeout_s : float
         As in `Configuration`, in seconds.
     route_count : int
-        Number of routes that result, to check that it fits.
+        Number of routes of the result, to verify that the change fits.
     """
 
     before_revision: int
@@ -62,7 +63,7 @@
 
 
 def change_between(before: Configuration, after: Configuration) -> ConfigurationChange:
-    """Return what leads from one version to another.
+    """Compute the change from one version to another.
 
     Examples
     --------
@@ -74,7 +75,7 @@
     >>> apply_change(before, change) == after
     True
     """
-    known = _by_name(before.routes)
+    known = _index_by_name(before.routes)
     names = {route.name for route in after.routes}
     paths = after.health_paths.items()
     return ConfigurationChange(
@@ -93,14 +94,14 @@
 def apply_change(
     configuration: Configuration, change: ConfigurationChange
 ) -> Configuration | None:
-    """Return the version that a change leads to, None if it does not fit."""
+    """Return the version that a change results in, None if it does not fit."""
     if configuration.revision != change.before_revision:
         return None
-    routes = _without(_by_name(configuration.routes), change.removed_routes)
-    routes |= _by_name(change.routes)
+    routes = _drop_keys(_index_by_name(configuration.routes), change.removed_routes)
+    routes |= _index_by_name(change.routes)
     if len(routes) != change.route_count:
         return None
-    paths = _without(configuration.health_paths, change.removed_services)
+    paths = _drop_keys(configuration.health_paths, change.removed_services)
     return Configuration(
         change.version,
         change.revision,
@@ -111,76 +112,77 @@
 
 
 class ChangeHistory:
-    """The last changes, each from the version before it.
+    """The most recent changes, each relative to the version before it.
 
     Examples
     --------
     >>> history = ChangeHistory()
     >>> first, second = Configuration(1, 5, ()), Configuration(2, 9, ())
-    >>> history.note(first, second)
+    >>> history.record(first, second)
     >>> history.since(5).version, history.since(4)
     (2, None)
     """
 
     def __init__(self) -> None:
-        self._changes: deque[ConfigurationChange] = deque(maxlen=REMEMBERED_CHANGES)
+        self._changes: deque[ConfigurationChange] = deque(maxlen=MAX_HISTORY_CHANGES)
 
-    def note(self, before: Configuration, after: Configuration) -> None:
-        """Remember what leads from one version to the next."""
+    def record(self, before: Configuration, after: Configuration) -> None:
+        """Record the change from one version to the next."""
         self._changes.append(change_between(before, after))
 
     def since(self, revision: int) -> ConfigurationChange | None:
-        """Return what leads from a version to the newest.
+        """Return the merged change from a version to the newest.
 
         Parameters
         ----------
         revision : int
-            Revision of the store that wrote the version to start from.
+            Store revision of the version to start from.
 
         Returns
         -------
         ConfigurationChange or None
-            None if it is not known, or too much to be told.
+            None if that version is not in the history, or the change is too large to
+            be sent.
         """
-        whole: ConfigurationChange | None = None
+        merged: ConfigurationChange | None = None
         for change in self._changes:
-            if whole is not None:
-                whole = _joined(whole, change)
+            if merged is not None:
+                merged = _merge_changes(merged, change)
             elif change.before_revision == revision:
-                whole = change
-        if whole is None or len(whole.routes) > TOLD_ROUTES:
+                merged = change
+        if merged is None or len(merged.routes) > MAX_CHANGE_ROUTES:
             return None
-        return whole
+        return merged
 
 
-def _joined(
+def _merge_changes(
     first: ConfigurationChange, second: ConfigurationChange
 ) -> ConfigurationChange:
-    routes = _without(_by_name(first.routes), second.removed_routes)
-    routes |= _by_name(second.routes)
+    routes = _drop_keys(_index_by_name(first.routes), second.removed_routes)
+    routes |= _index_by_name(second.routes)
     removed = dict.fromkeys(first.removed_routes + second.removed_routes)
-    paths = _without(first.health_paths, second.removed_services)
+    paths = _drop_keys(first.health_paths, second.removed_services)
     paths |= second.health_paths
-    gone = dict.fromkeys(first.removed_services + second.removed_services)
+    dropped_services = dict.fromkeys(first.removed_services + second.removed_services)
     return ConfigurationChange(
         first.before_revision,
         second.version,
         second.revision,
         tuple(routes.values()),
-        tuple(_without(removed, routes)),
+        tuple(_drop_keys(removed, routes)),
         paths,
-        tuple(_without(gone, paths)),
+        tuple(_drop_keys(dropped_services, paths)),
         second.idle_timeout_s,
         second.route_count,
     )
 
 
-def _by_name(routes: Iterable[Route]) -> dict[str, Route]:
+def _index_by_name(routes: Iterable[Route]) -> dict[str, Route]:
     return {route.name: route for route in routes}
 
 
-def _without(entries: dict[str, _Value], names: Iterable[str]) -> dict[str, _Value]:
-    left = dict(entries)
+def _drop_keys(entries: dict[str, _Value], names: Iterable[str]) -> dict[str, _Value]:
+    kept = dict(entries)
     for name in names:
-        left.pop(name, None)
-    return left
+        kept.pop(name, None)
+    return kept
--- a/endivepick/forwarding/checks.py
+++ b/endivepick/forwarding/checks.py
@@ -1,8 +1,9 @@
-"""Whether an entry of the registry can be used, whoever wrote or told it.
+"""Validation of registry entries, from whatever source.
 
-The registry may hold entries of other writers, and an instance of another build may
-pass on what this one would not take.  Each value is checked for what it is used for: an
-entry that was taken unchecked could not be put before a packet, or drew all flows.
+Other writers may have written entries of the registry, and an instance of another
+build may pass on entries that this build refuses.  Each value is checked against its
+use: without the check, a target's number might not fit into the packet header, or a
+target with an excessive number of slots would attract all flows.
 """
 
 from endivepick.addresses import host_number
@@ -10,17 +11,17 @@
 
 __all__ = ["check_target", "number_of_name"]
 
-LONGEST_NAME = 128
+MAX_NAME_LENGTH = 128
 """Characters; names are written into paths and log lines."""
-MOST_SLOTS = 65_536
-"""A server with more would draw nearly all flows of its service."""
-LONGEST_COLD_S = 3600.0
-LATEST_BORN_MS = 1 << 53
-"""Largest whole number that every JSON library reads exactly."""
+MAX_SLOTS = 65_536
+"""A target with more slots would get nearly all flows of its service."""
+MAX_COLD_S = 3600.0
+MAX_BORN_MS = 1 << 53
+"""Largest integer that every JSON library reads exactly."""
 _NUMBER_DIGITS = 16
 _PORTS = range(1, 65536)
 _HOSTS = range(1 << 24, 224 << 24)
-"""Addresses of single machines: above "this network", below multicast."""
+"""Unicast addresses: above the "this network" block, below multicast."""
 _NAME_CHARACTERS = frozenset(
     "abcdefghijklmnopqrstuvwxyzABCDEFGHIJKLMNOPQRSTUVWXYZ0123456789-_."
 )
@@ -28,12 +29,14 @@
 
 
 def number_of_name(name: str) -> int:
-    """Return the 64-bit number that packets name a target by: its name's hex digits.
+    """Return the 64-bit number that identifies a target in packets.
+
+    It is given by the hexadecimal digits of the target's name.
 
     Raises
     ------
     ValueError
-        If the name has no such number; 0 would mean any target.
+        If the name has no such number.  0 is refused, since it means any target.
 
     Examples
     --------
@@ -42,9 +45,9 @@
     """
     prefix, _, digits = name.partition("-")
     if not prefix or not digits or not _HEX_DIGITS.issuperset(digits):
-        raise ValueError("name it like i-7f3a91c2, with hexadecimal digits")
+        raise ValueError("name must look like i-7f3a91c2, with hexadecimal digits")
     if len(digits) > _NUMBER_DIGITS or not int(digits, 16):
-        raise ValueError("use a number from 1 to 2**64 - 1 in the name")
+        raise ValueError("number in the name must be from 1 to 2**64 - 1")
     return int(digits, 16)
 
 
@@ -54,31 +57,35 @@
     Parameters
     ----------
     target : Target
-        The entry; its types are right.
+        The entry; its types are already validated.
 
     Raises
     ------
     ValueError
-        If a value is out of its range; the message says which one is allowed.
+        If a value is out of range; the message names the allowed range.
 
     Examples
     --------
     >>> check_target(Target("i-1", 1, "notes", "10.0.0.1", 80, "hall", 0))
     Traceback (most recent call last):
     ...
-    ValueError: use 1 to 65536 slots
+    ValueError: slots must be from 1 to 65536
     """
-    if len(target.name) > LONGEST_NAME or not _NAME_CHARACTERS.issuperset(target.name):
-        raise ValueError(f"use a name of {LONGEST_NAME} letters, digits, '-', '_', '.'")
+    if len(target.name) > MAX_NAME_LENGTH or not _NAME_CHARACTERS.issuperset(
+        target.name
+    ):
+        raise ValueError(
+            f"name must be at most {MAX_NAME_LENGTH} letters, digits, '-', '_' or '.'"
+        )
     if target.number != number_of_name(target.name):
-        raise ValueError("use the number that the name ends with")
+        raise ValueError("number must be the one that the name ends with")
     if not target.service or not target.zone:
-        raise ValueError("name a service and a zone")
+        raise ValueError("service and zone must not be empty")
     if host_number(target.host) not in _HOSTS or target.port not in _PORTS:
-        raise ValueError("use the address of one machine and a port from 1 to 65535")
-    if not 1 <= target.slots <= MOST_SLOTS:
-        raise ValueError(f"use 1 to {MOST_SLOTS} slots")
-    if not 0.0 <= target.cold_s <= LONGEST_COLD_S:
-        raise ValueError(f"use a cold start of 0 to {LONGEST_COLD_S:.0f} s")
-    if not 0 <= target.born_ms <= LATEST_BORN_MS:
-        raise ValueError("use a time of start in Unix milliseconds")
+        raise ValueError("host must be a unicast address and port from 1 to 65535")
+    if not 1 <= target.slots <= MAX_SLOTS:
+        raise ValueError(f"slots must be from 1 to {MAX_SLOTS}")
+    if not 0.0 <= target.cold_s <= MAX_COLD_S:
+        raise ValueError(f"cold_s must be from 0 to {MAX_COLD_S:.0f} s")
+    if not 0 <= target.born_ms <= MAX_BORN_MS:
+        raise ValueError("born_ms must be a time in Unix milliseconds")
--- a/endivepick/forwarding/cookies.py
+++ b/endivepick/forwarding/cookies.py
@@ -1,31 +1,31 @@
-"""Cookies that lead from a packet to its flow's target."""
+"""Cookies that map a packet to the target of its flow."""
 
 from zlib import crc32
 
-__all__ = ["CookieDirectory", "cookie_of"]
+__all__ = ["CookieDirectory", "compute_cookie"]
 
 
-def cookie_of(name: str) -> int:
-    """Return the cookie of a target: 32 bits, never 0.
+def compute_cookie(name: str) -> int:
+    """Compute the cookie of a target: 32 bits, never 0.
 
-    Every instance computes the same one, so that any of them finds the target of
-    any flow without shared state.
+    All instances compute the same cookie, so that any of them finds the target of any
+    flow without shared state.
 
     Examples
     --------
-    >>> cookie_of("i-7f3a91c2") == cookie_of("i-7f3a91c2") != 0
+    >>> compute_cookie("i-7f3a91c2") == compute_cookie("i-7f3a91c2") != 0
     True
     """
     return crc32(name.encode()) or 1
 
 
 class CookieDirectory:
-    """Which target a cookie means.
+    """Maps cookies to targets.
 
-    Two names may hash to the same cookie; at 44,000 targets one such pair is to be
-    expected in every fifth fleet.  The cookie then belongs to the target that the
-    store created first, which all instances order alike, and the other gets no new
-    flows until the first is gone.
+    Two names may hash to the same cookie; with 44,000 targets, one fleet in five is
+    expected to have such a pair.  The cookie then belongs to the target that the store
+    created first, which is the same at all instances, and the other target gets no new
+    flows until the first is removed.
 
     Examples
     --------
@@ -39,16 +39,16 @@
         self._claims: dict[int, list[tuple[int, str]]] = {}
 
     def add(self, name: str, created: int) -> int:
-        """Let a target claim its cookie, and return it.
+        """Register a target and return its cookie.
 
         Parameters
         ----------
         name : str
             The target.
         created : int
-            Revision of the store that created its entry.
+            Store revision at which its entry was created.
         """
-        cookie = cookie_of(name)
+        cookie = compute_cookie(name)
         claims = self._claims.setdefault(cookie, [])
         if all(name != other for _, other in claims):
             claims.append((created, name))
@@ -56,8 +56,8 @@
         return cookie
 
     def remove(self, name: str) -> None:
-        """Forget a target."""
-        cookie = cookie_of(name)
+        """Remove a target."""
+        cookie = compute_cookie(name)
         claims = [claim for claim in self._claims.get(cookie, []) if claim[1] != name]
         if claims:
             self._claims[cookie] = claims
@@ -65,10 +65,10 @@
             self._claims.pop(cookie, None)
 
     def resolve(self, cookie: int) -> str | None:
-        """Return the target that owns a cookie, None if it is not known."""
+        """Return the target that owns a cookie, None if it is unknown."""
         claims = self._claims.get(cookie)
         return claims[0][1] if claims else None
 
     def owns(self, name: str) -> bool:
-        """Whether packets with a target's cookie reach just this target."""
-        return self.resolve(cookie_of(name)) == name
+        """Whether packets with a target's cookie are forwarded to that target."""
+        return self.resolve(compute_cookie(name)) == name
--- a/endivepick/forwarding/flows.py
+++ b/endivepick/forwarding/flows.py
@@ -1,8 +1,8 @@
-"""Flows that this instance sees, and whether their targets make progress.
+"""Flows that this instance observes, and whether their targets make progress.
 
-Only callers' packets pass through an instance.  What a target did shows in them: a
-caller acknowledges more than before, or it repeats data that the target should have
-acknowledged.  All of this is soft state; packets are forwarded without it.
+Only packets from callers pass through an instance.  They show what a target did: the
+caller either acknowledges more than before, or retransmits data that the target should
+have acknowledged.  All of this is soft state; packets are forwarded without it.
 """
 
 from collections import OrderedDict, deque
@@ -15,15 +15,15 @@
 from endivepick.forwarding.model import FlowKey, Packet, RouteKind
 from endivepick.forwarding.settings import ForwardingSettings
 
-__all__ = ["SEQUENCE_NUMBERS", "FlowSign", "FlowTable", "ObservedFlow"]
+__all__ = ["SEQUENCE_NUMBERS", "FlowEvidence", "FlowTable", "ObservedFlow"]
 
 SEQUENCE_NUMBERS = 2**32
-"""Numbers of bytes begin anew after this many."""
-_HALF = 2**31
+"""Byte sequence numbers wrap around at this value."""
+_HALF_RANGE = 2**31
 
 
-class FlowSign(Enum):
-    """What a packet says of its flow's target."""
+class FlowEvidence(Enum):
+    """What a packet shows about its flow's target."""
 
     NOTHING = "nothing"
     PROGRESS = "progress"
@@ -31,35 +31,35 @@
 
 
 class ObservedFlow(Struct):
-    """What the packets of one flow have shown.
+    """State of one flow, as observed in its packets.
 
     Attributes
     ----------
     key : FlowKey
         The flow.
     belief : TargetBelief
-        Its target.
+        State of its target.
     kind : RouteKind
         Whether its requests may be repeated.
     acknowledged : int
-        Newest acknowledgement of the caller.
+        Latest acknowledgement number of the caller.
     sent_end : int
-        Number after the last byte that the caller sent.
+        Sequence number after the last byte that the caller sent.
     seen_s : float
-        When the last packet came, in seconds.
+        When the last packet arrived, in seconds.
     opened_s : float or None
-        When the caller was first seen to have answered a target, in seconds; since then
-        the flow is open at just that one.
+        When a packet first showed that the caller had answered a target, in seconds;
+        from then on the flow is open at exactly that target.
     busy_since_s : float or None
-        When the data that the target has not answered yet came first, in seconds.
+        When the data that the target has not answered yet first arrived, in seconds.
     overdue : bool
-        The request in progress is unanswered for longer than is usual.
+        The request in progress is unanswered for longer than usual.
     answered : bool
-        A request was answered.
+        At least one request was answered.
     served : bool
-        One was answered at usual length.
+        At least one request got an answer of the usual length.
     noted_doubt : str
-        Doubt about the target that was noted of this flow last.
+        Latest doubt about the target that was logged for this flow.
     """
 
     key: FlowKey
@@ -81,24 +81,24 @@
         return self.opened_s is not None
 
 
-def _ahead(number: int, other: int) -> bool:
+def _is_newer(number: int, other: int) -> bool:
     """Whether a 32-bit sequence number is newer than another.
 
     Examples
     --------
-    >>> _ahead(1, 2**32 - 1), _ahead(5, 5)
+    >>> _is_newer(1, 2**32 - 1), _is_newer(5, 5)
     (True, False)
     """
-    return 0 < (number - other) % SEQUENCE_NUMBERS < _HALF
+    return 0 < (number - other) % SEQUENCE_NUMBERS < _HALF_RANGE
 
 
 class FlowTable:
-    """Observed flows, the least recently seen first.
+    """Observed flows, least recently seen first.
 
     Parameters
     ----------
     settings : ForwardingSettings
-        Bounds.
+        Limits.
     """
 
     def __init__(self, settings: ForwardingSettings) -> None:
@@ -114,49 +114,49 @@
         return self._flows.get(key)
 
     def of_target(self, belief: TargetBelief) -> Iterator[ObservedFlow]:
-        """Yield the observed flows of a target; looks at none if it has none."""
+        """Iterate over the flows of a target; O(1) if it has none."""
         if not belief.flows:
             return iter(())
         return iter([f for f in self._flows.values() if f.belief is belief])
 
     def progressed_beside(self, belief: TargetBelief) -> TargetBelief | None:
-        """Return another target than this one that made progress last."""
+        """Return the target other than this one that made progress last."""
         others = (other for other in reversed(self._progressed) if other is not belief)
         return next(others, None)
 
     def observe(
         self, packet: Packet, belief: TargetBelief, kind: RouteKind, now_s: float
-    ) -> FlowSign:
-        """Take in a packet on its way to a target.
+    ) -> FlowEvidence:
+        """Update the table with a packet on its way to a target.
 
         Parameters
         ----------
         packet : Packet
-            The packet; an opening one says nothing of the target yet.
+            The packet; an opening packet does not show anything about the target yet.
         belief : TargetBelief
-            Where it goes.
+            State of the target that the packet is forwarded to.
         kind : RouteKind
             Whether the flow's requests may be repeated.
         now_s : float
-            Present time, in seconds.
+            Current time, in seconds.
         """
         flow = self._flows.get(packet.flow)
         if packet.closing:
             self.end(packet.flow)
-            return FlowSign.NOTHING
+            return FlowEvidence.NOTHING
         if flow is None:
             self._start(packet, belief, kind, now_s)
-            return FlowSign.NOTHING
+            return FlowEvidence.NOTHING
         self._flows.move_to_end(packet.flow)
         flow.seen_s = now_s
         if flow.belief is not belief:
             self._move(flow, belief)
         if packet.opening:
-            return FlowSign.NOTHING
-        return self._compare(flow, packet, now_s)
+            return FlowEvidence.NOTHING
+        return self._evaluate(flow, packet, now_s)
 
     def end(self, key: FlowKey) -> None:
-        """Forget a flow."""
+        """Remove a flow."""
         flow = self._flows.pop(key, None)
         if flow is None:
             return
@@ -164,13 +164,13 @@
         flow.belief.flows -= 1
 
     def forget_requests(self) -> None:
-        """Take no request for one in progress any more; flows stay."""
+        """Clear the requests in progress of all flows, but keep the flows."""
         for flow in self._flows.values():
             flow.overdue = False
             self._set_idle(flow)
 
     def expire(self, idle_s: float, now_s: float) -> None:
-        """Forget flows without packets for that long, in seconds."""
+        """Remove flows without packets for that long, in seconds."""
         limit_s = now_s - idle_s
         while self._flows:
             oldest = next(iter(self._flows.values()))
@@ -203,26 +203,28 @@
         if busy_since_s is not None:
             self._set_busy(flow, busy_since_s)
 
-    def _compare(self, flow: ObservedFlow, packet: Packet, now_s: float) -> FlowSign:
+    def _evaluate(
+        self, flow: ObservedFlow, packet: Packet, now_s: float
+    ) -> FlowEvidence:
         if flow.opened_s is None:
             flow.opened_s = now_s
-        sign = FlowSign.NOTHING
-        if flow.acknowledged == 0 or _ahead(packet.acknowledged, flow.acknowledged):
+        flow_evidence = FlowEvidence.NOTHING
+        if flow.acknowledged == 0 or _is_newer(packet.acknowledged, flow.acknowledged):
             flow.acknowledged = packet.acknowledged
             self._set_idle(flow)
-            self._note_progress(flow.belief, now_s)
-            sign = FlowSign.PROGRESS
+            self._record_progress(flow.belief, now_s)
+            flow_evidence = FlowEvidence.PROGRESS
         if not packet.data_bytes:
-            return sign
+            return flow_evidence
         end = (packet.sequence + packet.data_bytes) % SEQUENCE_NUMBERS
-        if _ahead(end, flow.sent_end):
+        if _is_newer(end, flow.sent_end):
             flow.sent_end = end
             self._set_busy(flow, now_s)
-        elif sign is FlowSign.NOTHING:
-            sign = FlowSign.REPETITION
-        return sign
+        elif flow_evidence is FlowEvidence.NOTHING:
+            flow_evidence = FlowEvidence.REPETITION
+        return flow_evidence
 
-    def _note_progress(self, belief: TargetBelief, now_s: float) -> None:
+    def _record_progress(self, belief: TargetBelief, now_s: float) -> None:
         belief.progress_s = now_s
         if not self._progressed or self._progressed[-1] is not belief:
             self._progressed.append(belief)
--- a/endivepick/forwarding/forwarder.py
+++ b/endivepick/forwarding/forwarder.py
@@ -1,7 +1,7 @@
-"""The decision core of the forwarding path.
+"""Decision core of the forwarding path.
 
-It is driven by packets, entries of the registry, configurations, outcomes of probes
-and the time, and answers with verdicts and effects.  It has no sockets and no clock.
+Its inputs are packets, registry entries, configurations, probe results and the time;
+its outputs are verdicts and effects.  It uses no sockets and no clock.
 """
 
 from collections.abc import Callable, Iterable
@@ -31,8 +31,8 @@
 from endivepick.forwarding.evidence import EvidenceJudge
 from endivepick.forwarding.fitness import FitnessJudge
 from endivepick.forwarding.fitness_reports import MOST_TOLD, FitnessReport
-from endivepick.forwarding.flows import SEQUENCE_NUMBERS, FlowSign, FlowTable
-from endivepick.forwarding.held import HeldPacket, HeldPackets, held_note
+from endivepick.forwarding.flows import SEQUENCE_NUMBERS, FlowEvidence, FlowTable
+from endivepick.forwarding.held import HeldPacket, HeldPackets, describe_held_packet
 from endivepick.forwarding.model import (
     Configuration,
     FlowKey,
@@ -41,19 +41,19 @@
     RouteKind,
     Target,
 )
-from endivepick.forwarding.openings import Opening, OpeningMemory
+from endivepick.forwarding.openings import Opening, RecentOpenings
 from endivepick.forwarding.placement import choose_target
 from endivepick.forwarding.registry import TargetRegistry
 from endivepick.forwarding.registry_news import RegistryNews
-from endivepick.forwarding.routes import RouteTable, service_of
-from endivepick.forwarding.settings import ForwardingSettings, without_disabled
+from endivepick.forwarding.routes import RouteTable, select_service
+from endivepick.forwarding.settings import ForwardingSettings, apply_mechanisms
 from endivepick.forwarding.unknown import UnknownCookies
 
 __all__ = ["ForwardingCore"]
 
 
 class ForwardingCore:
-    """Decides where each packet goes.
+    """Decides where each packet is forwarded.
 
     Parameters
     ----------
@@ -66,20 +66,20 @@
     def __init__(
         self, settings: ForwardingSettings, random_share: Callable[[], float]
     ) -> None:
-        settings = without_disabled(settings)
+        settings = apply_mechanisms(settings)
         self.settings = settings
         self.routes = RouteTable()
         self.registry = TargetRegistry(settings)
         self.flows = FlowTable(settings)
         self.effects: list[Effect] = []
-        """What has to be carried out; the caller takes it out."""
+        """Effects to carry out; the caller clears the list."""
         self._random_share = random_share
-        self._openings = OpeningMemory(settings)
+        self._openings = RecentOpenings(settings)
         self._judge = EvidenceJudge(settings, self.registry, self.flows, self.routes)
         self.fitness = FitnessJudge(settings, self.registry, self.flows)
         self._unknown = UnknownCookies(settings.lapse_grace_s)
         self._held = HeldPackets(settings)
-        self._asked_s = float("-inf")
+        self._registry_requested_s = float("-inf")
         self._wall_ahead_s = float("-inf")
 
     @property
@@ -88,21 +88,21 @@
         return self.routes.configuration is not None and self.registry.known
 
     def on_packet(self, packet: Packet, data: bytes, now_s: float) -> Verdict:
-        """Decide about a packet.
+        """Decide what to do with a packet.
 
         Parameters
         ----------
         packet : Packet
-            Its head.
+            Its header.
         data : bytes
-            The whole datagram, to be kept while too little is known to decide.
+            The whole datagram, for a packet that has to be held until more is known.
         now_s : float
-            Present time, in seconds.
+            Current time, in seconds.
         """
         if not self.ready:
             return self._hold(packet, data, DropReason.NOT_READY, now_s)
-        if self._cookie_unknown(packet):
-            if self._is_gone(packet.cookie, now_s) and not packet.closing:
+        if self._has_unknown_cookie(packet):
+            if self._is_target_gone(packet.cookie, now_s) and not packet.closing:
                 return self._reset(packet, ResetReason.TARGET_GONE, "", now_s)
             return self._hold(packet, data, DropReason.UNKNOWN_COOKIE, now_s)
         return self._decide(packet, now_s)
@@ -113,24 +113,24 @@
             return self._on_opening(packet, route, now_s)
         if not packet.cookie:
             return Drop(DropReason.NO_COOKIE)
-        belief = self.registry.of_cookie(packet.cookie)
+        belief = self.registry.find_by_cookie(packet.cookie)
         if belief is None:
             return Drop(DropReason.UNKNOWN_COOKIE)
         return self._on_flow_packet(packet, route, belief, now_s)
 
-    def _cookie_unknown(self, packet: Packet) -> bool:
+    def _has_unknown_cookie(self, packet: Packet) -> bool:
         if packet.opening or not packet.cookie:
             return False
-        return self.registry.of_cookie(packet.cookie) is None
+        return self.registry.find_by_cookie(packet.cookie) is None
 
-    def _is_gone(self, cookie: int, now_s: float) -> bool:
-        """Whether no target is left behind a cookie that is not known."""
-        if self.registry.may_return(cookie):
+    def _is_target_gone(self, cookie: int, now_s: float) -> bool:
+        """Whether an unknown cookie belongs to a target that is gone."""
+        if self.registry.is_unreadable_cookie(cookie):
             return False
         return self._unknown.is_gone(cookie, now_s)
 
     def on_configuration(self, configuration: Configuration, now_s: float) -> bool:
-        """Take in a configuration; returns whether it is newly in force."""
+        """Apply a configuration; returns whether it was newly put in force."""
         in_force = self.routes.take_in(configuration, now_s)
         self._retry_held(now_s)
         return in_force
@@ -143,104 +143,104 @@
         asked_s: float | None = None,
         unreadable: Iterable[str] = (),
     ) -> None:
-        """Take in a whole list of the registry at a revision of the store.
+        """Apply a complete registry list at a revision of the store.
 
-        ``asked_s`` says when the store was asked for it, None if it is a peer's;
-        ``unreadable`` names entries that cannot be read.
+        ``asked_s`` is when the list was requested from the store, None if it came from
+        a peer; ``unreadable`` has the names of unreadable entries.
         """
         if asked_s is not None:
-            self._unknown.listed(asked_s)
+            self._unknown.on_list_read(asked_s)
         changes = self.registry.take_list(targets, revision, now_s, unreadable)
-        self._after_changes(changes, now_s)
+        self._handle_belief_changes(changes, now_s)
 
     def on_registry_seen(self, revision: int) -> None:
-        """Take in that the registry has told all that changed up to a revision."""
+        """Advance the registry revision up to which all changes were applied."""
         self.registry.seen(revision)
 
     def on_registry_news(self, news: RegistryNews, now_s: float) -> None:
-        """Take in what another instance knows beyond this one's revision."""
-        self._after_changes(self.registry.take_news(news, now_s), now_s)
+        """Apply changes that another instance sent, if they are newer."""
+        self._handle_belief_changes(self.registry.take_news(news, now_s), now_s)
 
     def on_target(self, target: Target, now_s: float) -> None:
-        """Take in one entry of the registry."""
-        self._after_changes(self.registry.take_entry(target, now_s), now_s)
+        """Apply one entry of the registry."""
+        self._handle_belief_changes(self.registry.take_entry(target, now_s), now_s)
 
     def on_target_unreadable(self, name: str, revision: int, now_s: float) -> None:
-        """Take in that an entry cannot be read, as written at a revision."""
-        changes = self.registry.take_unreadable(name, revision, now_s)
-        self._after_changes(changes, now_s)
+        """Mark an entry as unreadable since a revision of the store."""
+        changes = self.registry.mark_unreadable(name, revision, now_s)
+        self._handle_belief_changes(changes, now_s)
 
     def on_target_removed(self, name: str, revision: int, now_s: float) -> None:
-        """Take in that an entry vanished at a revision of the store."""
+        """Apply the removal of an entry at a revision of the store."""
         changes = self.registry.take_removal(name, revision, now_s)
-        self._after_changes(changes, now_s)
+        self._handle_belief_changes(changes, now_s)
 
     def on_probe(self, result: ProbeResult, now_s: float) -> None:
-        """Take in the outcome of a probe, if it is of the incarnation known here."""
+        """Apply a probe result, if it is of the known incarnation."""
         belief = self.registry.get(result.target)
         if belief is None:
             return
         known_ms = belief.target.born_ms
         if result.probed_born_ms and known_ms not in (0, result.probed_born_ms):
             return
-        changes = self.registry.take_start(belief, result.shown_born_ms, now_s)
-        self._after_changes(changes, now_s)
+        changes = self.registry.apply_start_time(belief, result.shown_born_ms, now_s)
+        self._handle_belief_changes(changes, now_s)
         belief = self.registry.get(result.target) or belief
         self.effects += self._judge.on_probe(belief, result.outcome, now_s)
 
     def on_wall_clock(self, ahead_s: float) -> None:
-        """Take in how far the time of day is ahead of this process's time.
+        """Record how far the wall clock is ahead of this process's steady clock.
 
-        A clock that jumps forth makes starts of targets look older, which resets fewer
-        flows; so the farthest that it was ahead counts.
+        A wall clock that jumps forward makes start times of targets appear older, and
+        then fewer flows are reset; therefore the largest offset is kept.
         """
         self._wall_ahead_s = max(self._wall_ahead_s, ahead_s)
 
     def on_hint(self, target: str, now_s: float) -> None:
-        """Take in a peer's word that a target does not answer."""
+        """Handle a peer's hint that a target does not answer."""
         belief = self.registry.get(target)
         if belief is not None:
             self.effects += self._judge.hinted(belief, now_s)
 
     def seen(self, now_s: float) -> FitnessReport:
-        """Return what was seen of targets here, for the instances of the zone."""
+        """Return this instance's observations of targets, for the zone's report."""
         report = self.fitness.report(now_s)
         return replace(report, silent=self._judge.fell_silent(now_s)[:MOST_TOLD])
 
     def doubts(self, now_s: float) -> bool:
-        """Whether something speaks against a target, or one has just fallen silent."""
+        """Whether there is evidence against a target, or one just became silent."""
         return self.fitness.doubts or bool(self._judge.fell_silent(now_s))
 
     def on_seen(self, report: FitnessReport, now_s: float) -> None:
-        """Take in what the instances of the zone have seen of targets together."""
+        """Apply the merged observations of the instances of the zone."""
         self.fitness.take_told(report, now_s)
         self.effects += self._judge.told_silent(report.silent, now_s)
 
     def on_unread(self, now_s: float) -> None:
-        """Take in that the registry could not be read until now.
+        """Handle a time up to now in which the registry could not be read.
 
-        This instance stood still, or the store does not answer it.
+        Either this process was paused, or the store does not answer it.
         """
         self.registry.restart_grace(now_s)
-        self._unknown.unread()
+        self._unknown.on_store_unavailable()
 
     def tick(self, now_s: float, heard_s: float = float("inf")) -> None:
-        """Let time pass: forget, give up, probe again.
+        """Run the time-driven work: expiry, grace periods and probe retries.
 
         Parameters
         ----------
         now_s : float
-            Present time, in seconds.
+            Current time, in seconds.
         heard_s : float
-            When the store last told of the registry, in seconds.
+            When the store last answered about the registry, in seconds.
         """
-        self._look_after_openings(now_s)
-        self.flows.expire(self._idle_s, now_s)
+        self._check_unanswered_openings(now_s)
+        self.flows.expire(self._idle_timeout_s, now_s)
         self._openings.expire(now_s)
         self.effects += self._held.expire(now_s)
-        self._after_changes(self.registry.expire(now_s, heard_s), now_s)
-        if self.registry.unconfirmed(now_s, heard_s):
-            self._ask_registry(now_s)
+        self._handle_belief_changes(self.registry.expire(now_s, heard_s), now_s)
+        if self.registry.awaits_confirmation(now_s, heard_s):
+            self._request_registry_read(now_s)
         self.effects += self._judge.retry_probes(now_s)
         self.effects += self.fitness.tick(now_s)
 
@@ -248,11 +248,11 @@
         if route is None:
             return self._reset(packet, ResetReason.NO_ROUTE, "", now_s)
         opening = self._openings.get(packet.flow)
-        elsewhere = self.settings.mechanisms.copies_elsewhere
-        tried = opening.targets if opening is not None and elsewhere else ()
+        retry_elsewhere = self.settings.mechanisms.copies_elsewhere
+        tried = opening.targets if opening is not None and retry_elsewhere else ()
         if opening is not None:
-            self._suspect_first(opening, packet.flow, now_s)
-        candidates = self.registry.candidates(service_of(route, packet.flow))
+            self._suspect_previous_target(opening, packet.flow, now_s)
+        candidates = self.registry.candidates(select_service(route, packet.flow))
         repeatable = route.kind is RouteKind.IDEMPOTENT
         placement = choose_target(
             self.settings, candidates, tried, self._random_share, now_s, repeatable
@@ -260,7 +260,7 @@
         if placement is None:
             return self._reset(packet, ResetReason.NO_TARGET, "", now_s)
         belief = placement.belief
-        self._openings.note(packet.flow, belief.name, now_s)
+        self._openings.record(packet.flow, belief.name, now_s)
         self.flows.observe(packet, belief, route.kind, now_s)
         self.effects.append(
             Note(
@@ -277,14 +277,16 @@
         )
         return Forward(belief)
 
-    def _suspect_first(self, opening: Opening, flow: FlowKey, now_s: float) -> None:
+    def _suspect_previous_target(
+        self, opening: Opening, flow: FlowKey, now_s: float
+    ) -> None:
         belief = self.registry.get(opening.targets[-1])
         if belief is not None:
             self.effects += self._judge.suspect(belief, flow, opening.last_s, now_s)
 
-    def _look_after_openings(self, now_s: float) -> None:
-        """Doubt targets whose openings are followed by nothing."""
-        for key, opening in self._openings.without_copy(now_s):
+    def _check_unanswered_openings(self, now_s: float) -> None:
+        """Report openings that no packet followed to the evidence judge."""
+        for key, opening in self._openings.pop_unanswered(now_s):
             flow = self.flows.get(key)
             if flow is not None and not flow.opened:
                 self.effects += self._judge.unanswered(
@@ -297,7 +299,7 @@
         if route is None and self.routes.was_removed(packet.flow):
             self.flows.end(packet.flow)
             return self._reset(packet, ResetReason.ROUTE_REMOVED, belief.name, now_s)
-        # Whoever opened a flow without a route here knew a newer configuration.
+        # A flow without a route here was opened under a newer configuration.
         kind = RouteKind.AT_MOST_ONCE if route is None else route.kind
         known = self.flows.get(packet.flow)
         busy_since_s = None if known is None else known.busy_since_s
@@ -306,13 +308,13 @@
         if reason is not None:
             self.flows.end(packet.flow)
             return self._reset(packet, reason, belief.name, now_s)
-        sign = self.flows.observe(packet, belief, kind, now_s)
-        self._note_request(packet, busy_since_s, acknowledged, now_s)
-        self._note_doubt(packet.flow, belief, now_s)
-        match sign:
-            case FlowSign.PROGRESS:
+        flow_evidence = self.flows.observe(packet, belief, kind, now_s)
+        self._record_request(packet, busy_since_s, acknowledged, now_s)
+        self._log_doubt(packet.flow, belief, now_s)
+        match flow_evidence:
+            case FlowEvidence.PROGRESS:
                 self.effects += self._judge.progress(belief, now_s)
-            case FlowSign.REPETITION if busy_since_s is not None:
+            case FlowEvidence.REPETITION if busy_since_s is not None:
                 self.effects += self._judge.suspect(
                     belief, packet.flow, busy_since_s, now_s
                 )
@@ -320,25 +322,25 @@
                 pass
         return Forward(belief)
 
-    def _note_request(
+    def _record_request(
         self,
         packet: Packet,
         busy_since_s: float | None,
         acknowledged: int,
         now_s: float,
     ) -> None:
-        """Note that a packet shows the beginning of a request, or of its answer.
+        """Record that a packet shows the start of a request, or of its answer.
 
         Parameters
         ----------
         packet : Packet
-            The packet, observed already.
+            The packet, already observed.
         busy_since_s : float or None
-            When the request before it began, in seconds; None if it had its answer.
+            When the previous request started, in seconds; None if it was answered.
         acknowledged : int
-            What the caller had acknowledged before.
+            The caller's acknowledgement number before this packet.
         now_s : float
-            Present time, in seconds.
+            Current time, in seconds.
         """
         flow = self.flows.get(packet.flow)
         if flow is None or not self.settings.mechanisms.judge_targets:
@@ -350,8 +352,8 @@
         if flow.busy_since_s is not None and flow.busy_since_s != busy_since_s:
             self.fitness.requests.began(flow, now_s)
 
-    def _note_doubt(self, key: FlowKey, belief: TargetBelief, now_s: float) -> None:
-        """Note once of each flow that its packets go on to a target in doubt."""
+    def _log_doubt(self, key: FlowKey, belief: TargetBelief, now_s: float) -> None:
+        """Log, once per flow and doubt, that packets go to a target in doubt."""
         doubt = belief.doubt
         flow = self.flows.get(key)
         if flow is None or flow.noted_doubt == doubt:
@@ -387,7 +389,7 @@
         return Reset(packet.flow, sequence, reason, target)
 
     @property
-    def _idle_s(self) -> float:
+    def _idle_timeout_s(self) -> float:
         configuration = self.routes.configuration
         if configuration is None:
             return self.settings.idle_flow_s
@@ -399,42 +401,44 @@
         if not self._held.add(HeldPacket(packet, data, now_s)):
             return Drop(reason)
         if self.ready:
-            self._ask_registry(now_s)
-        self.effects.append(held_note("packet_held", packet, reason.value, 0.0))
+            self._request_registry_read(now_s)
+        self.effects.append(
+            describe_held_packet("packet_held", packet, reason.value, 0.0)
+        )
         return Hold()
 
-    def _ask_registry(self, now_s: float) -> None:
-        if now_s - self._asked_s >= self.settings.ask_gap_s:
-            self._asked_s = now_s
+    def _request_registry_read(self, now_s: float) -> None:
+        if now_s - self._registry_requested_s >= self.settings.ask_gap_s:
+            self._registry_requested_s = now_s
             self.effects.append(ReadRegistry())
 
     def _retry_held(self, now_s: float) -> None:
-        """Decide about held packets again, now that more is known."""
+        """Decide again about held packets, now that more is known."""
         if not self.ready:
             return
         for held in self._held.take_all():
-            if self._cookie_unknown(held.packet):
+            if self._has_unknown_cookie(held.packet):
                 self._held.add(held)
                 continue
             verdict = self._decide(held.packet, now_s)
             self.effects.append(Release(held.data, verdict))
 
-    def _reset_restarted(self, now_s: float) -> None:
+    def _reset_flows_of_restarted(self, now_s: float) -> None:
         restarts, self.registry.restarts = self.registry.restarts, []
         for restart in restarts:
             began_s = self._earliest_start_s(restart.after.target, now_s)
             self.effects += self._judge.restarted(restart, began_s)
 
     def _earliest_start_s(self, target: Target, now_s: float) -> float:
-        """Return a time before which a target cannot have started, in seconds."""
+        """Return a lower bound of a target's start, in seconds of this process."""
         if self._wall_ahead_s == float("-inf"):
             return float("-inf")
         started_s = target.born_ms / 1000.0 - self._wall_ahead_s
         return min(now_s, started_s) - self.settings.clock_difference_s
 
-    def _after_changes(self, changes: list[BeliefChange], now_s: float) -> None:
+    def _handle_belief_changes(self, changes: list[BeliefChange], now_s: float) -> None:
         self.effects += changes
-        self._reset_restarted(now_s)
+        self._reset_flows_of_restarted(now_s)
         self._retry_held(now_s)
         for change in changes:
             belief = self.registry.get(change.target)
--- a/endivepick/forwarding/held.py
+++ b/endivepick/forwarding/held.py
@@ -1,8 +1,8 @@
-"""Packets that wait until their target, or all routes, are known.
+"""Packets that are held until their target, or all routes, are known.
 
-Load pattern: an instance has just started, or a flow comes here whose target was
-registered a moment ago, while many packets of others arrive.  What waits is bounded in
-number and in time, since the caller repeats it soon.
+Load pattern: an instance has just started, or receives packets of a flow whose target
+was registered a moment ago, while many packets of other flows arrive.  The number of
+held packets and the time are bounded, since the caller retransmits soon anyway.
 """
 
 from collections import deque
@@ -13,20 +13,20 @@
 from endivepick.forwarding.model import Packet
 from endivepick.forwarding.settings import ForwardingSettings
 
-__all__ = ["HeldPacket", "HeldPackets", "held_note"]
+__all__ = ["HeldPacket", "HeldPackets", "describe_held_packet"]
 
 
 class HeldPacket(Struct, frozen=True):
-    """A packet that waits.
+    """A held packet.
 
     Attributes
     ----------
     packet : Packet
-        Its head.
+        Its header.
     data : bytes
-        All of it.
+        The whole datagram.
     since_s : float
-        When it came, in seconds.
+        Time of arrival, in seconds.
     """
 
     packet: Packet
@@ -35,12 +35,12 @@
 
 
 class HeldPackets:
-    """Packets in the order in which they came.
+    """Held packets, in order of arrival.
 
     Parameters
     ----------
     settings : ForwardingSettings
-        How many wait, and for how long.
+        Limits on their number and on the time that they are held.
     """
 
     def __init__(self, settings: ForwardingSettings) -> None:
@@ -48,30 +48,32 @@
         self._waiting: deque[HeldPacket] = deque()
 
     def add(self, held: HeldPacket) -> bool:
-        """Let a packet wait; returns False if too many do."""
+        """Hold a packet; returns False if the limit is reached."""
         if len(self._waiting) >= self._settings.held_packets:
             return False
         self._waiting.append(held)
         return True
 
     def take_all(self) -> deque[HeldPacket]:
-        """Return all that wait, and keep none."""
+        """Return all held packets and clear the queue."""
         waiting, self._waiting = self._waiting, deque()
         return waiting
 
     def expire(self, now_s: float) -> list[Note]:
-        """Drop what has waited too long."""
+        """Drop packets that were held for too long."""
         notes = []
         limit_s = now_s - self._settings.held_s
         while self._waiting and self._waiting[0].since_s <= limit_s:
             held = self._waiting.popleft()
             age_s = now_s - held.since_s
-            note = held_note("packet_dropped", held.packet, "nothing learnt", age_s)
+            note = describe_held_packet(
+                "packet_dropped", held.packet, "nothing learnt", age_s
+            )
             notes.append(note)
         return notes
 
 
-def held_note(name: str, packet: Packet, reason: str, age_s: float) -> Note:
-    """Return a note on a packet that waits, or that waited in vain."""
+def describe_held_packet(name: str, packet: Packet, reason: str, age_s: float) -> Note:
+    """Return the log record of a packet that is held or was dropped after a hold."""
     cookie = f"cookie {packet.cookie:08x}"
     return Note(name, packet.flow, "", f"{reason}, {cookie}", age_s=age_s)
--- a/endivepick/forwarding/mechanisms.py
+++ b/endivepick/forwarding/mechanisms.py
@@ -1,10 +1,11 @@
-"""Mechanisms of the forwarding path that can be switched off one by one.
+"""Mechanisms of the forwarding path that can be disabled individually.
 
-Operators leave them on.  Each can be taken out to measure what it is worth where an
-installation runs, or to rule it out when the cause of a failure is looked for.
+Operators leave them enabled.  Disabling one measures its effect in an installation, or
+rules it out when the cause of a failure is investigated.
 
-Three have no switch: packets and lists that are taken before the settings are read,
-the cookie, and the name before each packet, without which no flow finds its target.
+Three cannot be disabled: packets and lists that are received before the settings are
+read, the cookie, and the target's name in front of each packet, without which no flow
+finds its target.
 """
 
 from msgspec import Struct
@@ -13,54 +14,55 @@
 
 
 class Mechanisms(Struct, frozen=True, forbid_unknown_fields=True):
-    """Which mechanisms are in use.
+    """Which mechanisms are enabled.
 
     Attributes
     ----------
     own_zone_first : bool
-        New flows go to targets of the instance's zone while it has slots for them;
-        off: to those of all zones alike.
+        New flows go to targets of the instance's own zone while it has slots for them;
+        if disabled, to the targets of all zones alike.
     zone_headroom : bool
-        A zone with somewhat fewer slots than its part still keeps all its flows.
+        A zone with slightly fewer slots than its share still keeps all its flows.
     spill_when_busy : bool
         New flows may leave the zone while all its targets are busy.
     busy_flows_weigh : bool
         A flow with a request in progress counts as more load than an idle one.
     cold_capacity : bool
-        A target that has just started counts with a part of its slots.
+        A target that has just started counts with only a part of its slots.
     copies_elsewhere : bool
-        A copy of an opening packet goes to a target that got none yet.
+        A copy of an opening packet goes to a target that has not got one yet.
     probe_repetition : bool
-        A target whose callers repeat their data is suspected and probed.
+        A target is suspected and probed when its callers retransmit data.
     probe_silent_openings : bool
-        A target is probed when nothing follows an opening packet.
+        A target is probed when no packet follows an opening packet.
     probe_silent_zone : bool
-        When a target falls silent, the others of its zone are probed.
+        When a target becomes silent, the other targets of its zone are probed.
     hints : bool
         Peers are told of a target that was found dead.
     tell_silence : bool
-        Instances of a zone tell each other of its targets that fell silent.
+        Instances of a zone tell each other which of its targets became silent.
     reset_unreachable : bool
-        Flows of dead and silent targets are reset before the registry gives the
-        targets up.
+        Flows of dead and silent targets are reset before their registry entries are
+        given up.
     judge_targets : bool
-        Targets that live and fail are passed over by new flows.
+        New flows avoid targets that are alive but fail requests.
     reset_impaired : bool
-        Their flows are reset if that is sure to lose nothing.
+        Flows of such targets are reset if it is certain that nothing is lost.
     trickle : bool
         A target that may have recovered gets few flows at first.
     lapse_grace : bool
-        A target whose entry vanished while it was ready is believed for a while.
+        A target whose entry was removed while it was ready is used for a grace period.
     entry_return : bool
-        Entries that expired in an outage are waited for once it is over.
+        After an outage of the store, entries that expired in it are given time to
+        return.
     hold_packets : bool
-        Packets wait while their target or all routes are being read.
+        Packets are held while their target or all routes are being read.
     told_changes : bool
-        Feeders tell what changed in a configuration, so that it is not read again.
+        Feeders send the changes of a configuration, so that it is not read again.
     greet_neighbours : bool
-        Feeders and those whom they feed greet each other after they fell silent.
+        Feeders and the instances that they feed greet each other after a silence.
     breaker : bool
-        One feed of an instance tries a lost store for the others.
+        One feed of an instance retries an unavailable store for the other feeds.
     """
 
     own_zone_first: bool = True
--- a/endivepick/forwarding/model.py
+++ b/endivepick/forwarding/model.py
@@ -1,4 +1,4 @@
-"""What the forwarding path speaks of: flows, packets, targets, configuration."""
+"""Data types of the forwarding path: flows, packets, targets and configuration."""
 
 from enum import Enum
 from socket import inet_ntoa
@@ -23,9 +23,9 @@
     Attributes
     ----------
     caller_host, service_host : int
-        IPv4 numbers of both ends.
+        IPv4 addresses of both ends, as numbers.
     caller_port, service_port : int
-        Their ports.
+        Ports of both ends.
 
     Examples
     --------
@@ -40,7 +40,7 @@
 
     @property
     def caller_address(self) -> str:
-        """Address of the caller, with dots."""
+        """Address of the caller, in dotted notation."""
         return inet_ntoa(self.caller_host.to_bytes(4, "big"))
 
     def __str__(self) -> str:
@@ -50,23 +50,23 @@
 
 
 class Packet(Struct, frozen=True):
-    """Head of one packet that a caller sent.
+    """Header of one packet from a caller.
 
     Attributes
     ----------
     flow : FlowKey
-        Flow that it belongs to.
+        Flow of the packet.
     opening : bool
         It opens the flow (SYN).
     closing : bool
-        It is the caller's last one (FIN or RST).
+        It is the caller's last packet (FIN or RST).
     cookie : int
         Cookie of the flow's target, 0 before the flow has one.
     sequence : int
-        Number of its first byte.
+        Sequence number of its first byte.
     acknowledged : int
-        Bytes of the target that the caller has; for an opening packet the number
-        of copies sent before it.
+        Acknowledgement number: bytes of the target that the caller has received.  For
+        an opening packet, the number of copies sent before it.
     data_bytes : int
         Length of its data.
     """
@@ -81,7 +81,7 @@
 
 
 class TargetPhase(Enum):
-    """What a target says of itself in the registry."""
+    """Phase that a target reports in its registry entry."""
 
     READY = "ready"
     DRAINING = "draining"
@@ -90,37 +90,37 @@
 class Target(Struct, frozen=True, array_like=True):
     """Registry entry of one incarnation of a backend server.
 
-    Name and time of start identify the incarnation: a server may start again under
-    its name, and then knows nothing of the flows that it had.
+    Name and start time identify the incarnation: a server may restart under its name,
+    and then has no record of its former flows.
 
-    Instances tell each other of entries as arrays, which halves what a feeder sends: it
-    passes each change on to all whom it feeds.  New fields come last, so that instances
-    of another build read the rest.
+    Instances send each other entries as arrays, which halves the traffic of a feeder:
+    it passes each change on to all instances that it feeds.  New fields are appended
+    at the end, so that instances of another build can read the others.
 
     Attributes
     ----------
     name : str
         Name of the entry.
     number : int
-        64-bit number of the name that packets carry, so that no other server takes
+        64-bit number of the name.  Packets carry it, so that no other server accepts
         them.
     service : str
-        Service that it serves.
+        Service of the server.
     host, port : str, int
-        Where it takes datagrams, and probes over TCP.
+        Address for datagrams, and for probes over TCP.
     zone : str
-        Availability zone that it stands in.
+        Availability zone of the server.
     slots : int
-        Requests that it works on at a time.
+        Number of requests that it processes concurrently.
     phase : TargetPhase
         Ready or draining.
     cold_s : float
-        How much longer it is slow after its start, in seconds.
+        Remaining time in which it is slow after its start, in seconds.
     created, revision : int
-        Revisions of the store that created and last wrote this entry.
+        Store revisions at which this entry was created and last written.
     born_ms : int
-        When the server started, by its own clock, in Unix milliseconds; 0 if its entry
-        does not say.
+        When the server started, by its own clock, in Unix milliseconds; 0 if the entry
+        has no start time.
     """
 
     name: str
@@ -137,16 +137,16 @@
     born_ms: int = 0
 
     def is_other_incarnation(self, other: "Target") -> bool:
-        """Whether this is another incarnation than an entry known before.
+        """Whether this is another incarnation than that of a known entry.
 
-        An entry without a time of start tells nothing of it.
+        An entry without a start time says nothing about its incarnation.
         """
         known = self.born_ms and other.born_ms
         return bool(known) and self.born_ms != other.born_ms
 
 
 class RouteKind(Enum):
-    """How callers may repeat requests of a route."""
+    """Whether callers may repeat requests of a route."""
 
     IDEMPOTENT = "idempotent"
     AT_MOST_ONCE = "at_most_once"
@@ -160,16 +160,16 @@
 
 
 class Route(Struct, frozen=True):
-    """Where new flows to one address and port go.
+    """Services for new flows to one address and port.
 
     Attributes
     ----------
     name : str
         Name of the route.
     host, port : int
-        IPv4 number and port that callers name.
+        IPv4 address (as a number) and port that callers connect to.
     shares : tuple of ServiceShare
-        Services by weight.
+        Services and their weights.
     kind : RouteKind
         Whether its requests may be repeated.
     """
@@ -187,15 +187,15 @@
     Attributes
     ----------
     version : int
-        Version that the operator gave it.
+        Version number assigned by the operator.
     revision : int
-        Revision of the store that wrote it.
+        Store revision at which it was written.
     routes : tuple of Route
         All routes.
     health_paths : dict of str to str
         Path of the health check, by service.
     idle_timeout_s : float
-        A flow without packets for longer may be forgotten, in seconds.
+        Flows without packets for longer than this may be removed, in seconds.
     """
 
     version: int
--- a/endivepick/forwarding/openings.py
+++ b/endivepick/forwarding/openings.py
@@ -1,7 +1,7 @@
-"""Targets that got the opening packets of a flow.
+"""Recent openings: the targets that got opening packets of a flow.
 
-A caller that hears nothing sends copies of its opening packet.  A copy may go to
-another target at no risk: the flow opens at the one whose answer the caller takes.
+A caller that gets no answer sends copies of its opening packet.  A copy may safely go
+to another target: the flow opens at the target whose answer the caller accepts.
 """
 
 from collections import OrderedDict, deque
@@ -12,7 +12,7 @@
 from endivepick.forwarding.model import FlowKey
 from endivepick.forwarding.settings import ForwardingSettings
 
-__all__ = ["Opening", "OpeningMemory"]
+__all__ = ["Opening", "RecentOpenings"]
 
 
 class Opening(Struct):
@@ -23,20 +23,20 @@
     targets : tuple of str
         Targets that got one, in order.
     last_s : float
-        When the last one went out, in seconds.
+        When the last one was forwarded, in seconds.
     """
 
     targets: tuple[str, ...]
     last_s: float
 
 
-class OpeningMemory:
+class RecentOpenings:
     """Openings of the last seconds.
 
     Parameters
     ----------
     settings : ForwardingSettings
-        How long an opening is remembered, and how many.
+        Limits on the age and the number of openings.
     """
 
     def __init__(self, settings: ForwardingSettings) -> None:
@@ -45,11 +45,11 @@
         self._unchecked: deque[tuple[float, FlowKey]] = deque()
 
     def get(self, flow: FlowKey) -> Opening | None:
-        """Return the opening of a flow, None if it is not remembered."""
+        """Return the opening of a flow, None if it is not recorded."""
         return self._openings.get(flow)
 
-    def note(self, flow: FlowKey, target: str, now_s: float) -> None:
-        """Remember that a target gets an opening packet."""
+    def record(self, flow: FlowKey, target: str, now_s: float) -> None:
+        """Record that a target gets an opening packet."""
         opening = self._openings.pop(flow, None)
         if opening is None:
             self._unchecked.append((now_s, flow))
@@ -58,8 +58,8 @@
         if len(self._openings) > self._settings.observed_flows:
             self._openings.popitem(last=False)
 
-    def without_copy(self, now_s: float) -> Iterator[tuple[FlowKey, Opening]]:
-        """Yield openings that no copy followed for `opening_answer_s`, each once."""
+    def pop_unanswered(self, now_s: float) -> Iterator[tuple[FlowKey, Opening]]:
+        """Yield, once each, openings without a copy after `opening_answer_s`."""
         limit_s = now_s - self._settings.opening_answer_s
         while self._unchecked and self._unchecked[0][0] <= limit_s:
             _, flow = self._unchecked.popleft()
@@ -68,7 +68,7 @@
                 yield flow, opening
 
     def expire(self, now_s: float) -> None:
-        """Forget openings that their callers have given up."""
+        """Remove openings that their callers have given up."""
         limit_s = now_s - self._settings.opening_memory_s
         while self._openings:
             flow, opening = next(iter(self._openings.items()))
--- a/endivepick/forwarding/placement.py
+++ b/endivepick/forwarding/placement.py
@@ -1,13 +1,13 @@
-"""Which target a new flow goes to.
+"""Selection of the target of a new flow.
 
-Load pattern: many flows that live long and work seldom, beside flows of one request.
-Each instance sees only its own share of both.  Counting flows keeps long ones even;
+Load pattern: many long-lived flows with few requests, beside flows of a single request.
+Each instance sees only its own share of both.  Counting flows balances the long ones;
 counting requests in progress keeps short ones from queueing behind each other.
 
-A zone's own targets go first: flows that cross zones break when zones are cut off
-from each other.  How much stays in the zone follows from where the slots are, which
-all instances know alike, and not from load, which an instance cannot see for targets
-that mostly serve other instances.
+Targets of the own zone are preferred: flows that cross zones break when zones are
+partitioned.  The share of flows that stays in the zone is computed from the slots per
+zone, which all instances know alike, and not from load, which an instance cannot
+observe for targets that mostly serve other instances.
 """
 
 from collections.abc import Callable, Sequence
@@ -17,31 +17,32 @@
 from endivepick.forwarding.belief import Fitness, Reachability, TargetBelief
 from endivepick.forwarding.settings import ForwardingSettings
 
-__all__ = ["Candidates", "Placement", "choose_target", "local_share"]
+__all__ = ["Candidates", "Placement", "choose_target", "compute_own_zone_share"]
 
-TRICKLE = 0.05
-"""Share of new flows that targets are considered for that may have recovered; without
-flows of its own, one that has not would get all of them."""
+TRIAL_FLOW_SHARE = 0.05
+"""Share of new flows for which targets that may have recovered are considered.  Such a
+target has no flows, so without this limit it would get all new flows even if it has
+not recovered."""
 
 
 class Candidates(Struct, frozen=True):
-    """Targets of a service that the registry lets take new flows, sorted for a zone.
+    """Targets of a service that may take new flows by the registry, grouped for a zone.
 
-    They are sorted when one of them changes, not for each opening, so that an opening
-    costs no more with each target.
+    They are grouped when one of them changes and not for each opening, so that the cost
+    of an opening does not grow with the number of targets.
 
     Attributes
     ----------
     every : list of TargetBelief
         All of them.
     own, others : list of TargetBelief
-        Those that are reachable and not impaired, in the zone and elsewhere.
+        Reachable targets that are not impaired, in the own zone and in others.
     all_slots : int
-        Slots of these.
+        Sum of the slots of `own` and `others`.
     impaired : list of TargetBelief
-        Those that are reachable and impaired.
+        Reachable targets that are impaired.
     returning : bool
-        Some of the zone's may have recovered and are on trial.
+        Some targets of the own zone may have recovered and are on probation.
     """
 
     every: list[TargetBelief]
@@ -53,7 +54,7 @@
 
     @classmethod
     def of_zone(cls, zone: str, beliefs: Sequence[TargetBelief]) -> "Candidates":
-        """Sort beliefs of targets for instances of a zone."""
+        """Group targets for the instances of a zone."""
         reachable = [b for b in beliefs if b.reachability is Reachability.REACHABLE]
         fit = [b for b in reachable if b.fitness is not Fitness.IMPAIRED]
         own = [b for b in fit if b.target.zone == zone]
@@ -66,15 +67,15 @@
             any(b.fitness is Fitness.RETURNING for b in own),
         )
 
-    def without(self, tried: Sequence[str]) -> "Candidates":
-        """Return what is left when some targets are not to be chosen again."""
+    def exclude(self, tried: Sequence[str]) -> "Candidates":
+        """Return the candidates without targets that were already tried."""
         own = [b for b in self.own if b.name not in tried]
         others = [b for b in self.others if b.name not in tried]
         slots = sum(b.target.slots for b in (*own, *others))
         return Candidates(self.every, own, others, slots, self.impaired, self.returning)
 
-    def without_returning(self) -> "Candidates":
-        """Return what is left when targets that return have had their trickle."""
+    def exclude_returning(self) -> "Candidates":
+        """Return the candidates without own targets on probation, if any are left."""
         own = [b for b in self.own if b.fitness is Fitness.SOUND]
         if not own:
             return self
@@ -83,14 +84,14 @@
 
 
 class Placement(Struct, frozen=True):
-    """The target of a new flow, and what decided.
+    """The target of a new flow, and why it was chosen.
 
     Attributes
     ----------
     belief : TargetBelief
-        The target.
+        State of the target.
     candidates : int
-        Targets that it was chosen from.
+        Number of targets to choose from.
     load : float
         Its load per slot at that time.
     reason : str
@@ -119,29 +120,29 @@
     settings : ForwardingSettings
         Zone and weights.
     candidates : Candidates
-        Targets that the registry lets take new flows, sorted for the zone.
+        Targets that may take new flows by the registry, grouped for the zone.
     tried : sequence of str
         Targets that got earlier copies of the opening packet.
     random_share : callable
         Returns random numbers from 0 to 1.
     now_s : float
-        Present time, in seconds.
+        Current time, in seconds.
     repeatable : bool
-        The flow's requests may be tried again elsewhere.  Only such show whether a
-        target has recovered.
+        The flow's requests may be retried elsewhere.  Only such flows are used to test
+        whether a target has recovered.
 
     Returns
     -------
     Placement or None
         None if no target is left that may be alive.
     """
-    fresh = candidates.without(tried) if tried else candidates
-    if fresh.returning and settings.mechanisms.trickle:
-        tried_out = repeatable and random_share() < TRICKLE
-        fresh = fresh if tried_out else fresh.without_returning()
+    eligible = candidates.exclude(tried) if tried else candidates
+    if eligible.returning and settings.mechanisms.trickle:
+        is_trial = repeatable and random_share() < TRIAL_FLOW_SHARE
+        eligible = eligible if is_trial else eligible.exclude_returning()
     pool: Sequence[TargetBelief]
-    if fresh.own or fresh.others:
-        pool, reason = _zone_pool(settings, fresh, random_share)
+    if eligible.own or eligible.others:
+        pool, reason = _select_pool(settings, eligible, random_share)
     elif candidates.own or candidates.others:
         pool, reason = [*candidates.own, *candidates.others], "retried"
     elif candidates.impaired:
@@ -151,21 +152,21 @@
         pool, reason = [b for b in alive if b.name not in tried] or alive, "doubtful"
     if not pool:
         return None
-    pool = _sample(settings, pool, random_share)
-    loads = [_load(settings, belief, now_s) for belief in pool]
+    pool = _sample_pool(settings, pool, random_share)
+    loads = [_compute_load(settings, belief, now_s) for belief in pool]
     least = min(loads)
     ties = [b for b, load in zip(pool, loads, strict=True) if load <= least]
     chosen = ties[int(random_share() * len(ties)) % len(ties)]
     return Placement(chosen, len(candidates.every), least, reason)
 
 
-def local_share(
+def compute_own_zone_share(
     settings: ForwardingSettings, own: Sequence[TargetBelief], all_slots: int
 ) -> float:
-    """Return the share of a zone's new flows that its own targets take.
+    """Compute the share of a zone's new flows that its own targets take.
 
-    All of them while the zone has its part of the slots, or ``zone_headroom`` times
-    less; below that the rest is spread over the other zones.
+    It is 1 while the zone has at least its share of the slots divided by
+    ``zone_headroom``; below that, the remaining flows go to the other zones.
     """
     own_slots = sum(belief.target.slots for belief in own)
     if not all_slots:
@@ -174,7 +175,7 @@
     return min(1.0, fair * settings.zone_headroom)
 
 
-def _zone_pool(
+def _select_pool(
     settings: ForwardingSettings,
     candidates: Candidates,
     random_share: Callable[[], float],
@@ -190,21 +191,21 @@
         _busy_per_slot(belief) >= settings.spill_busy for belief in own
     ):
         return [*own, *others], "busy"
-    if random_share() < local_share(settings, own, candidates.all_slots):
+    if random_share() < compute_own_zone_share(settings, own, candidates.all_slots):
         return own, "zone"
     return others, "spill"
 
 
-def _sample(
+def _sample_pool(
     settings: ForwardingSettings,
     pool: Sequence[TargetBelief],
     random_share: Callable[[], float],
 ) -> Sequence[TargetBelief]:
-    """Return some neighbours of a large pool; the least loaded of many is enough."""
+    """Return adjacent targets of a large pool; a sample is enough to balance load."""
     if len(pool) <= settings.compared_targets:
         return pool
-    begin = int(random_share() * len(pool))
-    neighbours = pool[begin : begin + settings.compared_targets]
+    start = int(random_share() * len(pool))
+    neighbours = pool[start : start + settings.compared_targets]
     missing = settings.compared_targets - len(neighbours)
     return [*neighbours, *pool[:missing]]
 
@@ -213,7 +214,9 @@
     return belief.busy_flows / max(1, belief.target.slots)
 
 
-def _load(settings: ForwardingSettings, belief: TargetBelief, now_s: float) -> float:
+def _compute_load(
+    settings: ForwardingSettings, belief: TargetBelief, now_s: float
+) -> float:
     slots = float(max(1, belief.target.slots))
     if now_s < belief.cold_until_s:
         slots *= settings.cold_capacity
--- a/endivepick/forwarding/registry.py
+++ b/endivepick/forwarding/registry.py
@@ -1,13 +1,12 @@
-"""Targets as the registry tells of them: ready, draining, lapsed, gone.
+"""Targets by state of their registry entry: ready, draining, unreadable, lapsed, gone.
 
-An entry that vanishes while its target was ready is not believed at once.  The
-registry drops entries whose heartbeats it missed, also when it was the registry
-that was away; if all instances believed such a short list, the few targets left
-would get the work of all.  The entry counts as lapsed for a grace period, in which a
-probe usually settles the matter sooner.
+A target whose entry is removed while it is ready stays in use at first.  The registry
+drops entries without heartbeats, also when the registry itself was unavailable; if all
+instances acted on such a short list, the few remaining targets would get all the load.
+The entry is lapsed for a grace period, in which a probe usually decides sooner.
 
-An entry that cannot be read any more names no target to use.  One with another time of
-start is of another incarnation: what was believed of the former one ends with it.
+A target whose entry becomes unreadable gets no new flows.  An entry with another start
+time belongs to another incarnation: the state of the former one is discarded.
 """
 
 from collections.abc import Iterable, Iterator
@@ -24,7 +23,7 @@
     TargetRestart,
     TargetState,
 )
-from endivepick.forwarding.cookies import CookieDirectory, cookie_of
+from endivepick.forwarding.cookies import CookieDirectory, compute_cookie
 from endivepick.forwarding.model import Target, TargetPhase
 from endivepick.forwarding.placement import Candidates
 from endivepick.forwarding.registry_news import RegistryNews, RemovedTarget
@@ -32,8 +31,9 @@
 
 __all__ = ["TargetRegistry"]
 
-REMEMBERED_UNREADABLE = 1024
-"""Names of entries that were never readable; more are not told apart from none."""
+MAX_UNREADABLE_COOKIES = 1024
+"""Bound on names of entries that were never readable; entries beyond it are treated as
+missing."""
 _STATES = {
     TargetPhase.READY: TargetState.READY,
     TargetPhase.DRAINING: TargetState.DRAINING,
@@ -45,12 +45,12 @@
 
 
 class TargetRegistry:
-    """All targets that are known, and the cookies that lead to them.
+    """All known targets, and the cookies that map to them.
 
     Parameters
     ----------
     settings : ForwardingSettings
-        Grace and memory.
+        Grace period and retention.
     """
 
     def __init__(self, settings: ForwardingSettings) -> None:
@@ -60,15 +60,16 @@
         self._cookies = CookieDirectory()
         self._unsettled: dict[str, TargetBelief] = {}
         self._candidates: dict[str, Candidates] = {}
-        self._never_read: dict[int, str] = {}
+        self._unreadable_cookies: dict[int, str] = {}
         self.restarts: list[TargetRestart] = []
-        """Targets that started again under their names; the caller takes them out."""
+        """Targets that restarted under their names; the caller clears the list."""
         self.known = False
-        """Whether a whole list was read."""
+        """Whether a complete list was read."""
         self.revision = 0
-        """Revision of the store up to which entries are known."""
+        """Store revision up to which entries are known."""
         self.told_from = 0
-        """Oldest revision since which changes can be told; a list hides older ones."""
+        """Oldest revision from which a delta can be computed; a list hides earlier
+        removals."""
 
     def __iter__(self) -> Iterator[TargetBelief]:
         return iter(self._beliefs.values())
@@ -78,15 +79,15 @@
 
     @property
     def unsettled(self) -> list[TargetBelief]:
-        """Targets that time changes something about; few of all that are known."""
+        """Targets whose state depends on time; a small subset of all targets."""
         return list(self._unsettled.values())
 
     def get(self, name: str) -> TargetBelief | None:
-        """Return what is believed of a target, None if it is not known."""
+        """Return the state of a target, None if it is unknown."""
         return self._beliefs.get(name)
 
-    def of_cookie(self, cookie: int) -> TargetBelief | None:
-        """Return the target that a cookie means, also if it is gone."""
+    def find_by_cookie(self, cookie: int) -> TargetBelief | None:
+        """Return the target that a cookie maps to, even if it is gone."""
         name = self._cookies.resolve(cookie)
         return None if name is None else self._beliefs[name]
 
@@ -96,13 +97,14 @@
         return self._settings.zone
 
     def of_service(self, service: str) -> Iterable[TargetBelief]:
-        """Return all that is believed of the targets of a service."""
+        """Return the states of the targets of a service."""
         return self._by_service.get(service, {}).values()
 
     def candidates(self, service: str) -> Candidates:
         """Return the targets of a service that may take new flows.
 
-        They are kept until what is believed of one changes; callers leave them alone.
+        The result is cached until the state of one of them changes; callers must not
+        modify it.
         """
         kept = self._candidates.get(service)
         if kept is None:
@@ -115,9 +117,9 @@
             self._candidates[service] = kept
         return kept
 
-    def may_return(self, cookie: int) -> bool:
-        """Whether a cookie is that of an entry that is there and cannot be read."""
-        return cookie in self._never_read
+    def is_unreadable_cookie(self, cookie: int) -> bool:
+        """Whether a cookie belongs to an existing entry that was never readable."""
+        return cookie in self._unreadable_cookies
 
     def take_list(
         self,
@@ -126,46 +128,47 @@
         now_s: float,
         unreadable: Iterable[str] = (),
     ) -> list[BeliefChange]:
-        """Take in a whole list; entries missing in it have vanished.
+        """Apply a complete list; known entries that it lacks were removed.
 
-        A list that is older than what is known changes nothing.
+        A list that is older than the known revision is ignored.
 
         Parameters
         ----------
         targets : iterable of Target
-            Entries that can be read.
+            Readable entries.
         revision : int
-            Revision of the store that it shows.
+            Store revision of the list.
         now_s : float
-            Present time, in seconds.
+            Current time, in seconds.
         unreadable : iterable of str
-            Names of entries that cannot.
+            Names of unreadable entries.
         """
         if revision < self.revision:
             return []
         listed = list(targets)
         self.known = True
-        # What came and went since the last word is not in the list, nor known here.
+        # Entries created and removed since the last update are neither in the list
+        # nor known here.
         self.told_from = revision
         self.revision = revision
-        self._never_read.clear()
+        self._unreadable_cookies.clear()
         changes = [c for target in listed for c in self._take(target, now_s)]
         names = {target.name for target in listed}
         for name in unreadable:
             names.add(name)
-            changes += self.take_unreadable(name, revision, now_s)
+            changes += self.mark_unreadable(name, revision, now_s)
         for name in list(self._beliefs):
             if name not in names:
                 changes += self.take_removal(name, revision, now_s)
         return changes
 
     def seen(self, revision: int) -> None:
-        """Take in that nothing but what is known changed up to a revision."""
+        """Advance the known revision; nothing else changed up to it."""
         if self.known:
             self.revision = max(self.revision, revision)
 
     def take_news(self, news: RegistryNews, now_s: float) -> list[BeliefChange]:
-        """Take in what another instance knows beyond this one's revision."""
+        """Apply changes that another instance sent, if they are newer."""
         if news.revision <= self.revision:
             return []
         if news.whole:
@@ -175,13 +178,13 @@
         for target in news.targets:
             changes += self._take(target, now_s)
         for each in news.removed:
-            taken_in = self.take_unreadable if each.unreadable else self.take_removal
+            taken_in = self.mark_unreadable if each.unreadable else self.take_removal
             changes += taken_in(each.name, each.revision, now_s)
         self.revision = max(self.revision, news.revision)
         return changes
 
     def news_since(self, revision: int) -> RegistryNews:
-        """Return what changed since a revision, or all if that is too long ago."""
+        """Return the changes since a revision, or a snapshot if it is too old."""
         whole = revision < self.told_from
         newer = [b for b in self if whole or b.revision > revision]
         present = (TargetState.READY, TargetState.DRAINING)
@@ -194,10 +197,10 @@
         return RegistryNews(targets, removed, whole, self.revision)
 
     def take_entry(self, target: Target, now_s: float) -> list[BeliefChange]:
-        """Take in one change, unless a newer one is known; the oldest comes first.
+        """Apply one change unless a newer one is known; changes arrive in order.
 
-        Of an entry that was written before the revision that is known here, and is
-        not known, the removal is known: it would be taken for a new one otherwise.
+        If an entry is unknown although its revision is not newer than the known
+        revision, it was removed since; it would otherwise be added as a new target.
         """
         if target.name not in self._beliefs and target.revision <= self.revision:
             return []
@@ -211,57 +214,57 @@
         if target.revision < belief.revision:
             return []
         if target.is_other_incarnation(belief.target):
-            after = self._restart(belief, target, now_s)
-            return [_restart_change(belief, after, "started again", now_s)]
+            after = self._replace_incarnation(belief, target, now_s)
+            return [_make_restart_change(belief, after, "started again", now_s)]
         if not target.born_ms:
-            # Told by an instance that does not know of times of start.
+            # Sent by an instance of a build without start times.
             target = replace(target, born_ms=belief.target.born_ms)
-        self._refile(belief, target)
+        self._update_entry(belief, target)
         belief.revision = target.revision
         belief.cold_until_s = now_s + target.cold_s
-        return self._move(belief, _ENTRY_EVENTS[target.phase], "entry", now_s)
+        return self._apply_event(belief, _ENTRY_EVENTS[target.phase], "entry", now_s)
 
-    def take_start(
+    def apply_start_time(
         self, belief: TargetBelief, born_ms: int, now_s: float
     ) -> list[BeliefChange]:
-        """Take in when the target at an address started, as it says of itself.
+        """Apply the start time that the target at an address reports in a probe.
 
-        Its entry may tell so later, and until then says what it said.  An earlier start
-        than the entry's is old news.
+        The entry may show that start time only later, and keeps its other values until
+        then.  A start time before that of the entry is outdated and ignored.
         """
         known_ms = belief.target.born_ms
         if not known_ms or born_ms <= known_ms:
             return []
         target = replace(belief.target, born_ms=born_ms, revision=belief.revision)
-        after = self._restart(belief, target, now_s)
+        after = self._replace_incarnation(belief, target, now_s)
         after.state, after.state_since_s = belief.state, belief.state_since_s
-        self._file(after)
-        return [_restart_change(belief, after, "answered a probe anew", now_s)]
+        self._index_unsettled(after)
+        return [_make_restart_change(belief, after, "answered a probe anew", now_s)]
 
-    def take_unreadable(
+    def mark_unreadable(
         self, name: str, revision: int, now_s: float
     ) -> list[BeliefChange]:
-        """Take in that an entry cannot be read, unless it was written again since."""
+        """Mark an entry as unreadable, unless it was written again since."""
         belief = self._beliefs.get(name)
         if belief is None:
-            self._note_never_read(name)
+            self._record_unreadable(name)
             return []
         if revision < belief.revision:
             return []
         self.revision = max(self.revision, revision)
         belief.revision = revision
         event = TargetEvent.ENTRY_UNREADABLE
-        return self._move(belief, event, "entry unreadable", now_s)
+        return self._apply_event(belief, event, "entry unreadable", now_s)
 
     def take_removal(
         self, name: str, revision: int, now_s: float
     ) -> list[BeliefChange]:
-        """Take in that an entry vanished, unless it was written again since."""
+        """Apply the removal of an entry, unless it was written again since."""
         self.revision = max(self.revision, revision)
         belief = self._beliefs.get(name)
-        self._never_read.pop(cookie_of(name), None)
+        self._unreadable_cookies.pop(compute_cookie(name), None)
         if belief is None:
-            # It came and went unseen: nobody can be told of its removal alone.
+            # Created and removed unnoticed: a delta cannot contain its removal.
             self.told_from = max(self.told_from, revision)
             return []
         if revision < belief.revision:
@@ -270,20 +273,23 @@
         event = TargetEvent.ENTRY_REMOVED
         if belief.reachability is Reachability.DEAD:
             event = TargetEvent.DEAD_ENTRY_REMOVED
-        left = belief.state is TargetState.DRAINING
-        return self._move(belief, event, "left" if left else "entry removed", now_s)
+        was_draining = belief.state is TargetState.DRAINING
+        return self._apply_event(
+            belief, event, "left" if was_draining else "entry removed", now_s
+        )
 
     def expire(self, now_s: float, heard_s: float = float("inf")) -> list[BeliefChange]:
-        """Give up lapsed entries after their grace, and forget those long gone.
+        """Give up lapsed entries after the grace period; remove those gone for long.
 
         Parameters
         ----------
         now_s : float
-            Present time, in seconds.
+            Current time, in seconds.
         heard_s : float
-            When the store last answered, in seconds.  While it is silent, nobody can
-            know that an entry did not return: all targets of a service were given up
-            so when the store refused an instance just after it had dropped entries.
+            When the store last answered, in seconds.  While it does not answer, an
+            instance cannot know whether an entry returned.  Without this check, all
+            targets of a service were given up when the store became unavailable to an
+            instance just after it had dropped entries.
         """
         changes: list[BeliefChange] = []
         for belief in self.unsettled:
@@ -293,15 +299,17 @@
                     if not self._confirmed(belief, heard_s):
                         continue
                     reason = "grace over"
-                    changes += self._move(belief, TargetEvent.GRACE_OVER, reason, now_s)
+                    changes += self._apply_event(
+                        belief, TargetEvent.GRACE_OVER, reason, now_s
+                    )
                 case TargetState.GONE if age_s >= self._settings.gone_memory_s:
                     self._forget(belief)
                 case _:
                     pass
         return changes
 
-    def unconfirmed(self, now_s: float, heard_s: float) -> bool:
-        """Whether a grace is over and only the store's word is missing."""
+    def awaits_confirmation(self, now_s: float, heard_s: float) -> bool:
+        """Whether a grace period is over but the store has not answered since."""
         return any(
             belief.state is TargetState.LAPSED
             and now_s - belief.state_since_s >= self._settings.lapse_grace_s
@@ -313,11 +321,12 @@
         return heard_s >= belief.state_since_s + self._settings.entry_return_s
 
     def restart_grace(self, now_s: float) -> None:
-        """Let the grace of lapsed entries begin anew.
+        """Restart the grace period of lapsed entries.
 
-        For an instance that stood still, or that the store does not answer: the
-        entries may have returned meanwhile, or may yet.  Given up before the list is
-        read again, they left no target to choose, and openings were refused.
+        Called when the process was paused or the store does not answer: the entries may
+        have returned meanwhile, or may still return.  Without the restart they were
+        given up before the list was read again, and openings were refused for lack of
+        targets.
         """
         for belief in self.unsettled:
             if belief.state is TargetState.LAPSED:
@@ -330,9 +339,10 @@
         reason: str,
         now_s: float,
     ) -> list[BeliefChange]:
-        """Note what packets or a probe say of a target.
+        """Apply evidence about the reachability of a target, from packets or a probe.
 
-        A dead target whose entry has lapsed is gone: nothing is left to wait for.
+        A dead target whose entry has lapsed is gone at once, without the rest of the
+        grace period.
         """
         changes: list[BeliefChange] = []
         before = belief.reachability
@@ -342,16 +352,18 @@
             belief.reachability = after
             belief.reachability_since_s = now_s
             self._candidates.pop(belief.target.service, None)
-            self._file(belief)
-            changes.append(_change(belief, before.value, after.value, reason, age_s))
+            self._index_unsettled(belief)
+            changes.append(
+                _make_change(belief, before.value, after.value, reason, age_s)
+            )
         if after is Reachability.DEAD:
-            changes += self._move(belief, TargetEvent.FOUND_DEAD, reason, now_s)
+            changes += self._apply_event(belief, TargetEvent.FOUND_DEAD, reason, now_s)
         return changes
 
     def judge(
         self, belief: TargetBelief, event: FitnessEvent, reason: str, now_s: float
     ) -> list[BeliefChange]:
-        """Note whether a target serves the requests that reach it."""
+        """Apply evidence on whether a target serves the requests it receives."""
         before = belief.fitness
         after = before.after(event)
         if before is after:
@@ -360,12 +372,12 @@
         belief.fitness = after
         belief.fitness_since_s = now_s
         self._candidates.pop(belief.target.service, None)
-        return [_change(belief, before.value, after.value, reason, age_s)]
+        return [_make_change(belief, before.value, after.value, reason, age_s)]
 
     def _add(self, target: Target, now_s: float) -> BeliefChange:
         belief = self._new_belief(target, now_s)
-        self._never_read.pop(belief.cookie, None)
-        return _change(belief, "", belief.state.value, "entry", 0.0)
+        self._unreadable_cookies.pop(belief.cookie, None)
+        return _make_change(belief, "", belief.state.value, "entry", 0.0)
 
     def _new_belief(self, target: Target, now_s: float) -> TargetBelief:
         cookie = self._cookies.add(target.name, target.created)
@@ -378,17 +390,17 @@
         self._candidates.clear()
         return belief
 
-    def _restart(
+    def _replace_incarnation(
         self, before: TargetBelief, target: Target, now_s: float
     ) -> TargetBelief:
-        """Begin afresh: whatever was believed of the former incarnation has ended."""
+        """Replace the state of the former incarnation by a new one."""
         self._remove(before)
         after = self._new_belief(target, now_s)
         self.restarts.append(TargetRestart(before, after))
         return after
 
-    def _refile(self, belief: TargetBelief, target: Target) -> None:
-        """Take the newest entry of a target, which may name another service."""
+    def _update_entry(self, belief: TargetBelief, target: Target) -> None:
+        """Store the newest entry of a target; its service may have changed."""
         self._candidates.pop(belief.target.service, None)
         if target.service != belief.target.service:
             self._leave_service(belief)
@@ -396,11 +408,11 @@
         belief.target = target
         self._candidates.pop(target.service, None)
 
-    def _note_never_read(self, name: str) -> None:
-        if len(self._never_read) < REMEMBERED_UNREADABLE:
-            self._never_read[cookie_of(name)] = name
+    def _record_unreadable(self, name: str) -> None:
+        if len(self._unreadable_cookies) < MAX_UNREADABLE_COOKIES:
+            self._unreadable_cookies[compute_cookie(name)] = name
 
-    def _move(
+    def _apply_event(
         self, belief: TargetBelief, event: TargetEvent, reason: str, now_s: float
     ) -> list[BeliefChange]:
         before, age_s = belief.state, now_s - belief.state_since_s
@@ -410,11 +422,11 @@
         belief.state = state
         belief.state_since_s = now_s
         self._candidates.pop(belief.target.service, None)
-        self._file(belief)
-        return [_change(belief, before.value, state.value, reason, age_s)]
+        self._index_unsettled(belief)
+        return [_make_change(belief, before.value, state.value, reason, age_s)]
 
-    def _file(self, belief: TargetBelief) -> None:
-        """Keep apart what a tick has to look at: it must not look at all targets."""
+    def _index_unsettled(self, belief: TargetBelief) -> None:
+        """Index the targets that a tick must visit; it must not visit all."""
         present = belief.state in (TargetState.READY, TargetState.DRAINING)
         settled = present and belief.reachability is Reachability.REACHABLE
         if settled:
@@ -440,7 +452,7 @@
             del self._by_service[belief.target.service]
 
 
-def _change(
+def _make_change(
     belief: TargetBelief, before: str, after: str, reason: str, age_s: float
 ) -> BeliefChange:
     target = belief.target
@@ -449,8 +461,8 @@
     )
 
 
-def _restart_change(
+def _make_restart_change(
     before: TargetBelief, after: TargetBelief, reason: str, now_s: float
 ) -> BeliefChange:
     age_s = now_s - before.state_since_s
-    return _change(after, before.state.value, after.state.value, reason, age_s)
+    return _make_change(after, before.state.value, after.state.value, reason, age_s)
--- a/endivepick/forwarding/registry_news.py
+++ b/endivepick/forwarding/registry_news.py
@@ -1,4 +1,4 @@
-"""What one instance tells another of the registry."""
+"""Registry changes that one instance sends to another."""
 
 from msgspec import Struct
 
@@ -8,17 +8,17 @@
 
 
 class RemovedTarget(Struct, frozen=True, array_like=True):
-    """An entry that names no target any more.
+    """An entry that does not name a usable target any more.
 
     Attributes
     ----------
     name : str
-        Its name.
+        Name of the entry.
     revision : int
-        Revision of the store at which that was so.
+        Store revision at which the entry was missing or unreadable.
     unreadable : bool
-        It is still there, but cannot be read.  An instance of a build that does not
-        know this field takes it for removed.
+        The entry exists but cannot be read.  An instance of a build without this field
+        treats it as removed.
     """
 
     name: str
@@ -27,18 +27,18 @@
 
 
 class RegistryNews(Struct, frozen=True):
-    """What changed in the registry since a revision.
+    """Changes of the registry since a revision.
 
     Attributes
     ----------
     targets : list of Target
-        Entries that were written since.
+        Entries written since then.
     removed : list of RemovedTarget
-        Entries that vanished or became unreadable since.
+        Entries that were removed or became unreadable since then.
     whole : bool
-        The entries are all there are; what is not among them has vanished.
+        A snapshot instead of a delta: entries that are not in `targets` were removed.
     revision : int
-        Revision of the store up to which this reaches.
+        Store revision up to which the changes are complete.
     """
 
     targets: list[Target]
--- a/endivepick/forwarding/routes.py
+++ b/endivepick/forwarding/routes.py
@@ -1,17 +1,17 @@
-"""Routes of the configuration in force; versions never go back."""
+"""Routes of the configuration in force; older versions are ignored."""
 
 from endivepick.forwarding.changes import ChangeHistory, ConfigurationChange
 from endivepick.forwarding.model import Configuration, FlowKey, Route
 
-__all__ = ["RouteTable", "service_of"]
+__all__ = ["RouteTable", "select_service"]
 
-_SPREAD = 2**32
-_MIX = 0x9E3779B1
-"""Odd multiplier (golden ratio of 32 bits) that spreads neighbouring ports."""
+_HASH_RANGE = 2**32
+_HASH_MULTIPLIER = 0x9E3779B1
+"""Odd multiplier (32-bit golden ratio) that spreads adjacent ports."""
 
 
 class RouteTable:
-    """Answers which service a new flow goes to.
+    """Finds the route of a flow.
 
     Examples
     --------
@@ -36,29 +36,29 @@
 
     @property
     def revision(self) -> int:
-        """Revision of the store that it was written at, 0 without one."""
+        """Store revision of the configuration in force, 0 without one."""
         return 0 if self.configuration is None else self.configuration.revision
 
     def take_in(self, configuration: Configuration, now_s: float) -> bool:
-        """Put a configuration in force unless it is older than the present one.
+        """Put a configuration in force unless it is older than the current one.
 
         Parameters
         ----------
         configuration : Configuration
-            As read from the store, perhaps late or twice.
+            As read from the store, possibly late or repeatedly.
         now_s : float
-            Present time, in seconds.
+            Current time, in seconds.
 
         Returns
         -------
         bool
-            Whether it is in force now and was not before.
+            Whether the configuration was newly put in force.
         """
         present = self.configuration
         if present is not None and configuration.revision <= present.revision:
             return False
         if present is not None:
-            self._history.note(present, configuration)
+            self._history.record(present, configuration)
         self.configuration = configuration
         self.since_s = now_s
         before = self._routes.keys()
@@ -68,41 +68,45 @@
         return True
 
     def change_since(self, revision: int) -> ConfigurationChange | None:
-        """Return what leads from an older version to the one in force.
+        """Return the change from an older version to the one in force.
 
         Parameters
         ----------
         revision : int
-            Revision of the store that wrote the older version.
+            Store revision of the older version.
 
         Returns
         -------
         ConfigurationChange or None
-            None if it is not known here, or too much to be told.
+            None if that version is unknown here, or the change is too large to be sent.
         """
         return self._history.since(revision)
 
     def find(self, flow: FlowKey) -> Route | None:
-        """Return the route that a flow's address and port name, if there is one."""
+        """Return the route for the flow's service address and port, if any."""
         return self._routes.get((flow.service_host, flow.service_port))
 
     def was_removed(self, flow: FlowKey) -> bool:
-        """Whether a version in force here had a route that the present one lacks.
+        """Whether an earlier configuration here had a route that the current one lacks.
 
-        A route that was never seen here may be newer than what is known here.
+        A route that was never in force here may belong to a newer configuration.
         """
         return (flow.service_host, flow.service_port) in self._removed
 
 
-def service_of(route: Route, flow: FlowKey) -> str:
-    """Return the service that a flow of this route belongs to.
+def select_service(route: Route, flow: FlowKey) -> str:
+    """Select the service of a flow of this route.
 
-    Drawn by weight from the flow's addresses, so that all copies of an opening
-    packet reach the same service through any instance.
+    The choice is weighted and hashed from the flow's addresses, so that all copies of
+    an opening packet reach the same service through any instance.
     """
     total = sum(share.weight for share in route.shares)
-    mixed = (flow.caller_host * _MIX + flow.caller_port) * _MIX % _SPREAD
-    position = mixed / _SPREAD * total
+    mixed = (
+        (flow.caller_host * _HASH_MULTIPLIER + flow.caller_port)
+        * _HASH_MULTIPLIER
+        % _HASH_RANGE
+    )
+    position = mixed / _HASH_RANGE * total
     for share in route.shares:
         position -= share.weight
         if position < 0:
--- a/endivepick/forwarding/settings.py
+++ b/endivepick/forwarding/settings.py
@@ -5,7 +5,7 @@
 
 from endivepick.forwarding.mechanisms import Mechanisms
 
-__all__ = ["ForwardingSettings", "without_disabled"]
+__all__ = ["ForwardingSettings", "apply_mechanisms"]
 
 
 class ForwardingSettings(Struct, frozen=True):
@@ -16,73 +16,76 @@
     zone : str
         Availability zone of this instance.
     lapse_grace_s : float
-        How long an entry that vanished while it was ready is still believed, in
+        Grace period of an entry that was removed while its target was ready, in
         seconds.  Entries that expired in an outage of the store return within two
-        seconds of its end; half a second more covers the way to this instance.
+        seconds of its end; half a second more covers the propagation to this instance.
     entry_return_s : float
         Entries that expired in an outage of the store return within this time of its
-        end, in seconds.  What the store answered before that says nothing of them.
+        end, in seconds.  Earlier answers of the store cannot confirm a removal.
     clock_difference_s : float
-        How much the clocks of a target and of this instance may differ, in seconds.  A
-        flow that was opened so long before its target's start was the former
-        incarnation's.
+        Largest difference between the clocks of a target and of this instance, in
+        seconds.  A flow opened more than this before its target's start belongs to the
+        former incarnation.
     gone_memory_s : float
         How long the cookie of a target that is gone still resolves, in seconds: the
-        longest life of a flow.
+        longest lifetime of a flow.
     opening_memory_s : float
-        How long the targets of a flow's opening packets are remembered, in seconds;
-        callers give up an opening after 1.4 s.
+        How long the targets of a flow's opening packets are kept, in seconds; callers
+        give up an opening after 1.4 s.
     observed_flows : int
-        Flows whose progress is watched; the oldest are dropped beyond it, which
-        bounds the memory of the table.
+        Maximum number of observed flows, which bounds the memory of the table; beyond
+        it the oldest are removed.
     idle_flow_s : float
         A flow without packets for longer no longer counts as load, in seconds; the
-        configuration's own time-out goes before it.
+        timeout of the configuration takes precedence.
     repeat_after_s : float
-        Data that comes again sooner was reordered on its way, in seconds; callers
-        repeat after 0.2 s.
+        Repeated data that arrives sooner than this was reordered in the network, in
+        seconds; callers retransmit after 0.2 s.
     opening_answer_s : float
-        An opening that nothing has followed for so long asks for a probe, in seconds;
-        callers send its copy after 0.2 s if they hear nothing, and data within some
+        The target is probed when no packet has followed an opening for this long, in
+        seconds; callers send a copy after 0.2 s without an answer, and data within some
         ten milliseconds if the target answers.
     probe_gap_s : float
-        Least time between two probes of a suspect, in seconds; a probe occupies a
+        Minimum time between two probes of a suspect, in seconds; a probe occupies a
         slot of the target for about a millisecond.
     probe_timeouts_s : tuple of float
-        Longest wait for a connection at each attempt, in seconds.  All have to go
-        unanswered before a target counts as silent: one packet may get lost, or the
-        answer may be late at this machine.
+        Connection timeout of each attempt, in seconds.  A target counts as silent only
+        when all attempts fail: one packet may be lost, or this machine may process the
+        answer late.
     probe_compared_s : float
-        The last attempt ends after that time, in seconds, or as long after another
-        target has accepted a connection as that one took: it is not this instance's
-        link, or its processor, that keeps the answer back.
+        The last attempt ends after this time, in seconds, or as long after another
+        target has accepted a connection as that connection took.  This rules out a
+        delay in this instance's own link or processor.
     zones : int
-        Availability zones of the installation.
+        Number of availability zones of the installation.
     zone_headroom : float
-        A zone keeps all its flows while its share of the slots, times this, covers
-        its share of the flows; services run at a third to a half of their capacity.
+        A zone keeps all its flows while its share of the slots, times this factor,
+        covers its share of the flows; services run at a third to a half of their
+        capacity.
     spill_busy : float
-        Requests in progress per slot, as one instance sees them, from which on new
-        flows leave a zone; the instances of a zone share its targets, so these have
-        a queue by then.
+        Requests in progress per slot, as seen by one instance, from which new flows
+        leave the zone.  Its instances share the targets, which have a queue at that
+        point.
     busy_weight : float
-        A flow with a request in progress counts as that many more idle flows; an
-        idle flow keeps a slot busy for some percent of the time.
+        Number of idle flows that a request in progress counts as, in addition to its
+        own flow; an idle flow keeps a slot busy for a few percent of the time.
     cold_capacity : float
-        Share of its slots that a cold target counts with; it works at about 60 % of
-        its speed.
+        Share of its slots that a cold target counts with; it runs at about 60 % of its
+        speed.
     compared_targets : int
-        Targets whose load is compared for a new flow; more of a service are sampled,
-        so that an opening does not cost more with each target.
+        Number of targets whose load is compared for a new flow.  Of larger services a
+        sample is compared, so that the cost of an opening does not grow with the number
+        of targets.
     held_packets : int
-        Packets that wait for an unknown cookie at a time.
+        Maximum number of packets held for an unknown cookie.
     held_s : float
-        Longest wait of such a packet, in seconds; the caller repeats it after 0.2 s.
+        Maximum time for which such a packet is held, in seconds; the caller retransmits
+        it after 0.2 s.
     ask_gap_s : float
-        Least time between two readings of the registry for an unknown cookie, in
+        Minimum time between two reads of the registry for an unknown cookie, in
         seconds.
     mechanisms : Mechanisms
-        What is in use; see `without_disabled` for those that are limits.
+        Enabled mechanisms; see `apply_mechanisms` for those that are limits.
     """
 
     zone: str
@@ -110,13 +113,13 @@
     mechanisms: Mechanisms = Mechanisms()
 
 
-def without_disabled(settings: ForwardingSettings) -> ForwardingSettings:
+def apply_mechanisms(settings: ForwardingSettings) -> ForwardingSettings:
     """Return settings in which the limits of disabled mechanisms have no effect.
 
     Examples
     --------
     >>> off = Mechanisms(hold_packets=False, cold_capacity=False)
-    >>> settings = without_disabled(ForwardingSettings("a", mechanisms=off))
+    >>> settings = apply_mechanisms(ForwardingSettings("a", mechanisms=off))
     >>> settings.held_packets, settings.cold_capacity, settings.zone_headroom
     (0, 1.0, 1.3)
     """
--- a/endivepick/forwarding/tests/test_changes.py
+++ b/endivepick/forwarding/tests/test_changes.py
@@ -6,8 +6,8 @@
 
 from endivepick.forwarding import Configuration, Route, RouteKind, ServiceShare
 from endivepick.forwarding.changes import (
-    REMEMBERED_CHANGES,
-    TOLD_ROUTES,
+    MAX_CHANGE_ROUTES,
+    MAX_HISTORY_CHANGES,
     ChangeHistory,
     apply_change,
     change_between,
@@ -54,7 +54,7 @@
         series = versions(contents)
         history = ChangeHistory()
         for before, after in zip(series, series[1:], strict=False):
-            history.note(before, after)
+            history.record(before, after)
         for known in series[:-1]:
             told = msgspec.json.encode(history.since(known.revision))
             change = msgspec.json.decode(told, type=type(history.since(known.revision)))
@@ -77,11 +77,11 @@
         history = ChangeHistory()
         series = versions([{"r-1": SERVICES[n % 3]} for n in range(number + 1)])
         for before, after in zip(series, series[1:], strict=False):
-            history.note(before, after)
+            history.record(before, after)
         return series, history
 
     def test_what_is_too_long_ago_is_not_told(self):
-        series, history = self.filled(REMEMBERED_CHANGES + 1)
+        series, history = self.filled(MAX_HISTORY_CHANGES + 1)
         self.assertIsNone(history.since(series[0].revision))
         self.assertIsNotNone(history.since(series[1].revision))
 
@@ -92,10 +92,10 @@
 
     def test_a_large_change_is_not_told(self):
         before = Configuration(1, 1, ())
-        routes = tuple(route(f"r-{n}", port=n) for n in range(TOLD_ROUTES + 1))
-        for number, told in ((TOLD_ROUTES, True), (TOLD_ROUTES + 1, False)):
+        routes = tuple(route(f"r-{n}", port=n) for n in range(MAX_CHANGE_ROUTES + 1))
+        for number, told in ((MAX_CHANGE_ROUTES, True), (MAX_CHANGE_ROUTES + 1, False)):
             history = ChangeHistory()
-            history.note(before, Configuration(2, 2, routes[:number]))
+            history.record(before, Configuration(2, 2, routes[:number]))
             self.assertEqual(history.since(1) is not None, told)
 
 
--- a/endivepick/forwarding/tests/test_cookies.py
+++ b/endivepick/forwarding/tests/test_cookies.py
@@ -25,7 +25,7 @@
 
     def test_two_names_with_one_cookie_are_ordered_alike_everywhere(self):
         with unittest.mock.patch(
-            "endivepick.forwarding.cookies.cookie_of", hashed_like(5)
+            "endivepick.forwarding.cookies.compute_cookie", hashed_like(5)
         ):
             one, other = CookieDirectory(), CookieDirectory()
             one.add("i-1", created=10)
@@ -38,7 +38,7 @@
 
     def test_the_second_takes_over_when_the_first_is_forgotten(self):
         with unittest.mock.patch(
-            "endivepick.forwarding.cookies.cookie_of", hashed_like(5)
+            "endivepick.forwarding.cookies.compute_cookie", hashed_like(5)
         ):
             directory = CookieDirectory()
             directory.add("i-1", created=10)
--- a/endivepick/forwarding/tests/test_forwarder.py
+++ b/endivepick/forwarding/tests/test_forwarder.py
@@ -15,7 +15,7 @@
     ResetReason,
     TargetPhase,
 )
-from endivepick.forwarding.cookies import cookie_of
+from endivepick.forwarding.cookies import compute_cookie
 from endivepick.forwarding.tests.support import (
     data,
     flow_key,
@@ -68,7 +68,7 @@
 class TestTargetsThatLeftBefore(unittest.TestCase):
     """An instance that was just started gets packets of flows to a target that left."""
 
-    COOKIE = cookie_of("i-99")
+    COOKIE = compute_cookie("i-99")
 
     def setUp(self):
         self.core = make_core([])
@@ -173,7 +173,7 @@
     def setUp(self):
         self.target = make_target("i-5", revision=1)
         self.core = make_core([self.target])
-        self.cookie = cookie_of("i-5")
+        self.cookie = compute_cookie("i-5")
 
     def test_any_instance_finds_the_target_of_any_flow(self):
         verdict = self.core.on_packet(data(flow_key(), self.cookie), b"", 1.0)
@@ -226,13 +226,13 @@
 class TestUnknownCookie(unittest.TestCase):
     def setUp(self):
         self.core = make_core([make_target("i-5", revision=1)])
-        self.packet = data(flow_key(), cookie_of("i-6"))
+        self.packet = data(flow_key(), compute_cookie("i-6"))
 
     def test_it_is_held_and_asked_for_and_never_reset(self):
         self.assertEqual(self.core.on_packet(self.packet, b"x", 1.0), Hold())
         asked, note = self.core.effects
         self.assertEqual(asked, ReadRegistry())
-        self.assertIn(f"{cookie_of('i-6'):08x}", note.reason)
+        self.assertIn(f"{compute_cookie('i-6'):08x}", note.reason)
 
     def test_it_is_released_when_its_target_is_known(self):
         self.core.on_packet(self.packet, b"x", 1.0)
--- a/endivepick/forwarding/tests/test_mechanisms.py
+++ b/endivepick/forwarding/tests/test_mechanisms.py
@@ -2,7 +2,7 @@
 
 from endivepick.forwarding import ProbeTarget, Reset, ResetReason
 from endivepick.forwarding.mechanisms import Mechanisms
-from endivepick.forwarding.settings import ForwardingSettings, without_disabled
+from endivepick.forwarding.settings import ForwardingSettings, apply_mechanisms
 from endivepick.forwarding.tests.support import (
     REFUSED,
     SILENT,
@@ -125,11 +125,11 @@
             "hold_packets": ("held_packets", 0),
         }
         usual = ForwardingSettings("a")
-        self.assertEqual(without_disabled(usual), usual)
+        self.assertEqual(apply_mechanisms(usual), usual)
         for mechanism, (limit, value) in neutral.items():
             with self.subTest(mechanism):
                 off = Mechanisms(**{mechanism: False})
-                settings = without_disabled(ForwardingSettings("a", mechanisms=off))
+                settings = apply_mechanisms(ForwardingSettings("a", mechanisms=off))
                 self.assertEqual(getattr(settings, limit), value)
                 self.assertNotEqual(getattr(usual, limit), value)
 
--- a/endivepick/forwarding/tests/test_registry.py
+++ b/endivepick/forwarding/tests/test_registry.py
@@ -90,8 +90,8 @@
         over_s = 10.0 + GRACE_S
         self.registry.expire(over_s, heard_s=10.0)
         self.assertEqual(len(self.candidates()), 6)
-        self.assertTrue(self.registry.unconfirmed(over_s, 10.0))
-        self.assertFalse(self.registry.unconfirmed(over_s, over_s))
+        self.assertTrue(self.registry.awaits_confirmation(over_s, 10.0))
+        self.assertFalse(self.registry.awaits_confirmation(over_s, over_s))
         self.registry.expire(over_s, heard_s=over_s)
         self.assertEqual(self.candidates(), [])
 
@@ -134,9 +134,9 @@
         self.registry.take_entry(draining, 5.0)
         self.registry.take_removal("i-2", 25, 8.0)
         self.registry.expire(8.0 + MEMORY_S - 1)
-        self.assertEqual(self.registry.of_cookie(cookie).name, "i-2")
+        self.assertEqual(self.registry.find_by_cookie(cookie).name, "i-2")
         self.registry.expire(8.0 + MEMORY_S)
-        self.assertIsNone(self.registry.of_cookie(cookie))
+        self.assertIsNone(self.registry.find_by_cookie(cookie))
 
     def test_a_dead_target_whose_entry_vanished_is_gone_at_once(self):
         belief = self.registry.get("i-2")
--- a/endivepick/forwarding/tests/test_routes.py
+++ b/endivepick/forwarding/tests/test_routes.py
@@ -1,7 +1,7 @@
 import unittest
 
 from endivepick.forwarding.model import Route, RouteKind, ServiceShare
-from endivepick.forwarding.routes import RouteTable, service_of
+from endivepick.forwarding.routes import RouteTable, select_service
 from endivepick.forwarding.tests.support import flow_key, make_configuration
 
 FLOWS = 2000
@@ -36,15 +36,15 @@
 
     def test_all_copies_of_an_opening_reach_one_service(self):
         route = self.route(("a", 1.0), ("b", 1.0))
-        services = {service_of(route, flow_key(7)) for _ in range(10)}
+        services = {select_service(route, flow_key(7)) for _ in range(10)}
         self.assertEqual(len(services), 1)
 
     def test_flows_follow_the_weights(self):
         route = self.route(("a", 90), ("b", 10))
-        chosen = [service_of(route, flow_key(port)) for port in range(FLOWS)]
+        chosen = [select_service(route, flow_key(port)) for port in range(FLOWS)]
         self.assertAlmostEqual(chosen.count("b") / FLOWS, 0.1, delta=0.03)
 
     def test_a_weight_of_zero_gets_nothing(self):
         route = self.route(("a", 0), ("b", 1), ("c", 0))
-        chosen = {service_of(route, flow_key(port)) for port in range(FLOWS)}
+        chosen = {select_service(route, flow_key(port)) for port in range(FLOWS)}
         self.assertEqual(chosen, {"b"})
--- a/endivepick/forwarding/tests/test_unreadable.py
+++ b/endivepick/forwarding/tests/test_unreadable.py
@@ -13,7 +13,7 @@
     TargetPhase,
     TargetState,
 )
-from endivepick.forwarding.cookies import cookie_of
+from endivepick.forwarding.cookies import compute_cookie
 from endivepick.forwarding.registry import TargetRegistry
 from endivepick.forwarding.registry_news import RemovedTarget
 from endivepick.forwarding.settings import ForwardingSettings
@@ -90,7 +90,7 @@
 
     def test_flows_of_an_entry_that_was_never_readable_are_not_reset(self):
         self.core.on_target_list(self.targets, 20, 1.0, 0.9, ["i-7"])
-        packet = data(flow_key(7), cookie_of("i-7"))
+        packet = data(flow_key(7), compute_cookie("i-7"))
         for now_s in (5.0, 6.0, 7.0):
             self.assertEqual(self.core.on_packet(packet, b"", now_s), Hold())
             self.core.on_target_list(
@@ -112,7 +112,7 @@
             registry.take_list(targets, 6, 0.0)
 
     def test_those_who_are_fed_believe_the_same(self):
-        self.feeder.take_unreadable("i-2", 20, 1.0)
+        self.feeder.mark_unreadable("i-2", 20, 1.0)
         for whole in (False, True):
             news = self.feeder.news_since(-1 if whole else self.fed.revision)
             self.assertEqual(news.whole, whole)
