--- a/endivepick/forwarding/flows.py
+++ b/endivepick/forwarding/flows.py
@@ -153,7 +153,7 @@
             self._move(flow, belief)
         if packet.opening:
             return FlowEvidence.NOTHING
-        return self._evaluate(flow, packet, now_s)
+        return self._evaluate_packet(flow, packet, now_s)
 
     def end(self, key: FlowKey) -> None:
         """Remove a flow."""
@@ -203,7 +203,7 @@
         if busy_since_s is not None:
             self._set_busy(flow, busy_since_s)
 
-    def _evaluate(
+    def _evaluate_packet(
         self, flow: ObservedFlow, packet: Packet, now_s: float
     ) -> FlowEvidence:
         if flow.opened_s is None:
--- a/endivepick/forwarding/registry.py
+++ b/endivepick/forwarding/registry.py
@@ -106,16 +106,16 @@
         The result is cached until the state of one of them changes; callers must not
         modify it.
         """
-        kept = self._candidates.get(service)
-        if kept is None:
+        cached = self._candidates.get(service)
+        if cached is None:
             beliefs = [
                 belief
                 for belief in self._by_service.get(service, {}).values()
                 if belief.takes_flows and self._cookies.owns(belief.name)
             ]
-            kept = Candidates.of_zone(self._settings.zone, beliefs)
-            self._candidates[service] = kept
-        return kept
+            cached = Candidates.of_zone(self._settings.zone, beliefs)
+            self._candidates[service] = cached
+        return cached
 
     def is_unreadable_cookie(self, cookie: int) -> bool:
         """Whether a cookie belongs to an existing entry that was never readable."""
@@ -178,8 +178,8 @@
         for target in news.targets:
             changes += self._take(target, now_s)
         for each in news.removed:
-            taken_in = self.mark_unreadable if each.unreadable else self.take_removal
-            changes += taken_in(each.name, each.revision, now_s)
+            apply_one = self.mark_unreadable if each.unreadable else self.take_removal
+            changes += apply_one(each.name, each.revision, now_s)
         self.revision = max(self.revision, news.revision)
         return changes
 
@@ -296,7 +296,7 @@
             age_s = now_s - belief.state_since_s
             match belief.state:
                 case TargetState.LAPSED if age_s >= self._settings.lapse_grace_s:
-                    if not self._confirmed(belief, heard_s):
+                    if not self._is_removal_confirmed(belief, heard_s):
                         continue
                     reason = "grace over"
                     changes += self._apply_event(
@@ -309,15 +309,15 @@
         return changes
 
     def awaits_confirmation(self, now_s: float, heard_s: float) -> bool:
-        """Whether a grace period is over but the store has not answered since."""
+        """Whether the store has yet to confirm a removal after its grace period."""
         return any(
             belief.state is TargetState.LAPSED
             and now_s - belief.state_since_s >= self._settings.lapse_grace_s
-            and not self._confirmed(belief, heard_s)
+            and not self._is_removal_confirmed(belief, heard_s)
             for belief in self.unsettled
         )
 
-    def _confirmed(self, belief: TargetBelief, heard_s: float) -> bool:
+    def _is_removal_confirmed(self, belief: TargetBelief, heard_s: float) -> bool:
         return heard_s >= belief.state_since_s + self._settings.entry_return_s
 
     def restart_grace(self, now_s: float) -> None:
--- a/endivepick/forwarding/tests/support.py
+++ b/endivepick/forwarding/tests/support.py
@@ -1,4 +1,4 @@
-"""Shared pieces of the tests of the forwarding core."""
+"""Shared fixtures and helpers for the tests of the forwarding core."""
 
 import random
 
@@ -77,21 +77,21 @@
 
 
 def open_flow(core, flow, now_s):
-    """Open a flow and return what is believed of its target."""
+    """Open a flow and return the state of its target."""
     verdict = core.on_packet(opening(flow), b"", now_s)
     assert isinstance(verdict, Forward), verdict
     return verdict.belief
 
 
 def take(core, kind):
-    """Return the effects of a kind, and forget all effects."""
+    """Return the effects of a kind, and clear all effects."""
     found = [effect for effect in core.effects if isinstance(effect, kind)]
     core.effects.clear()
     return found
 
 
 def answer_probes(core, outcome, now_s):
-    """Answer all probes that the core asks for; returns the probed names."""
+    """Answer all probes that the core requests; returns the probed names."""
     names = [probe.target.name for probe in take(core, ProbeTarget)]
     for name in names:
         core.on_probe(ProbeResult(name, outcome), now_s)
--- a/endivepick/forwarding/tests/test_changes.py
+++ b/endivepick/forwarding/tests/test_changes.py
@@ -23,8 +23,8 @@
     return Route(name, 0xC6120001, port, (ServiceShare(service, 1.0),), kind)
 
 
-def versions(contents):
-    """Return one version for each dictionary of services by route name."""
+def make_versions(contents):
+    """Make one version for each dictionary of services by route name."""
     return [
         Configuration(
             version=10 * n + 7,
@@ -37,8 +37,8 @@
     ]
 
 
-def as_set(configuration):
-    """Return what has to be equal: the order of routes means nothing."""
+def sort_routes(configuration):
+    """Sort the routes, whose order is not significant, for a comparison."""
     return msgspec.structs.replace(
         configuration, routes=tuple(sorted(configuration.routes, key=repr))
     )
@@ -50,47 +50,51 @@
 class TestChanges(unittest.TestCase):
     @settings(max_examples=200, deadline=None, derandomize=True)
     @given(st.lists(CONTENTS, min_size=2, max_size=8))
-    def test_from_each_version_one_change_leads_to_the_newest(self, contents):
-        series = versions(contents)
+    def test_merged_change_from_each_version_yields_the_newest(self, contents):
+        series = make_versions(contents)
         history = ChangeHistory()
         for before, after in zip(series, series[1:], strict=False):
             history.record(before, after)
         for known in series[:-1]:
             told = msgspec.json.encode(history.since(known.revision))
             change = msgspec.json.decode(told, type=type(history.since(known.revision)))
-            self.assertEqual(as_set(apply_change(known, change)), as_set(series[-1]))
+            self.assertEqual(
+                sort_routes(apply_change(known, change)), sort_routes(series[-1])
+            )
 
-    def test_it_does_not_fit_another_version(self):
-        first, second, third = versions([{}, {"r-1": "notes"}, {"r-2": "notes"}])
+    def test_change_does_not_apply_to_another_version(self):
+        first, second, third = make_versions([{}, {"r-1": "notes"}, {"r-2": "notes"}])
         change = change_between(second, third)
         self.assertIsNone(apply_change(first, change))
         self.assertEqual(apply_change(second, change), third)
 
-    def test_one_that_leads_to_another_number_of_routes_is_refused(self):
-        first, second = versions([{"r-1": "notes"}, {"r-1": "notes", "r-2": "notes"}])
+    def test_change_with_a_wrong_route_count_is_refused(self):
+        first, second = make_versions(
+            [{"r-1": "notes"}, {"r-1": "notes", "r-2": "notes"}]
+        )
         change = msgspec.structs.replace(change_between(first, second), route_count=3)
         self.assertIsNone(apply_change(first, change))
 
 
 class TestChangeHistory(unittest.TestCase):
-    def filled(self, number):
+    def make_history(self, number):
         history = ChangeHistory()
-        series = versions([{"r-1": SERVICES[n % 3]} for n in range(number + 1)])
+        series = make_versions([{"r-1": SERVICES[n % 3]} for n in range(number + 1)])
         for before, after in zip(series, series[1:], strict=False):
             history.record(before, after)
         return series, history
 
-    def test_what_is_too_long_ago_is_not_told(self):
-        series, history = self.filled(MAX_HISTORY_CHANGES + 1)
+    def test_version_older_than_the_history_gets_no_change(self):
+        series, history = self.make_history(MAX_HISTORY_CHANGES + 1)
         self.assertIsNone(history.since(series[0].revision))
         self.assertIsNotNone(history.since(series[1].revision))
 
-    def test_the_newest_and_unknown_versions_need_no_change(self):
-        series, history = self.filled(3)
+    def test_newest_and_unknown_versions_get_no_change(self):
+        series, history = self.make_history(3)
         self.assertIsNone(history.since(series[-1].revision))
         self.assertIsNone(history.since(1))
 
-    def test_a_large_change_is_not_told(self):
+    def test_change_with_too_many_routes_is_not_sent(self):
         before = Configuration(1, 1, ())
         routes = tuple(route(f"r-{n}", port=n) for n in range(MAX_CHANGE_ROUTES + 1))
         for number, told in ((MAX_CHANGE_ROUTES, True), (MAX_CHANGE_ROUTES + 1, False)):
@@ -99,10 +103,10 @@
             self.assertEqual(history.since(1) is not None, told)
 
 
-class TestStormOfVersions(unittest.TestCase):
-    """Ten versions in a row of 1,640 routes, each of which changes one."""
+class TestFrequentVersions(unittest.TestCase):
+    """Ten successive versions of 1,640 routes that change one route each."""
 
-    def test_what_a_fed_instance_is_told_is_a_thousandth_of_a_version(self):
+    def test_change_is_much_smaller_than_a_version(self):
         table = RouteTable()
         routes = [route(f"r-{n}", port=n) for n in range(1640)]
         for version in range(10):
--- a/endivepick/forwarding/tests/test_checks.py
+++ b/endivepick/forwarding/tests/test_checks.py
@@ -5,11 +5,11 @@
 from endivepick.forwarding import check_target, number_of_name
 from endivepick.forwarding.tests.support import make_target
 
-GOOD = make_target("i-7f3a91c2")
+VALID_TARGET = make_target("i-7f3a91c2")
 
 
 class TestChecks(unittest.TestCase):
-    def test_what_targets_write_is_taken(self):
+    def test_valid_values_are_accepted(self):
         for fields in (
             {},
             {"slots": 1},
@@ -19,9 +19,9 @@
             {"host": "127.0.0.1", "port": 1},
             {"port": 65535},
         ):
-            check_target(replace(GOOD, **fields))
+            check_target(replace(VALID_TARGET, **fields))
 
-    def test_values_that_cannot_be_used_are_refused(self):
+    def test_out_of_range_values_are_refused(self):
         for fields in (
             {"slots": 0},
             {"slots": -3},
@@ -47,9 +47,9 @@
             {"number": 1 << 64},
         ):
             with self.subTest(fields), self.assertRaises(ValueError):
-                check_target(replace(GOOD, **fields))
+                check_target(replace(VALID_TARGET, **fields))
 
-    def test_a_name_has_a_number_that_packets_carry(self):
+    def test_name_contains_the_target_number(self):
         self.assertEqual(number_of_name("i-ffffffffffffffff"), (1 << 64) - 1)
         self.assertEqual(number_of_name("i-00ab"), 0xAB)
         for name in ("i-0", "i-", "i", "-5", "i--5", "i-1_0", "i-+5", "i- 5", "i-x"):
--- a/endivepick/forwarding/tests/test_cookies.py
+++ b/endivepick/forwarding/tests/test_cookies.py
@@ -6,12 +6,12 @@
 FLEET_TARGETS = 44_000
 
 
-def hashed_like(cookie):
+def constant_hash(cookie):
     return lambda _name: cookie
 
 
 class TestCookies(unittest.TestCase):
-    def test_all_targets_of_a_fleet_resolve_to_themselves_or_take_no_flows(self):
+    def test_each_target_owns_its_cookie_or_takes_no_flows(self):
         directory = CookieDirectory()
         names = [f"i-{number * 2654435761 % 2**40:010x}" for number in range(44_000)]
         cookies = {n: directory.add(n, created) for created, n in enumerate(names)}
@@ -23,9 +23,9 @@
         owners = [name for name in names if directory.owns(name)]
         self.assertEqual(len({cookies[name] for name in owners}), len(owners))
 
-    def test_two_names_with_one_cookie_are_ordered_alike_everywhere(self):
+    def test_cookie_collision_resolves_alike_at_all_instances(self):
         with unittest.mock.patch(
-            "endivepick.forwarding.cookies.compute_cookie", hashed_like(5)
+            "endivepick.forwarding.cookies.compute_cookie", constant_hash(5)
         ):
             one, other = CookieDirectory(), CookieDirectory()
             one.add("i-1", created=10)
@@ -36,9 +36,9 @@
                 self.assertEqual(directory.resolve(5), "i-1")
                 self.assertFalse(directory.owns("i-2"))
 
-    def test_the_second_takes_over_when_the_first_is_forgotten(self):
+    def test_second_target_owns_the_cookie_after_removal_of_the_first(self):
         with unittest.mock.patch(
-            "endivepick.forwarding.cookies.compute_cookie", hashed_like(5)
+            "endivepick.forwarding.cookies.compute_cookie", constant_hash(5)
         ):
             directory = CookieDirectory()
             directory.add("i-1", created=10)
--- a/endivepick/forwarding/tests/test_forwarder.py
+++ b/endivepick/forwarding/tests/test_forwarder.py
@@ -29,7 +29,7 @@
 
 
 class TestLapsedEntries(unittest.TestCase):
-    """The store drops entries of live targets, and refuses this instance just then."""
+    """The store drops entries of live targets and then becomes unavailable."""
 
     def setUp(self):
         targets = [make_target(f"i-{n}", revision=n) for n in range(1, 4)]
@@ -41,32 +41,32 @@
     def verdict(self, now_s):
         return self.core.on_packet(opening(flow_key()), b"", now_s)
 
-    def asked(self):
+    def registry_reads(self):
         return [e for e in self.core.effects if isinstance(e, ReadRegistry)]
 
-    def test_openings_are_served_while_the_store_is_known_to_be_lost(self):
+    def test_openings_are_forwarded_while_the_store_is_known_unavailable(self):
         for tenths in range(10, 200):
             self.core.on_unread(tenths / 10)
             self.core.tick(tenths / 10, heard_s=1.0)
         self.assertIsInstance(self.verdict(20.0), Forward)
 
-    def test_openings_are_served_while_the_store_is_silent(self):
+    def test_openings_are_forwarded_while_the_store_does_not_answer(self):
         for tenths in range(10, 60):
             self.core.tick(tenths / 10, heard_s=1.0)
         self.assertIsInstance(self.verdict(6.0), Forward)
 
-    def test_the_store_is_asked_now_and_then_before_entries_are_given_up(self):
+    def test_registry_is_read_again_before_entries_are_given_up(self):
         self.core.tick(2.0, heard_s=1.0)
-        self.assertEqual(self.asked(), [])
+        self.assertEqual(self.registry_reads(), [])
         for tenths in range(36, 46):
             self.core.tick(tenths / 10, heard_s=1.0)
-        self.assertEqual(len(self.asked()), 2)
+        self.assertEqual(len(self.registry_reads()), 2)
         self.core.tick(4.6, heard_s=4.5)
         self.assertEqual(self.verdict(4.7).reason, ResetReason.NO_TARGET)
 
 
 class TestTargetsThatLeftBefore(unittest.TestCase):
-    """An instance that was just started gets packets of flows to a target that left."""
+    """A new instance gets packets of flows to a target that left before it started."""
 
     COOKIE = compute_cookie("i-99")
 
@@ -77,41 +77,41 @@
     def verdict(self, now_s):
         return self.core.on_packet(data(flow_key(), self.COOKIE), b"", now_s)
 
-    def read(self, asked_s, targets=("i-1",)):
+    def read_list(self, asked_s, targets=("i-1",)):
         listed = [make_target(name, revision=30) for name in targets]
         self.core.on_target_list(listed, 40, asked_s + 0.1, asked_s)
 
-    def test_the_flow_is_reset_once_a_later_list_lacks_the_target(self):
+    def test_flow_is_reset_when_a_later_list_lacks_the_target(self):
         self.assertIsInstance(self.verdict(9.0), Hold)
         self.assertIsInstance(self.verdict(9.1), Hold)
-        self.read(asked_s=9.2)
+        self.read_list(asked_s=9.2)
         verdict = self.verdict(9.4)
         self.assertEqual(verdict.reason, ResetReason.TARGET_GONE)
         self.assertEqual(verdict.sequence, 500)
 
-    def test_a_list_that_was_asked_for_before_tells_nothing(self):
+    def test_list_requested_before_the_packet_is_not_sufficient(self):
         self.assertIsInstance(self.verdict(9.0), Hold)
-        self.read(asked_s=8.9)
+        self.read_list(asked_s=8.9)
         self.assertIsInstance(self.verdict(9.2), Hold)
 
-    def test_an_entry_that_may_return_after_an_outage_is_waited_for(self):
+    def test_flow_is_held_while_the_entry_may_return_after_an_outage(self):
         self.assertIsInstance(self.verdict(1.2), Hold)
-        self.read(asked_s=1.3)
+        self.read_list(asked_s=1.3)
         self.assertIsInstance(self.verdict(1.5), Hold)
-        self.read(asked_s=3.6)
+        self.read_list(asked_s=3.6)
         self.assertIsInstance(self.verdict(3.7), Reset)
 
-    def test_while_the_store_was_lost_nothing_was_settled(self):
+    def test_lists_before_an_outage_do_not_confirm_a_removal(self):
         self.core.on_unread(9.0)
         self.assertIsInstance(self.verdict(9.0), Hold)
-        self.read(asked_s=9.1)
+        self.read_list(asked_s=9.1)
         self.assertIsInstance(self.verdict(9.2), Hold)
-        self.read(asked_s=11.7)
+        self.read_list(asked_s=11.7)
         self.assertIsInstance(self.verdict(11.8), Reset)
 
-    def test_a_target_that_a_later_list_has_gets_its_packets(self):
+    def test_packets_are_forwarded_when_a_later_list_has_the_target(self):
         self.assertIsInstance(self.verdict(9.0), Hold)
-        self.read(asked_s=9.2, targets=("i-1", "i-99"))
+        self.read_list(asked_s=9.2, targets=("i-1", "i-99"))
         self.assertIsInstance(self.verdict(9.4), Forward)
 
 
@@ -137,7 +137,7 @@
         verdict = core.on_packet(opening(flow_key()), b"", 1.0)
         self.assertEqual(verdict.reason, ResetReason.NO_TARGET)
 
-    def test_nothing_is_decided_before_a_configuration_is_known(self):
+    def test_packets_are_held_until_configuration_and_targets_are_known(self):
         core = ForwardingCore(ForwardingSettings(zone="a"), lambda: 0.5)
         verdict = core.on_packet(opening(flow_key()), b"x", 1.0)
         self.assertEqual(verdict, Hold())
@@ -148,7 +148,7 @@
         self.assertEqual(release.data, b"x")
         self.assertEqual(release.verdict.belief.name, "i-1")
 
-    def test_packets_that_come_long_before_a_configuration_are_dropped(self):
+    def test_held_packets_are_bounded_and_expire(self):
         core = ForwardingCore(ForwardingSettings(zone="a"), lambda: 0.5)
         for number in range(300):
             verdict = core.on_packet(opening(flow_key(number)), b"x", 1.0)
@@ -159,7 +159,7 @@
         core.on_target_list([make_target("i-1", revision=1)], 10, 2.2)
         self.assertEqual(take(core, Release), [])
 
-    def test_a_placement_says_what_decided(self):
+    def test_placement_record_has_the_inputs_of_the_decision(self):
         self.core.effects.clear()
         belief = open_flow(self.core, flow_key(), 2.0)
         (note,) = take(self.core, Note)
@@ -179,7 +179,7 @@
         verdict = self.core.on_packet(data(flow_key(), self.cookie), b"", 1.0)
         self.assertEqual(verdict.belief.target, self.target)
 
-    def test_a_packet_without_cookie_goes_nowhere(self):
+    def test_packet_without_cookie_is_dropped(self):
         verdict = self.core.on_packet(data(flow_key(), 0), b"", 1.0)
         self.assertEqual(verdict, Drop(DropReason.NO_COOKIE))
 
@@ -190,22 +190,22 @@
         expected = Reset(flow_key(), 777, ResetReason.ROUTE_REMOVED, "i-5")
         self.assertEqual(verdict, expected)
 
-    def test_a_flow_of_a_route_that_was_never_seen_here_goes_on(self):
+    def test_flow_of_an_unknown_route_is_forwarded(self):
         verdict = self.core.on_packet(data(flow_key(port=999), self.cookie), b"", 1.0)
         self.assertIsInstance(verdict, Forward)
 
-    def test_a_route_that_is_back_is_no_longer_removed(self):
+    def test_flow_of_a_restored_route_is_forwarded(self):
         self.core.on_configuration(make_configuration(revision=2, ports=()), 1.0)
         self.core.on_configuration(make_configuration(revision=3), 2.0)
         verdict = self.core.on_packet(data(flow_key(), self.cookie), b"", 2.1)
         self.assertIsInstance(verdict, Forward)
 
-    def test_a_new_version_leaves_other_flows_where_they_are(self):
+    def test_new_configuration_does_not_affect_other_flows(self):
         self.core.on_configuration(make_configuration(revision=2), 1.0)
         verdict = self.core.on_packet(data(flow_key(), self.cookie), b"", 1.1)
         self.assertIsInstance(verdict, Forward)
 
-    def test_packets_that_go_on_to_a_target_in_doubt_are_noted_once(self):
+    def test_packets_to_a_target_in_doubt_are_logged_once(self):
         draining = make_target("i-5", phase=TargetPhase.DRAINING, revision=20)
         self.core.on_packet(data(flow_key(), self.cookie), b"", 1.0)
         self.core.on_target(draining, 2.0)
@@ -217,7 +217,7 @@
         self.assertEqual((note.name, note.reason), ("flow_goes_on", "draining"))
         self.assertEqual(note.age_s, 0.5)
 
-    def test_an_end_of_the_caller_is_passed_on(self):
+    def test_closing_packet_of_the_caller_is_forwarded(self):
         packet = Packet(flow_key(), False, True, self.cookie, 1, 2, 0)
         self.assertIsInstance(self.core.on_packet(packet, b"", 1.0), Forward)
         self.assertEqual(len(self.core.flows), 0)
@@ -228,35 +228,35 @@
         self.core = make_core([make_target("i-5", revision=1)])
         self.packet = data(flow_key(), compute_cookie("i-6"))
 
-    def test_it_is_held_and_asked_for_and_never_reset(self):
+    def test_packet_is_held_and_the_registry_is_read(self):
         self.assertEqual(self.core.on_packet(self.packet, b"x", 1.0), Hold())
-        asked, note = self.core.effects
-        self.assertEqual(asked, ReadRegistry())
+        registry_reads, note = self.core.effects
+        self.assertEqual(registry_reads, ReadRegistry())
         self.assertIn(f"{compute_cookie('i-6'):08x}", note.reason)
 
-    def test_it_is_released_when_its_target_is_known(self):
+    def test_packet_is_released_when_its_target_is_known(self):
         self.core.on_packet(self.packet, b"x", 1.0)
         self.core.effects.clear()
         self.core.on_target(make_target("i-6", revision=19), 1.1)
         (release,) = take(self.core, Release)
         self.assertEqual((release.data, release.verdict.belief.name), (b"x", "i-6"))
 
-    def test_it_is_dropped_with_a_note_when_nobody_knows_it(self):
+    def test_packet_is_dropped_and_logged_after_the_hold_time(self):
         self.core.on_packet(self.packet, b"x", 1.0)
         self.core.effects.clear()
         self.core.tick(2.0)
         (note,) = take(self.core, Note)
         self.assertEqual((note.name, note.age_s), ("packet_dropped", 1.0))
 
-    def test_a_flood_of_forged_cookies_is_bounded(self):
-        asked = 0
+    def test_forged_cookies_stay_within_the_limits(self):
+        registry_reads = 0
         for number in range(2000):
             packet = data(flow_key(number), 0x1000 + number)
             self.core.on_packet(packet, b"x", 1.0 + number / 1e4)
-            asked += len(take(self.core, ReadRegistry))
+            registry_reads += len(take(self.core, ReadRegistry))
         verdict = self.core.on_packet(self.packet, b"x", 1.2)
         self.assertEqual(verdict, Drop(DropReason.UNKNOWN_COOKIE))
-        self.assertEqual(asked, 1)
+        self.assertEqual(registry_reads, 1)
 
 
 class TestFlowTable(unittest.TestCase):
@@ -269,6 +269,6 @@
         self.assertEqual((belief.flows, belief.busy_flows), (50, 50))
         core.tick(60.9)
         self.assertEqual((belief.flows, belief.busy_flows), (50, 50))
-        # The time-out of the configuration, not that of the settings.
+        # The timeout of the configuration applies, not that of the settings.
         core.tick(61.1)
         self.assertEqual((belief.flows, belief.busy_flows), (0, 0))
--- a/endivepick/forwarding/tests/test_mechanisms.py
+++ b/endivepick/forwarding/tests/test_mechanisms.py
@@ -17,11 +17,11 @@
 )
 
 REPEAT_S = 0.2
-MANY = 40
+FLOWS = 40
 
 
 class TestMechanisms(unittest.TestCase):
-    """Each mechanism does something while it is on, and nothing while it is off."""
+    """Each mechanism has an effect while enabled, and none while disabled."""
 
     def core(self, *off, targets=None, **settings):
         if targets is None:
@@ -29,7 +29,7 @@
         used = Mechanisms(**dict.fromkeys(off, False))
         return make_core(targets, mechanisms=used, **settings)
 
-    def busy(self, core, caller_port=1):
+    def open_busy_flow(self, core, caller_port=1):
         """Open a flow with a request that its target does not answer."""
         flow = flow_key(caller_port)
         belief = open_flow(core, flow, 1.0)
@@ -37,11 +37,11 @@
         core.effects.clear()
         return flow, belief
 
-    def repeat(self, core, flow, belief):
+    def retransmit(self, core, flow, belief):
         core.on_packet(data(flow, belief.cookie), b"", 1.0 + REPEAT_S)
 
     def zones_of_flows(self, core):
-        flows = [flow_key(port) for port in range(MANY)]
+        flows = [flow_key(port) for port in range(FLOWS)]
         return {open_flow(core, flow, 1.0).target.zone for flow in flows}
 
     def test_own_zone_first(self):
@@ -62,7 +62,7 @@
         for off, most in ((), 3), (("copies_elsewhere",), 1):
             core = self.core(*off)
             core.registry.get("i-2").flows = core.registry.get("i-3").flows = 9
-            # So soon after each other that no target is suspected for it.
+            # The copies are too close together for a target to be suspected.
             times_s = (1.0, 1.05, 1.1)
             names = {
                 core.on_packet(opening(flow_key(), copy), b"", now_s).belief.name
@@ -73,7 +73,7 @@
     def test_probe_repetition(self):
         for off, probes in ((), 1), (("probe_repetition",), 0):
             core = self.core(*off)
-            self.repeat(core, *self.busy(core))
+            self.retransmit(core, *self.open_busy_flow(core))
             self.assertEqual(len(take(core, ProbeTarget)), probes)
 
     def test_probe_silent_openings(self):
@@ -87,8 +87,8 @@
     def test_probe_silent_zone(self):
         for off, probes in ((), 2), (("probe_silent_zone",), 0):
             core = self.core(*off)
-            flows = [self.busy(core, port) for port in range(3)]
-            self.repeat(core, *flows[0])
+            flows = [self.open_busy_flow(core, port) for port in range(3)]
+            self.retransmit(core, *flows[0])
             answer_probes(core, SILENT, 1.3)
             self.assertEqual(len(take(core, ProbeTarget)), probes)
 
@@ -98,11 +98,11 @@
             (("reset_unreachable",), []),
         ):
             core = self.core(*off)
-            flow, belief = self.busy(core)
-            self.repeat(core, flow, belief)
+            flow, belief = self.open_busy_flow(core)
+            self.retransmit(core, flow, belief)
             answer_probes(core, REFUSED, 1.3)
             self.assertEqual([r.reason for r in take(core, Reset)], reasons)
-            # What the registry has removed is reset all the same.
+            # Flows of a target that the registry removed are reset in both cases.
             core.on_target_removed(belief.name, 50, 2.0)
             core.tick(9.0, 9.0)
             again = core.on_packet(data(flow, belief.cookie), b"", 9.1)
@@ -111,11 +111,11 @@
     def test_judge_targets(self):
         for off, counted in ((), True), (("judge_targets",), False):
             core = self.core(*off)
-            flow, belief = self.busy(core)
+            flow, belief = self.open_busy_flow(core)
             core.on_packet(data(flow, belief.cookie, 401, 2500, 0), b"", 1.03)
             self.assertEqual(belief.requests.good > 0, counted)
 
-    def test_limits_of_what_is_off_have_no_effect(self):
+    def test_limits_of_disabled_mechanisms_have_no_effect(self):
         neutral = {
             "zone_headroom": ("zone_headroom", 1.0),
             "busy_flows_weigh": ("busy_weight", 0.0),
--- a/endivepick/forwarding/tests/test_placement.py
+++ b/endivepick/forwarding/tests/test_placement.py
@@ -10,7 +10,7 @@
 FLOWS = 3000
 
 
-def believe(name, zone="a", **fields):
+def make_belief(name, zone="a", **fields):
     reachability = fields.pop("reachability", Reachability.REACHABLE)
     belief = TargetBelief(make_target(name, zone), 1, TargetState.READY, 0.0)
     belief.reachability = reachability
@@ -19,8 +19,8 @@
     return belief
 
 
-def place(beliefs, flows, zones=3, tried=(), now_s=10.0, seed=3):
-    """Place flows one after the other; returns how many each target got."""
+def place_flows(beliefs, flows, zones=3, tried=(), now_s=10.0, seed=3):
+    """Place flows one after the other; returns the number of flows per target."""
     settings = ForwardingSettings(zone="a", zones=zones)
     source = random.Random(seed)
     placed = Counter()
@@ -35,79 +35,81 @@
 class TestChooseTarget(unittest.TestCase):
     def test_flows_stay_in_a_zone_that_has_its_share_of_the_slots(self):
         beliefs = [
-            *(believe(f"i-a{n}", "a") for n in range(2)),
-            *(believe(f"i-b{n}", "b") for n in range(3)),
-            *(believe(f"i-c{n}", "c") for n in range(2)),
+            *(make_belief(f"i-a{n}", "a") for n in range(2)),
+            *(make_belief(f"i-b{n}", "b") for n in range(3)),
+            *(make_belief(f"i-c{n}", "c") for n in range(2)),
         ]
-        placed = place(beliefs, FLOWS)
+        placed = place_flows(beliefs, FLOWS)
         self.assertEqual(set(placed), {"i-a0", "i-a1"})
         self.assertEqual(placed["i-a0"], placed["i-a1"])
 
-    def test_a_zone_that_lost_half_its_targets_sends_the_rest_to_the_others(self):
+    def test_zone_with_half_its_targets_sends_excess_flows_to_other_zones(self):
         beliefs = [
-            believe("i-a0", "a"),
-            *(believe(f"i-b{n}", "b") for n in range(3)),
-            *(believe(f"i-c{n}", "c") for n in range(2)),
+            make_belief("i-a0", "a"),
+            *(make_belief(f"i-b{n}", "b") for n in range(3)),
+            *(make_belief(f"i-c{n}", "c") for n in range(2)),
         ]
-        placed = place(beliefs, FLOWS)
-        # Half of its slots times the headroom of 1.3.
+        placed = place_flows(beliefs, FLOWS)
+        # Half of its share of the slots, times the headroom of 1.3.
         self.assertAlmostEqual(placed["i-a0"] / FLOWS, 0.65, delta=0.03)
 
     def test_a_zone_without_targets_uses_those_of_the_others(self):
-        beliefs = [believe(f"i-b{n}", "b") for n in range(3)]
-        self.assertEqual(sum(place(beliefs, 30).values()), 30)
+        beliefs = [make_belief(f"i-b{n}", "b") for n in range(3)]
+        self.assertEqual(sum(place_flows(beliefs, 30).values()), 30)
 
     def test_long_flows_are_even_over_targets(self):
-        beliefs = [believe(f"i-a{n}") for n in range(5)]
-        counts = place(beliefs, FLOWS, zones=1).values()
+        beliefs = [make_belief(f"i-a{n}") for n in range(5)]
+        counts = place_flows(beliefs, FLOWS, zones=1).values()
         self.assertLessEqual(max(counts) - min(counts), 1)
 
     def test_flows_leave_a_zone_whose_targets_have_queues(self):
-        own = [believe(f"i-a{n}", busy_flows=2) for n in range(2)]
-        far = [believe(f"i-b{n}", "b") for n in range(2)]
-        placed = place([*own, *far], 4, zones=2)
+        own = [make_belief(f"i-a{n}", busy_flows=2) for n in range(2)]
+        far = [make_belief(f"i-b{n}", "b") for n in range(2)]
+        placed = place_flows([*own, *far], 4, zones=2)
         self.assertEqual(set(placed), {"i-b0", "i-b1"})
 
     def test_copies_try_all_silent_targets_of_a_zone_that_was_cut_off(self):
         silent = Reachability.SILENT
-        beliefs = [believe(f"i-b{n}", "b", reachability=silent) for n in range(2)]
-        self.assertEqual(place(beliefs, 1, tried=("i-b0",))["i-b1"], 1)
+        beliefs = [make_belief(f"i-b{n}", "b", reachability=silent) for n in range(2)]
+        self.assertEqual(place_flows(beliefs, 1, tried=("i-b0",))["i-b1"], 1)
 
-    def test_a_large_service_is_filled_evenly_by_samples(self):
-        beliefs = [believe(f"i-{n:04x}") for n in range(300)]
-        counts = place(beliefs, FLOWS, zones=1)
+    def test_sampling_balances_a_large_service(self):
+        beliefs = [make_belief(f"i-{n:04x}") for n in range(300)]
+        counts = place_flows(beliefs, FLOWS, zones=1)
         self.assertEqual(len(counts), 300)
         self.assertLessEqual(max(counts.values()) - min(counts.values()), 3)
 
     def test_a_target_with_requests_in_progress_gets_fewer_flows(self):
-        busy = believe("i-a0", busy_flows=4)
-        idle = believe("i-a1")
-        placed = place([busy, idle], 10, zones=1)
+        busy = make_belief("i-a0", busy_flows=4)
+        idle = make_belief("i-a1")
+        placed = place_flows([busy, idle], 10, zones=1)
         self.assertEqual(placed["i-a1"], 10)
 
-    def test_a_cold_target_is_filled_to_its_smaller_capacity(self):
-        cold = believe("i-a0", cold_until_s=20.0)
-        warm = believe("i-a1")
-        placed = place([cold, warm], 800, zones=1)
+    def test_cold_target_is_loaded_by_its_reduced_capacity(self):
+        cold = make_belief("i-a0", cold_until_s=20.0)
+        warm = make_belief("i-a1")
+        placed = place_flows([cold, warm], 800, zones=1)
         self.assertAlmostEqual(placed["i-a0"] / placed["i-a1"], 0.6, delta=0.02)
 
     def test_a_copy_goes_to_a_target_that_was_not_tried(self):
-        beliefs = [believe("i-a0"), believe("i-a1", flows=50)]
-        placed = place(beliefs, 1, zones=1, tried=("i-a0",))
+        beliefs = [make_belief("i-a0"), make_belief("i-a1", flows=50)]
+        placed = place_flows(beliefs, 1, zones=1, tried=("i-a0",))
         self.assertEqual(placed["i-a1"], 1)
 
     def test_a_copy_returns_to_the_only_target(self):
-        self.assertEqual(place([believe("i-a0")], 1, tried=("i-a0",))["i-a0"], 1)
+        self.assertEqual(
+            place_flows([make_belief("i-a0")], 1, tried=("i-a0",))["i-a0"], 1
+        )
 
     def test_silent_and_suspect_targets_are_the_last_resort(self):
-        suspect = believe("i-a0", reachability=Reachability.SUSPECT)
-        silent = believe("i-a1", reachability=Reachability.SILENT)
-        far = believe("i-b0", "b", flows=500)
-        self.assertEqual(place([suspect, silent, far], 1)["i-b0"], 1)
-        self.assertEqual(sum(place([suspect, silent], 4).values()), 4)
+        suspect = make_belief("i-a0", reachability=Reachability.SUSPECT)
+        silent = make_belief("i-a1", reachability=Reachability.SILENT)
+        far = make_belief("i-b0", "b", flows=500)
+        self.assertEqual(place_flows([suspect, silent, far], 1)["i-b0"], 1)
+        self.assertEqual(sum(place_flows([suspect, silent], 4).values()), 4)
 
     def test_a_dead_target_is_never_chosen(self):
-        dead = believe("i-a0", reachability=Reachability.DEAD)
+        dead = make_belief("i-a0", reachability=Reachability.DEAD)
         settings = ForwardingSettings(zone="a")
         candidates = Candidates.of_zone("a", [dead])
         chosen = choose_target(settings, candidates, (), random.Random(1).random, 0.0)
--- a/endivepick/forwarding/tests/test_registry.py
+++ b/endivepick/forwarding/tests/test_registry.py
@@ -9,13 +9,13 @@
 from endivepick.forwarding.tests.support import make_target
 
 GRACE_S = 2.5
-MEMORY_S = 60.0
+RETENTION_S = 60.0
 
 
 class TestTargetRegistry(unittest.TestCase):
     def setUp(self):
         settings = ForwardingSettings(
-            zone="a", lapse_grace_s=GRACE_S, gone_memory_s=MEMORY_S
+            zone="a", lapse_grace_s=GRACE_S, gone_memory_s=RETENTION_S
         )
         self.registry = TargetRegistry(settings)
         self.targets = [make_target(f"i-{n}", revision=n) for n in range(1, 7)]
@@ -27,25 +27,25 @@
     def candidates(self):
         return sorted(b.name for b in self.registry.candidates("notes").every)
 
-    def sorted_for_zone(self):
+    def grouped_for_zone(self):
         candidates = self.registry.candidates("notes")
         own = sorted(b.name for b in candidates.own)
         return own, sorted(b.name for b in candidates.others), candidates.all_slots
 
-    def test_candidates_follow_what_is_believed_of_each(self):
-        self.assertEqual(len(self.sorted_for_zone()[0]), 6)
+    def test_candidates_follow_zone_and_reachability(self):
+        self.assertEqual(len(self.grouped_for_zone()[0]), 6)
         far = make_target("i-1", "b", revision=40, slots=5)
         self.registry.take_entry(far, 10.0)
         left = [f"i-{n}" for n in range(2, 7)]
-        self.assertEqual(self.sorted_for_zone(), (left, ["i-1"], 15))
+        self.assertEqual(self.grouped_for_zone(), (left, ["i-1"], 15))
         belief = self.registry.get("i-2")
         self.registry.reach(belief, ReachabilityEvent.PROBE_SILENT, "", 11.0)
-        self.assertEqual(self.sorted_for_zone(), (left[1:], ["i-1"], 13))
+        self.assertEqual(self.grouped_for_zone(), (left[1:], ["i-1"], 13))
         self.assertEqual(len(self.candidates()), 6)
         self.registry.reach(belief, ReachabilityEvent.PROBE_ALIVE, "", 12.0)
-        self.assertEqual(self.sorted_for_zone(), (left, ["i-1"], 15))
+        self.assertEqual(self.grouped_for_zone(), (left, ["i-1"], 15))
 
-    def test_an_entry_takes_little_on_its_way_between_instances(self):
+    def test_encoded_entry_is_small(self):
         target = make_target("i-7f3a91c2", "fukuoka-hall", revision=5312, created=5300)
         self.registry.take_entry(target, 1.0)
         news = self.registry.news_since(5311)
@@ -53,7 +53,7 @@
         self.assertLess(len(told), 160)
         self.assertEqual(msgspec.json.decode(told, type=type(news)), news)
 
-    def test_time_without_changes_makes_what_is_known_newer(self):
+    def test_revision_advances_without_changes(self):
         self.registry.seen(90)
         self.registry.seen(40)
         self.assertEqual((self.registry.revision, self.registry.told_from), (90, 6))
@@ -63,7 +63,7 @@
         fresh.seen(90)
         self.assertEqual(fresh.revision, 0)
 
-    def test_a_short_list_after_an_outage_does_not_take_the_targets_away(self):
+    def test_short_list_after_an_outage_keeps_the_targets(self):
         self.registry.take_list(self.targets[:1], 40, 10.0)
         self.registry.expire(10.0 + GRACE_S - 0.1)
         self.assertEqual(len(self.candidates()), 6)
@@ -85,7 +85,7 @@
         self.registry.expire(14.0 + GRACE_S)
         self.assertEqual(self.candidates(), ["i-1"])
 
-    def test_entries_are_not_given_up_while_the_store_says_nothing(self):
+    def test_entries_are_not_given_up_while_the_store_does_not_answer(self):
         self.registry.take_list([], 40, 10.0)
         over_s = 10.0 + GRACE_S
         self.registry.expire(over_s, heard_s=10.0)
@@ -95,7 +95,7 @@
         self.registry.expire(over_s, heard_s=over_s)
         self.assertEqual(self.candidates(), [])
 
-    def test_an_entry_that_stays_away_is_gone_after_the_grace(self):
+    def test_missing_entry_is_gone_after_the_grace(self):
         self.registry.take_list(self.targets[:1], 40, 10.0)
         changes = self.registry.expire(10.0 + GRACE_S)
         self.assertEqual(self.candidates(), ["i-1"])
@@ -128,14 +128,14 @@
         self.assertEqual(self.registry.take_entry(self.targets[1], 6.0), [])
         self.assertIs(self.state("i-2"), TargetState.DRAINING)
 
-    def test_a_target_that_is_gone_still_resolves_for_the_life_of_its_flows(self):
+    def test_cookie_of_a_gone_target_resolves_for_the_lifetime_of_its_flows(self):
         cookie = self.registry.get("i-2").cookie
         draining = make_target("i-2", phase=TargetPhase.DRAINING, revision=20)
         self.registry.take_entry(draining, 5.0)
         self.registry.take_removal("i-2", 25, 8.0)
-        self.registry.expire(8.0 + MEMORY_S - 1)
+        self.registry.expire(8.0 + RETENTION_S - 1)
         self.assertEqual(self.registry.find_by_cookie(cookie).name, "i-2")
-        self.registry.expire(8.0 + MEMORY_S)
+        self.registry.expire(8.0 + RETENTION_S)
         self.assertIsNone(self.registry.find_by_cookie(cookie))
 
     def test_a_dead_target_whose_entry_vanished_is_gone_at_once(self):
@@ -153,7 +153,7 @@
         self.registry.take_entry(draining, 2.0)
         self.assertEqual(len(self.candidates()), 6)
 
-    def test_a_tick_looks_only_at_targets_that_time_changes(self):
+    def test_unsettled_targets_are_those_that_a_tick_may_change(self):
         self.assertEqual(self.registry.unsettled, [])
         self.registry.take_removal("i-2", 25, 5.0)
         silent = self.registry.get("i-3")
@@ -164,7 +164,7 @@
         event = ReachabilityEvent.PROGRESS
         self.registry.reach(silent, event, "progress", 6.0)
         self.registry.expire(5.0 + GRACE_S)
-        self.registry.expire(5.0 + GRACE_S + MEMORY_S)
+        self.registry.expire(5.0 + GRACE_S + RETENTION_S)
         self.assertEqual(self.registry.unsettled, [])
 
     def test_a_target_that_was_gone_takes_flows_when_it_is_listed_again(self):
@@ -175,7 +175,7 @@
 
 
 class TestNewsBetweenInstances(unittest.TestCase):
-    """What one instance tells another brings both to the same beliefs."""
+    """Registry changes sent between instances give both the same state."""
 
     def setUp(self):
         settings = ForwardingSettings(zone="a", lapse_grace_s=GRACE_S)
@@ -184,7 +184,7 @@
         for registry in (self.feeder, self.fed):
             registry.take_list(self.targets, 6, 0.0)
 
-    def pass_on(self, now_s):
+    def send_news(self, now_s):
         news = self.feeder.news_since(self.fed.revision)
         self.fed.take_news(news, now_s)
         return news
@@ -196,35 +196,35 @@
         self.assertEqual(self.states(self.fed), self.states(self.feeder))
         self.assertEqual(self.fed.revision, self.feeder.revision)
 
-    def test_only_what_changed_is_told(self):
+    def test_only_changes_are_sent(self):
         draining = make_target("i-2", phase=TargetPhase.DRAINING, revision=20)
         self.feeder.take_entry(draining, 1.0)
         self.feeder.take_entry(make_target("i-7", revision=21, created=21), 1.0)
         self.feeder.take_removal("i-3", 22, 1.0)
-        news = self.pass_on(1.1)
+        news = self.send_news(1.1)
         self.assertEqual([t.name for t in news.targets], ["i-2", "i-7"])
         self.assertEqual([r.name for r in news.removed], ["i-3"])
         self.assertFalse(news.whole)
         self.assert_alike()
 
-    def test_a_draining_target_that_left_is_gone_there_as_well(self):
+    def test_draining_target_that_left_is_gone_at_the_fed_instance(self):
         draining = make_target("i-2", phase=TargetPhase.DRAINING, revision=20)
         self.feeder.take_entry(draining, 1.0)
-        self.pass_on(1.1)
+        self.send_news(1.1)
         self.feeder.take_removal("i-2", 25, 2.0)
-        self.pass_on(2.1)
+        self.send_news(2.1)
         self.assertIs(self.states(self.fed)["i-2"], TargetState.GONE)
 
-    def test_a_lapsed_entry_keeps_its_grace_however_often_it_is_told(self):
+    def test_repeated_news_does_not_extend_the_grace(self):
         self.feeder.take_removal("i-3", 20, 1.0)
-        self.pass_on(1.0)
+        self.send_news(1.0)
         for number in range(1, 4):
             self.feeder.take_entry(make_target("i-1", revision=20 + number), 2.0)
-            self.pass_on(1.0 + number / 2)
+            self.send_news(1.0 + number / 2)
         self.fed.expire(1.0 + GRACE_S)
         self.assertIs(self.states(self.fed)["i-3"], TargetState.GONE)
 
-    def test_what_vanished_before_the_feeder_knew_the_list_is_not_missed(self):
+    def test_removal_before_the_list_of_the_feeder_is_detected(self):
         self.fed.take_entry(make_target("i-9", revision=30), 1.0)
         late = TargetRegistry(ForwardingSettings(zone="a"))
         late.take_list(self.targets, 40, 2.0)
@@ -233,15 +233,15 @@
         self.fed.take_news(news, 2.0)
         self.assertIs(self.states(self.fed)["i-9"], TargetState.LAPSED)
 
-    def test_what_the_feeder_has_forgotten_is_not_missed(self):
+    def test_removal_that_the_feeder_no_longer_keeps_is_detected(self):
         self.feeder.take_removal("i-3", 20, 1.0)
         self.feeder.expire(1.0 + GRACE_S)
         self.feeder.expire(100.0)
         self.assertNotIn("i-3", self.states(self.feeder))
-        self.assertTrue(self.pass_on(100.0).whole)
+        self.assertTrue(self.send_news(100.0).whole)
         self.assertIs(self.states(self.fed)["i-3"], TargetState.LAPSED)
 
-    def test_news_of_a_feeder_that_is_behind_change_nothing(self):
+    def test_news_of_an_outdated_feeder_is_ignored(self):
         self.fed.take_entry(make_target("i-2", revision=50), 1.0)
         before = self.states(self.fed)
         self.fed.take_news(self.feeder.news_since(0), 2.0)
--- a/endivepick/forwarding/tests/test_restarts.py
+++ b/endivepick/forwarding/tests/test_restarts.py
@@ -1,8 +1,8 @@
-"""Targets that start again under their names.
+"""Targets that restart under their names.
 
-Load pattern: a target's process ends and starts within a second, so that callers hold
-flows that the new one does not know; instances hear of it by several ways, at several
-times.
+Load pattern: a target's process ends and restarts within a second.  Callers still hold
+flows that the new process does not know, and instances learn of the restart in several
+ways, at different times.
 """
 
 import unittest
@@ -36,8 +36,8 @@
 )
 
 EPOCH_S = 1_796_000_000.0
-"""Time of day at which the tests' own time is 0."""
-CLOCK_DIFFERENCE_S = 3.0
+"""Wall-clock time at which the time of the tests is 0."""
+MAX_CLOCK_DIFFERENCE_S = 3.0
 
 
 def born_ms(at_s):
@@ -52,7 +52,7 @@
     def setUp(self):
         self.core = make_core(
             [entry(f"i-{n}", revision=n, created=n) for n in range(1, 4)],
-            clock_difference_s=CLOCK_DIFFERENCE_S,
+            clock_difference_s=MAX_CLOCK_DIFFERENCE_S,
         )
         self.core.on_wall_clock(EPOCH_S)
 
@@ -60,7 +60,7 @@
         return self.core.registry.get(name)
 
     def open(self, opened_s, caller_port=500, port=ONCE_PORT, name="i-2"):
-        """Open a flow, idle at a target since that time; returns its key."""
+        """Open a flow at a target, idle since that time; returns its key."""
         cookie, flow = self.belief(name).cookie, flow_key(caller_port, port)
         self.core.on_packet(data(flow, cookie), b"", opened_s)
         self.core.on_packet(data(flow, cookie, 401, 2500, 0), b"", opened_s)
@@ -76,7 +76,7 @@
 
 
 class TestBeliefs(RestartCase):
-    def test_nothing_of_the_former_incarnation_counts(self):
+    def test_state_of_the_former_incarnation_is_discarded(self):
         self.open(5.0)
         belief = self.belief()
         for outcome in (SILENT, REFUSED):
@@ -89,7 +89,7 @@
         self.assertEqual(after.cold_until_s, 22.0)
         self.assertIs(after.state, TargetState.READY)
 
-    def test_a_target_that_drained_takes_flows_when_it_has_started_again(self):
+    def test_restarted_target_takes_flows_after_a_drain(self):
         draining = entry("i-2", phase=TargetPhase.DRAINING, revision=15)
         self.core.on_target(draining, 10.0)
         self.core.on_target_removed("i-2", 17, 12.0)
@@ -97,7 +97,7 @@
         names = {open_flow(self.core, flow_key(n), 20.1).name for n in range(40)}
         self.assertIn("i-2", names)
 
-    def test_a_late_word_on_the_former_one_changes_nothing(self):
+    def test_late_news_of_the_former_incarnation_is_ignored(self):
         self.restart(19.0, 20.0)
         draining = entry("i-2", phase=TargetPhase.DRAINING, revision=15)
         self.core.on_target(draining, 20.1)
@@ -105,14 +105,14 @@
         self.assertIs(self.belief().state, TargetState.READY)
         self.assertEqual(self.belief().target.born_ms, born_ms(19.0))
 
-    def test_the_word_with_the_newer_revision_holds(self):
+    def test_entry_with_the_newer_revision_wins(self):
         self.restart(19.0, 20.0)
         late = entry("i-2", phase=TargetPhase.DRAINING, revision=21)
         self.core.on_target(late, 20.1)
         self.assertEqual(self.belief().target.born_ms, born_ms(-100.0))
         self.assertIs(self.belief().state, TargetState.DRAINING)
 
-    def test_a_lapse_of_the_former_one_ends(self):
+    def test_lapse_of_the_former_incarnation_ends(self):
         self.core.on_target_removed("i-2", 15, 18.0)
         self.assertIs(self.belief().state, TargetState.LAPSED)
         self.restart(19.0, 20.0)
@@ -120,7 +120,7 @@
         self.assertIs(self.belief().state, TargetState.READY)
         self.assertEqual(self.core.registry.unsettled, [])
 
-    def test_one_that_serves_another_service_now_gets_no_flows_of_the_former(self):
+    def test_restarted_target_of_another_service_gets_no_flows_of_the_former(self):
         self.restart(19.0, 20.0, service="packs")
         names = {open_flow(self.core, flow_key(n), 20.1).name for n in range(40)}
         self.assertEqual(names, {"i-1", "i-3"})
@@ -133,7 +133,7 @@
         names = {open_flow(self.core, flow_key(n), 20.1).name for n in range(40)}
         self.assertEqual(names, {"i-1", "i-3"})
 
-    def test_an_entry_that_does_not_say_when_it_started_is_of_the_same_one(self):
+    def test_entry_without_start_time_belongs_to_the_same_incarnation(self):
         flow = self.open(5.0)
         belief = self.belief()
         self.core.on_target(make_target("i-2", revision=20), 20.0)
@@ -152,13 +152,13 @@
         self.assertIs(reset.reason, ResetReason.TARGET_RESTARTED)
         self.assertIsNone(self.core.flows.get(flow))
 
-    def test_flows_of_other_targets_are_left_alone(self):
+    def test_flows_of_other_targets_are_kept(self):
         self.open(5.0, name="i-1")
         self.restart(19.0, 20.0)
         self.assertEqual(self.resets(), [])
 
-    def test_a_flow_that_may_be_open_at_the_new_one_is_left_to_it(self):
-        # Opened after the start, before anybody here knew of it.
+    def test_flow_opened_after_the_start_is_kept(self):
+        # Opened after the start, before this instance learned of the restart.
         flow = self.open(19.5)
         self.restart(19.0, 22.0)
         self.assertEqual(self.resets(), [])
@@ -167,13 +167,13 @@
         self.assertEqual(self.belief().flows, 1)
         self.assertIs(self.core.flows.get(flow).belief, self.belief())
 
-    def test_a_store_that_was_away_for_long_resets_no_live_flow(self):
+    def test_news_delayed_by_an_outage_resets_no_live_flow(self):
         old, new = self.open(5.0, 1), self.open(25.0, 2)
         self.restart(19.0, 60.0)
         self.assertEqual(self.resets(), [old])
         self.assertIsNotNone(self.core.flows.get(new))
 
-    def test_clocks_that_differ_reset_no_live_flow(self):
+    def test_clock_difference_resets_no_live_flow(self):
         for ahead_s in (-2.9, 2.9):
             self.setUp()
             self.open(19.1)
@@ -181,26 +181,26 @@
             with self.subTest(ahead_s):
                 self.assertEqual(self.resets(), [])
 
-    def test_a_clock_that_jumps_back_here_resets_no_live_flow(self):
+    def test_wall_clock_that_jumps_back_resets_no_live_flow(self):
         self.open(19.1)
         self.core.on_wall_clock(EPOCH_S - 30.0)
         self.restart(19.0, 60.0)
         self.assertEqual(self.resets(), [])
 
-    def test_without_a_clock_nothing_is_reset(self):
+    def test_no_flow_is_reset_before_the_wall_clock_is_known(self):
         self.core = make_core([entry("i-2", revision=2)])
         self.open(5.0)
         self.restart(19.0, 20.0)
         self.assertEqual(self.resets(), [])
 
-    def test_a_flow_that_is_not_open_yet_is_left_alone(self):
+    def test_flow_that_is_not_open_yet_is_kept(self):
         self.core = make_core([entry("i-2", revision=2)])
         self.core.on_wall_clock(EPOCH_S)
         open_flow(self.core, flow_key(1), 5.0)
         self.restart(19.0, 20.0)
         self.assertEqual(self.resets(), [])
 
-    def test_closed_flows_of_the_former_one_do_not_count_for_the_new(self):
+    def test_closed_flow_is_not_subtracted_from_the_new_incarnation(self):
         flow = self.open(19.5)
         self.restart(19.0, 20.0)
         self.core.flows.end(flow)
@@ -213,7 +213,7 @@
         result = ProbeResult("i-2", outcome, born_ms(probed_s), shown_ms)
         self.core.on_probe(result, now_s)
 
-    def test_a_probe_of_the_former_one_says_nothing_of_the_new(self):
+    def test_probe_of_the_former_incarnation_is_ignored(self):
         self.restart(19.0, 20.0)
         self.open(20.2)
         self.probe(REFUSED)
@@ -221,13 +221,13 @@
         self.assertIs(self.belief().reachability, Reachability.REACHABLE)
         self.assertEqual(self.resets(), [])
 
-    def test_a_probe_names_the_incarnation(self):
+    def test_probe_has_the_start_time_of_the_incarnation(self):
         self.open(5.0)
         self.core.on_hint("i-2", 6.0)
         (probe,) = take(self.core, ProbeTarget)
         self.assertEqual(probe.target.born_ms, born_ms(-100.0))
 
-    def test_an_answer_tells_of_a_start_before_the_registry_does(self):
+    def test_probe_answer_reveals_a_restart_before_the_registry(self):
         flow = self.open(5.0)
         self.probe(ALIVE, shown_s=19.0)
         self.assertEqual(self.resets(), [flow])
@@ -236,7 +236,7 @@
         self.restart(19.0, 21.0)
         self.assertIs(self.belief(), before)
 
-    def test_an_answer_keeps_what_the_registry_says(self):
+    def test_probe_answer_keeps_the_registry_state(self):
         draining = entry("i-2", phase=TargetPhase.DRAINING, revision=15)
         self.core.on_target(draining, 10.0)
         self.core.on_target_removed("i-3", 16, 18.0)
@@ -248,41 +248,41 @@
         self.core.tick(21.0)
         self.assertIs(self.belief("i-3").state, TargetState.GONE)
 
-    def test_an_answer_with_an_older_start_changes_nothing(self):
+    def test_probe_answer_with_an_older_start_time_is_ignored(self):
         self.restart(19.0, 20.0)
         self.probe(ALIVE, probed_s=19.0, shown_s=-100.0)
         self.assertEqual(self.belief().target.born_ms, born_ms(19.0))
 
 
-class TestTellingOthers(unittest.TestCase):
+class TestNewsOfRestarts(unittest.TestCase):
     def setUp(self):
         settings = ForwardingSettings(zone="a")
         self.feeder, self.fed = TargetRegistry(settings), TargetRegistry(settings)
         for registry in (self.feeder, self.fed):
             registry.take_list([entry("i-2", revision=2)], 6, 0.0)
 
-    def told(self):
+    def pending_news(self):
         return self.feeder.news_since(self.fed.revision)
 
-    def test_those_who_are_fed_know_the_new_incarnation(self):
+    def test_fed_instance_learns_the_new_incarnation(self):
         self.feeder.take_entry(entry("i-2", 19.0, revision=20), 20.0)
-        self.fed.take_news(self.told(), 20.0)
+        self.fed.take_news(self.pending_news(), 20.0)
         self.assertEqual(self.fed.get("i-2").target.born_ms, born_ms(19.0))
         self.assertEqual(len(self.fed.restarts), 1)
 
-    def test_a_feeder_of_the_build_before_tells_no_start(self):
+    def test_feeder_of_an_older_build_sends_no_start_time(self):
         self.feeder.take_entry(entry("i-2", 19.0, revision=20), 20.0)
-        news = msgspec.to_builtins(self.told())
+        news = msgspec.to_builtins(self.pending_news())
         news["targets"] = [fields[:-1] for fields in news["targets"]]
-        told = msgspec.convert(news, type(self.told()))
-        self.assertEqual(told.targets[0].born_ms, 0)
-        self.fed.take_news(told, 20.0)
+        older_news = msgspec.convert(news, type(self.pending_news()))
+        self.assertEqual(older_news.targets[0].born_ms, 0)
+        self.fed.take_news(older_news, 20.0)
         self.assertEqual(self.fed.restarts, [])
-        # The store tells it, at the same revision.
+        # The store's list has the start time, at the same revision.
         self.fed.take_list([entry("i-2", 19.0, revision=20)], 20, 21.0)
         self.assertEqual(len(self.fed.restarts), 1)
 
-    def test_an_instance_of_the_build_before_reads_what_is_told(self):
+    def test_instance_of_an_older_build_reads_the_news(self):
         class TargetBefore(msgspec.Struct, array_like=True):
             name: str
             number: int
--- a/endivepick/forwarding/tests/test_routes.py
+++ b/endivepick/forwarding/tests/test_routes.py
@@ -14,7 +14,7 @@
         self.assertEqual(table.find(flow_key(port=443)).name, "r443")
         self.assertIsNone(table.find(flow_key(port=444)))
 
-    def test_versions_never_go_back(self):
+    def test_older_versions_are_ignored(self):
         table = RouteTable()
         self.assertTrue(table.take_in(make_configuration(revision=9, ports=()), 0.0))
         self.assertFalse(table.take_in(make_configuration(revision=8), 1.0))
@@ -39,12 +39,12 @@
         services = {select_service(route, flow_key(7)) for _ in range(10)}
         self.assertEqual(len(services), 1)
 
-    def test_flows_follow_the_weights(self):
+    def test_flows_are_distributed_by_weight(self):
         route = self.route(("a", 90), ("b", 10))
         chosen = [select_service(route, flow_key(port)) for port in range(FLOWS)]
         self.assertAlmostEqual(chosen.count("b") / FLOWS, 0.1, delta=0.03)
 
-    def test_a_weight_of_zero_gets_nothing(self):
+    def test_service_of_weight_zero_gets_no_flows(self):
         route = self.route(("a", 0), ("b", 1), ("c", 0))
         chosen = {select_service(route, flow_key(port)) for port in range(FLOWS)}
         self.assertEqual(chosen, {"b"})
