--- a/endivepick/forwarding/tests/test_routes.py
+++ b/endivepick/forwarding/tests/test_routes.py
@@ -1,7 +1,7 @@
 import unittest
 
 from endivepick.forwarding.model import Route, RouteKind, ServiceShare
-from endivepick.forwarding.routes import RouteTable, service_of
+from endivepick.forwarding.routes import RouteTable, select_service
 from endivepick.forwarding.tests.support import flow_key, make_configuration
 
 FLOWS = 2000
@@ -14,7 +14,7 @@
         self.assertEqual(table.find(flow_key(port=443)).name, "r443")
         self.assertIsNone(table.find(flow_key(port=444)))
 
-    def test_versions_never_go_back(self):
+    def test_older_versions_are_ignored(self):
         table = RouteTable()
         self.assertTrue(table.take_in(make_configuration(revision=9, ports=()), 0.0))
         self.assertFalse(table.take_in(make_configuration(revision=8), 1.0))
@@ -36,15 +36,15 @@
 
     def test_all_copies_of_an_opening_reach_one_service(self):
         route = self.route(("a", 1.0), ("b", 1.0))
-        services = {service_of(route, flow_key(7)) for _ in range(10)}
+        services = {select_service(route, flow_key(7)) for _ in range(10)}
         self.assertEqual(len(services), 1)
 
-    def test_flows_follow_the_weights(self):
+    def test_flows_are_distributed_by_weight(self):
         route = self.route(("a", 90), ("b", 10))
-        chosen = [service_of(route, flow_key(port)) for port in range(FLOWS)]
+        chosen = [select_service(route, flow_key(port)) for port in range(FLOWS)]
         self.assertAlmostEqual(chosen.count("b") / FLOWS, 0.1, delta=0.03)
 
-    def test_a_weight_of_zero_gets_nothing(self):
+    def test_service_of_weight_zero_gets_no_flows(self):
         route = self.route(("a", 0), ("b", 1), ("c", 0))
-        chosen = {service_of(route, flow_key(port)) for port in range(FLOWS)}
+        chosen = {select_service(route, flow_key(port)) for port in range(FLOWS)}
         self.assertEqual(chosen, {"b"})
