--- a/endivepick/forwarding/registry.py
+++ b/endivepick/forwarding/registry.py
@@ -67,7 +67,7 @@
         """Whether a complete list was read."""
         self.revision = 0
         """Store revision up to which entries are known."""
-        self.told_from = 0
+        self.oldest_delta_revision = 0
         """Oldest revision from which a delta can be computed; a list hides earlier
         removals."""
 
@@ -121,7 +121,7 @@
         """Whether a cookie belongs to an existing entry that was never readable."""
         return cookie in self._unreadable_cookies
 
-    def take_list(
+    def apply_list(
         self,
         targets: Iterable[Target],
         revision: int,
@@ -149,43 +149,43 @@
         self.known = True
         # Entries created and removed since the last update are neither in the list
         # nor known here.
-        self.told_from = revision
+        self.oldest_delta_revision = revision
         self.revision = revision
         self._unreadable_cookies.clear()
-        changes = [c for target in listed for c in self._take(target, now_s)]
+        changes = [c for target in listed for c in self._apply_entry(target, now_s)]
         names = {target.name for target in listed}
         for name in unreadable:
             names.add(name)
             changes += self.mark_unreadable(name, revision, now_s)
         for name in list(self._beliefs):
             if name not in names:
-                changes += self.take_removal(name, revision, now_s)
+                changes += self.apply_removal(name, revision, now_s)
         return changes
 
-    def seen(self, revision: int) -> None:
+    def advance_revision(self, revision: int) -> None:
         """Advance the known revision; nothing else changed up to it."""
         if self.known:
             self.revision = max(self.revision, revision)
 
-    def take_news(self, news: RegistryNews, now_s: float) -> list[BeliefChange]:
+    def apply_news(self, news: RegistryNews, now_s: float) -> list[BeliefChange]:
         """Apply changes that another instance sent, if they are newer."""
         if news.revision <= self.revision:
             return []
         if news.whole:
             unreadable = [each.name for each in news.removed if each.unreadable]
-            return self.take_list(news.targets, news.revision, now_s, unreadable)
+            return self.apply_list(news.targets, news.revision, now_s, unreadable)
         changes: list[BeliefChange] = []
         for target in news.targets:
-            changes += self._take(target, now_s)
+            changes += self._apply_entry(target, now_s)
         for each in news.removed:
-            apply_one = self.mark_unreadable if each.unreadable else self.take_removal
+            apply_one = self.mark_unreadable if each.unreadable else self.apply_removal
             changes += apply_one(each.name, each.revision, now_s)
         self.revision = max(self.revision, news.revision)
         return changes
 
     def news_since(self, revision: int) -> RegistryNews:
         """Return the changes since a revision, or a snapshot if it is too old."""
-        whole = revision < self.told_from
+        whole = revision < self.oldest_delta_revision
         newer = [b for b in self if whole or b.revision > revision]
         present = (TargetState.READY, TargetState.DRAINING)
         targets = [b.target for b in newer if b.state in present]
@@ -196,7 +196,7 @@
         ]
         return RegistryNews(targets, removed, whole, self.revision)
 
-    def take_entry(self, target: Target, now_s: float) -> list[BeliefChange]:
+    def apply_entry(self, target: Target, now_s: float) -> list[BeliefChange]:
         """Apply one change unless a newer one is known; changes arrive in order.
 
         If an entry is unknown although its revision is not newer than the known
@@ -205,9 +205,9 @@
         if target.name not in self._beliefs and target.revision <= self.revision:
             return []
         self.revision = max(self.revision, target.revision)
-        return self._take(target, now_s)
+        return self._apply_entry(target, now_s)
 
-    def _take(self, target: Target, now_s: float) -> list[BeliefChange]:
+    def _apply_entry(self, target: Target, now_s: float) -> list[BeliefChange]:
         belief = self._beliefs.get(target.name)
         if belief is None:
             return [self._add(target, now_s)]
@@ -256,7 +256,7 @@
         event = TargetEvent.ENTRY_UNREADABLE
         return self._apply_event(belief, event, "entry unreadable", now_s)
 
-    def take_removal(
+    def apply_removal(
         self, name: str, revision: int, now_s: float
     ) -> list[BeliefChange]:
         """Apply the removal of an entry, unless it was written again since."""
@@ -265,7 +265,7 @@
         self._unreadable_cookies.pop(compute_cookie(name), None)
         if belief is None:
             # Created and removed unnoticed: a delta cannot contain its removal.
-            self.told_from = max(self.told_from, revision)
+            self.oldest_delta_revision = max(self.oldest_delta_revision, revision)
             return []
         if revision < belief.revision:
             return []
@@ -332,7 +332,7 @@
             if belief.state is TargetState.LAPSED:
                 belief.state_since_s = now_s
 
-    def reach(
+    def record_reachability(
         self,
         belief: TargetBelief,
         event: ReachabilityEvent,
@@ -360,7 +360,7 @@
             changes += self._apply_event(belief, TargetEvent.FOUND_DEAD, reason, now_s)
         return changes
 
-    def judge(
+    def record_fitness(
         self, belief: TargetBelief, event: FitnessEvent, reason: str, now_s: float
     ) -> list[BeliefChange]:
         """Apply evidence on whether a target serves the requests it receives."""
@@ -435,7 +435,7 @@
             self._unsettled[belief.name] = belief
 
     def _forget(self, belief: TargetBelief) -> None:
-        self.told_from = max(self.told_from, belief.revision)
+        self.oldest_delta_revision = max(self.oldest_delta_revision, belief.revision)
         self._remove(belief)
 
     def _remove(self, belief: TargetBelief) -> None:
--- a/endivepick/forwarding/checks.py
+++ b/endivepick/forwarding/target_checks.py
@@ -9,7 +9,7 @@
 from endivepick.addresses import host_number
 from endivepick.forwarding.model import Target
 
-__all__ = ["check_target", "number_of_name"]
+__all__ = ["check_target", "parse_target_number"]
 
 MAX_NAME_LENGTH = 128
 """Characters; names are written into paths and log lines."""
@@ -28,7 +28,7 @@
 _HEX_DIGITS = frozenset("0123456789abcdefABCDEF")
 
 
-def number_of_name(name: str) -> int:
+def parse_target_number(name: str) -> int:
     """Return the 64-bit number that identifies a target in packets.
 
     It is given by the hexadecimal digits of the target's name.
@@ -40,7 +40,7 @@
 
     Examples
     --------
-    >>> hex(number_of_name("i-7f3a91c2"))
+    >>> hex(parse_target_number("i-7f3a91c2"))
     '0x7f3a91c2'
     """
     prefix, _, digits = name.partition("-")
@@ -77,7 +77,7 @@
         raise ValueError(
             f"name must be at most {MAX_NAME_LENGTH} letters, digits, '-', '_' or '.'"
         )
-    if target.number != number_of_name(target.name):
+    if target.number != parse_target_number(target.name):
         raise ValueError("number must be the one that the name ends with")
     if not target.service or not target.zone:
         raise ValueError("service and zone must not be empty")
--- a/endivepick/forwarding/tests/test_changes.py
+++ b/endivepick/forwarding/tests/test_changes.py
@@ -5,12 +5,12 @@
 from hypothesis import strategies as st
 
 from endivepick.forwarding import Configuration, Route, RouteKind, ServiceShare
-from endivepick.forwarding.changes import (
+from endivepick.forwarding.configuration_changes import (
     MAX_CHANGE_ROUTES,
     MAX_HISTORY_CHANGES,
     ChangeHistory,
     apply_change,
-    change_between,
+    compute_change,
 )
 from endivepick.forwarding.routes import RouteTable
 
@@ -64,7 +64,7 @@
 
     def test_change_does_not_apply_to_another_version(self):
         first, second, third = make_versions([{}, {"r-1": "notes"}, {"r-2": "notes"}])
-        change = change_between(second, third)
+        change = compute_change(second, third)
         self.assertIsNone(apply_change(first, change))
         self.assertEqual(apply_change(second, change), third)
 
@@ -72,7 +72,7 @@
         first, second = make_versions(
             [{"r-1": "notes"}, {"r-1": "notes", "r-2": "notes"}]
         )
-        change = msgspec.structs.replace(change_between(first, second), route_count=3)
+        change = msgspec.structs.replace(compute_change(first, second), route_count=3)
         self.assertIsNone(apply_change(first, change))
 
 
@@ -112,7 +112,7 @@
         for version in range(10):
             routes[version] = route(f"r-{version}", "packs", port=version)
             configuration = Configuration(version, 50 + version, tuple(routes))
-            table.take_in(configuration, float(version))
+            table.apply_configuration(configuration, float(version))
         whole = len(msgspec.json.encode(configuration))
         one = len(msgspec.json.encode(table.change_since(58)))
         all_ten = len(msgspec.json.encode(table.change_since(50)))
--- a/endivepick/forwarding/tests/test_restarts.py
+++ b/endivepick/forwarding/tests/test_restarts.py
@@ -259,27 +259,27 @@
         settings = ForwardingSettings(zone="a")
         self.feeder, self.fed = TargetRegistry(settings), TargetRegistry(settings)
         for registry in (self.feeder, self.fed):
-            registry.take_list([entry("i-2", revision=2)], 6, 0.0)
+            registry.apply_list([entry("i-2", revision=2)], 6, 0.0)
 
     def pending_news(self):
         return self.feeder.news_since(self.fed.revision)
 
     def test_fed_instance_learns_the_new_incarnation(self):
-        self.feeder.take_entry(entry("i-2", 19.0, revision=20), 20.0)
-        self.fed.take_news(self.pending_news(), 20.0)
+        self.feeder.apply_entry(entry("i-2", 19.0, revision=20), 20.0)
+        self.fed.apply_news(self.pending_news(), 20.0)
         self.assertEqual(self.fed.get("i-2").target.born_ms, born_ms(19.0))
         self.assertEqual(len(self.fed.restarts), 1)
 
     def test_feeder_of_an_older_build_sends_no_start_time(self):
-        self.feeder.take_entry(entry("i-2", 19.0, revision=20), 20.0)
+        self.feeder.apply_entry(entry("i-2", 19.0, revision=20), 20.0)
         news = msgspec.to_builtins(self.pending_news())
         news["targets"] = [fields[:-1] for fields in news["targets"]]
         older_news = msgspec.convert(news, type(self.pending_news()))
         self.assertEqual(older_news.targets[0].born_ms, 0)
-        self.fed.take_news(older_news, 20.0)
+        self.fed.apply_news(older_news, 20.0)
         self.assertEqual(self.fed.restarts, [])
         # The store's list has the start time, at the same revision.
-        self.fed.take_list([entry("i-2", 19.0, revision=20)], 20, 21.0)
+        self.fed.apply_list([entry("i-2", 19.0, revision=20)], 20, 21.0)
         self.assertEqual(len(self.fed.restarts), 1)
 
     def test_instance_of_an_older_build_reads_the_news(self):
