--- a/endivepick/forwarding/forwarder.py
+++ b/endivepick/forwarding/forwarder.py
@@ -159,7 +159,7 @@
 
     def on_registry_revision(self, revision: int) -> None:
         """Advance the registry revision up to which all changes were applied."""
-        self.registry.seen(revision)
+        self.registry.advance_revision(revision)
 
     def on_registry_news(self, news: RegistryNews, now_s: float) -> None:
         """Apply changes that another instance sent, if they are newer."""
--- a/endivepick/forwarding/routes.py
+++ b/endivepick/forwarding/routes.py
@@ -19,9 +19,11 @@
     Examples
     --------
     >>> table = RouteTable()
-    >>> table.apply_configuration(Configuration(version=7, revision=3, routes=()), now_s=1.0)
+    >>> newer = Configuration(version=7, revision=3, routes=())
+    >>> older = Configuration(version=6, revision=2, routes=())
+    >>> table.apply_configuration(newer, now_s=1.0)
     True
-    >>> table.apply_configuration(Configuration(version=6, revision=2, routes=()), now_s=2.0)
+    >>> table.apply_configuration(older, now_s=2.0)
     False
     """
 
