--- a/endivepick/core/answer.py
+++ b/endivepick/core/answer.py
@@ -1,4 +1,4 @@
-"""Answer of one request, cut into numbered parts that wait for the caller."""
+"""Answer of one request, split into numbered parts and buffered for the caller."""
 
 from collections.abc import Iterator
 from dataclasses import dataclass, field
@@ -8,55 +8,55 @@
 
 __all__ = ["AnswerBuffer"]
 
-INITIAL_WINDOW_PARTS = 64
-LARGEST_WINDOW_PARTS = 512
-TAIL_REPEAT_PARTS = 32
-"""Parts sent again when the caller asks and has none."""
+WINDOW_PARTS_INITIAL = 64
+WINDOW_PARTS_MAX = 512
+FIRST_REPEAT_PARTS_MAX = 32
+"""Limit of parts retransmitted to a caller that has received none."""
 
 
 @dataclass(slots=True)
 class AnswerBuffer:
-    """Parts that the caller has not acknowledged yet.
+    """Answer parts that the caller has not acknowledged yet.
 
-    The buffer has no timers: the caller asks for what is missing.
+    The buffer has no timers: the caller requests retransmission of missing parts.
 
     Attributes
     ----------
     base_index : int
-        Number of the first part held.
+        Index of the first buffered part.
     sent_index : int
-        Parts below this number were sent at least once.
+        Index below which every part was sent at least once.
     final : bool
-        The last part is in.
+        Whether the last part is in the buffer.
     window_parts : int
-        How far beyond the acknowledged part the caller accepts parts.
+        Number of parts beyond the acknowledged ones that the caller accepts.
     size_bytes : int
-        Size of the parts held.
+        Size of the buffered parts.
     """
 
     base_index: int = 0
     sent_index: int = 0
     final: bool = False
-    window_parts: int = INITIAL_WINDOW_PARTS
+    window_parts: int = WINDOW_PARTS_INITIAL
     size_bytes: int = 0
     parts: list[bytes] = field(default_factory=list)
 
     @property
     def next_index(self) -> int:
-        """Number that the next part will get."""
+        """Index of the next part to append."""
         return self.base_index + len(self.parts)
 
     def begin(self, head: AnswerHead) -> None:
-        """Append part 0, the status and headers."""
+        """Append part 0, which holds the status and headers."""
         self._append(encode_struct(head))
 
     def extend(self, data: bytes) -> None:
-        """Append body bytes."""
+        """Append body bytes, split into parts."""
         for start in range(0, len(data), PART_SIZE_BYTES):
             self._append(data[start : start + PART_SIZE_BYTES])
 
     def finish(self) -> None:
-        """Mark the last part; an empty one if the last has been sent already."""
+        """Mark the last part; append an empty one if all parts were sent already."""
         if self.sent_index >= self.next_index:
             self._append(b"")
         self.final = True
@@ -68,38 +68,38 @@
     def acknowledge(
         self, next_index: int, missing: list[int], window_parts: int
     ) -> list[int]:
-        """Take the caller's report.
+        """Process an acknowledgement of the caller.
 
         Parameters
         ----------
         next_index : int
-            All parts below this number arrived.
+            Index below which the caller has received every part.
         missing : list of int
-            Later parts that did not arrive.
+            Later parts that the caller lacks.
         window_parts : int
-            How many parts beyond ``next_index`` the caller accepts.
+            Number of parts beyond ``next_index`` that the caller accepts.
 
         Returns
         -------
         list of int
-            Parts to send again.
+            Parts to retransmit.
         """
-        self.window_parts = max(1, min(window_parts, LARGEST_WINDOW_PARTS))
-        overtaken = next_index < self.base_index
-        # After a hand-over the caller may be ahead of what was sent from here.
+        self.window_parts = max(1, min(window_parts, WINDOW_PARTS_MAX))
+        is_stale = next_index < self.base_index
+        # After a handover the caller may have parts that this instance did not send.
         self._drop_below(min(next_index, self.next_index))
         self.sent_index = max(self.sent_index, self.base_index)
-        if overtaken:
+        if is_stale:
             return []
         if missing:
-            wanted = missing[:LARGEST_WINDOW_PARTS]
+            wanted = missing[:WINDOW_PARTS_MAX]
             return [index for index in wanted if self._was_sent(index)]
         if next_index == 0 and self.sent_index:
-            # The caller has nothing yet, so it cannot name what is missing.
+            # A caller without any part cannot name the missing ones.
             return list(
                 range(
                     self.base_index,
-                    min(self.sent_index, self.base_index + TAIL_REPEAT_PARTS),
+                    min(self.sent_index, self.base_index + FIRST_REPEAT_PARTS_MAX),
                 )
             )
         return []
@@ -116,14 +116,14 @@
         self.base_index = index
 
     def unsent(self) -> Iterator[int]:
-        """Yield the parts that the window allows to send for the first time."""
+        """Yield the unsent parts that the window allows, and mark them as sent."""
         limit = min(self.next_index, self.base_index + self.window_parts)
         while self.sent_index < limit:
             self.sent_index += 1
             yield self.sent_index - 1
 
     def packet(self, flow_id: int, binding: int, seq: int, index: int) -> AnswerPart:
-        """Build the packet of one part."""
+        """Return the packet of one part."""
         final = self.final and index == self.next_index - 1
         data = self.parts[index - self.base_index]
         return AnswerPart(flow_id, binding, seq, index, final, data)
--- a/endivepick/core/delivery.py
+++ b/endivepick/core/delivery.py
@@ -1,11 +1,16 @@
-"""Delivery of answers: the caller reports what it has and gets what is missing."""
+"""Delivery of answers, with retransmission driven by caller acknowledgements."""
 
 from endivepick.core.actions import Action, SendToCaller
 from endivepick.core.executor import RequestExecutor
 from endivepick.core.flow import OwnedFlow, OwnedRequest
 from endivepick.core.held import send_unsent_parts
 from endivepick.core.messages import Acknowledge, RequestProgress
-from endivepick.core.replies import accepted, forgotten, progress, repeat_state
+from endivepick.core.replies import (
+    reply_accepted,
+    reply_answer_forgotten,
+    reply_current_state,
+    reply_progress,
+)
 from endivepick.core.settings import FlowSettings
 from endivepick.core.window import SeqState
 
@@ -13,49 +18,51 @@
 
 
 class AnswerDelivery:
-    """Answers acknowledgements; it has no timers, the caller asks again.
+    """Handles acknowledgements.
+
+    It has no timers: the caller repeats an acknowledgement that gets no reply.
 
     Parameters
     ----------
     settings : FlowSettings
         Limits.
     executor : RequestExecutor
-        Resumes streams and cancels what is not wanted any more.
+        Executor that resumes streams and cancels requests.
     """
 
     def __init__(self, settings: FlowSettings, executor: RequestExecutor) -> None:
         self._settings = settings
         self._executor = executor
 
-    def acknowledged(
+    def handle_acknowledge(
         self, flow: OwnedFlow, packet: Acknowledge, now_s: float
     ) -> list[Action]:
-        """Take a caller's report of a flow that is held here."""
+        """Handle an acknowledgement of a flow in the table."""
         request = flow.requests.get(packet.seq)
         if request is None:
-            return self._acknowledge_unknown(flow, packet)
+            return self._reply_unknown_request(flow, packet)
         request.heard_at_s = now_s
         if packet.done:
-            return self._done(flow, request, now_s)
+            return self._finish_request(flow, request, now_s)
         if request.state == "receiving":
-            return [progress(flow, request)]
+            return [reply_progress(flow, request)]
         if request.answer is None:
-            actions = repeat_state(flow, request)
+            actions = reply_current_state(flow, request)
         else:
             actions = self._continue_answer(flow, request, packet)
         if request.state == "suspended":
             actions += self._resume_if_drained(flow, request, now_s)
         return actions
 
-    def _acknowledge_unknown(
+    def _reply_unknown_request(
         self, flow: OwnedFlow, packet: Acknowledge
     ) -> list[Action]:
         if packet.done:
             return []
         if flow.window.state(packet.seq) is SeqState.CLAIMED:
-            return [forgotten(flow, packet.seq)]
-        missing_all = RequestProgress(flow.flow_id, flow.binding, packet.seq, 0, [])
-        return [SendToCaller(flow.caller, missing_all)]
+            return [reply_answer_forgotten(flow, packet.seq)]
+        none_received = RequestProgress(flow.flow_id, flow.binding, packet.seq, 0, [])
+        return [SendToCaller(flow.caller, none_received)]
 
     def _continue_answer(
         self,
@@ -75,8 +82,8 @@
         ]
         actions += send_unsent_parts(flow, request)
         if not actions:
-            # The caller learns that its stream or request is still known.
-            actions.append(accepted(flow, request.seq))
+            # Confirms to the caller that its request or stream is still known.
+            actions.append(reply_accepted(flow, request.seq))
         return actions
 
     def _resume_if_drained(
@@ -87,7 +94,7 @@
             return []
         return self._executor.resume(flow, request, now_s)
 
-    def _done(
+    def _finish_request(
         self, flow: OwnedFlow, request: OwnedRequest, now_s: float
     ) -> list[Action]:
         if request.state == "receiving":
@@ -97,6 +104,6 @@
             actions = self._executor.cancel(flow, request, now_s)
         flow.requests.pop(request.seq, None)
         if not flow.requests:
-            # A dictionary keeps its room; most flows are idle most of the time.
+            # An emptied dictionary keeps its memory, and most flows are idle.
             flow.requests = {}
         return actions
--- a/endivepick/core/flow.py
+++ b/endivepick/core/flow.py
@@ -1,4 +1,4 @@
-"""Flows and requests as their owner holds them."""
+"""State of flows and requests at their owner."""
 
 from dataclasses import dataclass, field
 
@@ -11,7 +11,7 @@
 __all__ = ["OwnedFlow", "OwnedRequest"]
 
 _CHART = load_chart("owned_request")
-_TARGET_BOUND = frozenset({"waiting", "running"})
+_DISPATCHER_STATES = frozenset({"waiting", "running"})
 
 
 @dataclass(slots=True)
@@ -21,37 +21,38 @@
     Attributes
     ----------
     seq : int
-        Number within the flow.
+        Sequence number within the flow.
     idempotent : bool
-        Whether it may run more than once.
+        Whether the request may run more than once.
     deadline_at_s : float
-        When the caller stops waiting.
+        Time at which the caller stops waiting.
     state : str
-        State of the chart ``owned_request``.
+        State in the chart ``owned_request``.
     parts : dict
-        Request parts that arrived, by index; empty once the request is complete.
+        Received request parts by index; empty once the request is complete.
     part_count : int
-        Number of parts.
+        Number of request parts.
     head : RequestHead or None
-        The request, once complete.
+        Decoded request, once complete.
     answer : AnswerBuffer or None
-        The answer, once it begins.
+        Buffered answer, once it begins.
     verdict : Refused or Outcome or None
-        The final word, if there is no answer.
+        Final reply of a request that has no answer.
     submissions : int
-        How often the dispatcher got it.
+        Number of submissions to the dispatcher.
     attempt : int
-        Number of the present attempt, 0 before the first.
+        Number of the current attempt; 0 before the first.
     may_have_run : bool
-        An attempt broke off after its start, so that "not run" would be untrue.
+        Whether an attempt was interrupted after its start, so that the reply
+        "not run" would be wrong.
     last_event_id : str
-        Last event of a stream that is in the answer.
+        ID of the last stream event in the answer.
     heard_at_s : float
-        When the caller last spoke of it.
+        Time of the caller's last packet about the request.
     accepted_at_s : float
-        When it was complete at this owner, 0 before.
+        Time at which the request was complete at this owner; 0 before.
     last_failure : str
-        How its last attempt ended without an answer, empty if none did.
+        Kind of the last attempt's failure; empty if no attempt failed.
     """
 
     seq: int
@@ -72,29 +73,29 @@
     last_failure: str = ""
 
     def step(self, event: str) -> None:
-        """Follow the chart."""
+        """Apply an event of the state chart."""
         self.state = _CHART.step(self.state, event)
 
     def allows(self, event: str) -> bool:
-        """Tell whether the chart has this event in the present state."""
+        """Return whether the state chart allows an event in the current state."""
         return _CHART.allows(self.state, event)
 
     @property
     def in_progress(self) -> bool:
-        """Whether a planned stop has to wait for it.
+        """Whether a planned stop waits for the request.
 
-        Streams and requests that wait for a target are handed over.
+        Streams and requests that wait for a target are handed over instead.
         """
         return self.state == "running" and not self.is_stream
 
     @property
     def at_dispatcher(self) -> bool:
-        """Whether the dispatcher knows it."""
-        return self.state in _TARGET_BOUND
+        """Whether the dispatcher holds the request."""
+        return self.state in _DISPATCHER_STATES
 
     @property
     def can_resume(self) -> bool:
-        """Whether it is a stream that has begun and can go on at another target."""
+        """Whether the request is a started stream that another target can resume."""
         return self.is_stream and self.attempt > 0
 
     @property
@@ -105,7 +106,7 @@
 
 @dataclass(slots=True)
 class OwnedFlow:
-    """One binding and its replay window.
+    """One binding of a flow and its replay window.
 
     Attributes
     ----------
@@ -116,21 +117,22 @@
     service : str
         Service of the flow.
     target : str
-        Target that the flow is pinned to; empty if any will do.
+        Target that the flow is pinned to; empty if it is not pinned.
     window : ReplayWindow
-        Request numbers seen.
+        Sequence numbers of claimed requests.
     caller : tuple
-        Address that the last packet came from.
+        Source address of the last packet.
     heard_at_s : float
-        When the last packet came.
+        Time of the last packet.
     requests : dict
-        Requests by number that are not done.
+        Unfinished requests by sequence number.
     frozen : bool
-        Handed to a successor, or about to be: nothing runs here any more.
+        Whether the flow is being handed over or has been; its requests no longer
+        run at this instance.
     closed : bool
-        The caller has closed the flow.
+        Whether the caller has closed the flow.
     activity : FlowActivity
-        How fast it has sent requests of late.
+        Recent request rate of the flow.
     """
 
     flow_id: int
@@ -147,10 +149,10 @@
 
     @property
     def in_progress(self) -> bool:
-        """Whether a request has begun and not ended."""
+        """Whether a planned stop waits for a request of the flow."""
         return any(request.in_progress for request in self.requests.values())
 
     @property
     def is_unused(self) -> bool:
-        """Whether it never claimed a request, so that it can be forgotten."""
-        return self.window.is_untouched and not self.requests
+        """Whether the flow has no request and never claimed one."""
+        return self.window.is_unclaimed and not self.requests
--- a/endivepick/core/flow_table.py
+++ b/endivepick/core/flow_table.py
@@ -1,4 +1,4 @@
-"""Table of the flows that one instance owns or has handed over."""
+"""Table of the flows that an instance owns or has handed over."""
 
 from collections import Counter
 from collections.abc import Callable, Iterator
@@ -16,11 +16,11 @@
 __all__ = ["FlowTable", "Identity"]
 
 CLOCK_SKEW_MARGIN_S = 600.0
-"""How far the clock of a token's issuer may run ahead, in seconds."""
+"""Tolerated clock lead of a token's issuer, in seconds."""
 UNUSED_FLOWS_MAX = 65_536
-"""Flows without a request that are kept; a flood of openings cannot hold more."""
+"""Limit of flows without a request; bounds their memory in a flood of opens."""
 LOOK_EVERY_S = 3600.0
-"""Time in which expiry looks at each flow once, in seconds."""
+"""Period in which the expiry scan visits each flow once, in seconds."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -32,12 +32,13 @@
 
 
 class FlowTable:
-    """Flows by binding.
+    """Flows of this instance by binding.
 
-    A binding gets its empty window once: when this instance draws it, or when it
-    adopts what a relay drew.  A binding that is not here and cannot be adopted was
-    forgotten, and nothing of it ever runs again; so closed flows need not be kept.
-    An open flow is kept until its token has expired, so that its caller may be idle.
+    A binding gets an empty replay window exactly once: when this instance creates
+    it, or when this instance adopts a binding that a relay created.  A binding that
+    is neither in the table nor adoptable was removed earlier, and none of its
+    requests runs again; closed flows therefore need not be kept.  An open flow is
+    kept until its token has expired, so that its caller may be idle.
 
     Parameters
     ----------
@@ -48,7 +49,8 @@
     new_id : callable
         Returns a random 64-bit number.
     unused_max : int
-        Flows without a request that are kept however long their callers wait.
+        Number of flows without a request that are kept regardless of their idle
+        time.
     """
 
     def __init__(
@@ -64,16 +66,16 @@
         self._flows: dict[int, OwnedFlow] = {}
         self._counts: Counter[str] = Counter()
         self._successors: dict[int, Identity] = {}
-        self._with_requests: dict[int, OwnedFlow] = {}
+        self._active: dict[int, OwnedFlow] = {}
         self._unused_max = unused_max
         self._token_kept_s = settings.token_lifetime_s + CLOCK_SKEW_MARGIN_S
         self._adopted = AdoptedBindings(self._token_kept_s)
-        # Both in the order of time, the oldest first.
+        # Both are ordered by time, oldest first.
         self._unused: dict[int, OwnedFlow] = {}
         self._closed_at_s: dict[int, float] = {}
-        self._to_look_at: list[int] = []
-        self._round_size = 0
-        self._looked_at_s: float | None = None
+        self._scan_queue: list[int] = []
+        self._scan_size = 0
+        self._scanned_at_s: float | None = None
 
     def __len__(self) -> int:
         return len(self._flows)
@@ -85,48 +87,48 @@
         self._flows[flow.binding] = flow
         self._counts[flow.service] += 1
         if flow.requests:
-            self.note_request(flow)
+            self.mark_active(flow)
         elif flow.is_unused:
             self._unused[flow.binding] = flow
 
     def _remove(self, binding: int) -> None:
         flow = self._flows.pop(binding, None)
-        for others in (self._with_requests, self._unused, self._closed_at_s):
+        for others in (self._active, self._unused, self._closed_at_s):
             others.pop(binding, None)
         if flow is not None:
             self._counts[flow.service] -= 1
 
     @property
     def services(self) -> set[str]:
-        """Services of which a flow is held."""
+        """Names of the services with a flow in the table."""
         return {service for service, count in self._counts.items() if count}
 
-    def note_request(self, flow: OwnedFlow) -> None:
-        """Take note that a flow holds a request."""
+    def mark_active(self, flow: OwnedFlow) -> None:
+        """Mark a flow as having a request."""
         self._unused.pop(flow.binding, None)
-        self._with_requests[flow.binding] = flow
+        self._active[flow.binding] = flow
 
-    def with_requests(self) -> list[OwnedFlow]:
-        """Return the flows that hold a request; few of those that are held."""
-        self._with_requests = {
+    def list_active_flows(self) -> list[OwnedFlow]:
+        """Return the flows with a request, which are few of all flows."""
+        self._active = {
             binding: flow
-            for binding, flow in self._with_requests.items()
+            for binding, flow in self._active.items()
             if flow.requests and binding in self._flows
         }
-        return list(self._with_requests.values())
+        return list(self._active.values())
 
     def get(self, binding: int) -> OwnedFlow | None:
-        """Return the flow that holds a binding, if this instance does."""
+        """Return the flow of a binding, or None if it is not in the table."""
         return self._flows.get(binding)
 
     def successor(self, binding: int) -> Identity | None:
-        """Return who took a binding over from this instance."""
+        """Return the instance that a binding was handed over to, if any."""
         return self._successors.get(binding)
 
     def open(
         self, service: str, target: str, caller: CallerAddress, now_s: float
     ) -> OwnedFlow:
-        """Create a flow with a new id and binding."""
+        """Create a flow with a new ID and binding."""
         flow = OwnedFlow(
             flow_id=self._new_id(),
             binding=self._new_id(),
@@ -140,18 +142,18 @@
         return flow
 
     def may_adopt(self, token: FlowToken) -> bool:
-        """Tell whether a binding that names this incarnation was never held here.
+        """Return whether a binding that names this incarnation is new here.
 
-        Only a relay draws bindings of which their owner does not know.  All others
-        that are not here were forgotten.
+        Only a relay creates bindings that their owner does not know.  Any other
+        binding that is not in the table was removed earlier.
         """
         return token.drawn_by_relay and token.binding not in self._adopted
 
     def adopt(self, token: FlowToken, caller: CallerAddress, now_s: float) -> OwnedFlow:
-        """Create the flow of a token that a relay issued in this owner's name.
+        """Create the flow of a token that a relay issued on behalf of this owner.
 
-        An empty window is right: the binding was drawn for this incarnation, and
-        it is adopted once only (see `may_adopt`).
+        The empty window is correct because the binding was created for this
+        incarnation and is adopted only once (see `may_adopt`).
         """
         self._adopted.add(token.binding)
         flow = OwnedFlow(
@@ -167,30 +169,30 @@
         return flow
 
     def restore(self, flow: OwnedFlow) -> bool:
-        """Take a handed-over flow in; False if the binding is here already."""
+        """Add a flow of a handover; return False if its binding is known already."""
         if flow.binding in self._flows or flow.binding in self._successors:
             return False
         self._add(flow)
         return True
 
-    def note_closed(self, flow: OwnedFlow, now_s: float) -> None:
-        """Take note that its caller has closed a flow."""
+    def mark_closed(self, flow: OwnedFlow, now_s: float) -> None:
+        """Mark a flow as closed by its caller."""
         flow.closed = True
         self._unused.pop(flow.binding, None)
         self._closed_at_s.setdefault(flow.binding, now_s)
 
     def drop_closed(self) -> None:
-        """Forget all flows that are closed: no successor has to know of them."""
+        """Remove all closed flows, which are not handed over to a successor."""
         for binding in list(self._closed_at_s):
             self._remove(binding)
 
     def release(self, binding: int, successor: Identity) -> None:
-        """Forget a flow that a successor holds, and remember the successor."""
+        """Remove a flow that a successor has taken, and record the successor."""
         self._remove(binding)
         self._successors[binding] = successor
 
     def token(self, flow: OwnedFlow, now_s: float) -> FlowToken:
-        """Build a token that names this instance as the flow's owner."""
+        """Return a token that names this instance as the flow's owner."""
         return FlowToken(
             service=flow.service,
             flow_id=flow.flow_id,
@@ -202,24 +204,24 @@
         )
 
     def expire(self, now_s: float) -> list[OwnedFlow]:
-        """Drop flows that were closed, unused beyond the limit, or whose token expired.
+        """Remove closed flows, excess unused flows and flows with an expired token.
 
         Returns
         -------
         list of OwnedFlow
-            What was dropped.
+            Removed flows.
         """
         self._adopted.expire(now_s)
         dropped: list[OwnedFlow] = []
-        for find in (self._closed_long_ago, self._unused_beyond_limit, self._expired):
+        for find in (self._find_closed, self._find_excess_unused, self._find_expired):
             found = find(now_s)
             for flow in found:
                 self._remove(flow.binding)
             dropped += found
         return dropped
 
-    def _closed_long_ago(self, now_s: float) -> list[OwnedFlow]:
-        """Return closed flows of which hardly any packet is under way."""
+    def _find_closed(self, now_s: float) -> list[OwnedFlow]:
+        """Return flows closed long enough ago that late packets are unlikely."""
         found = []
         for binding, closed_at_s in self._closed_at_s.items():
             if now_s - closed_at_s <= self._settings.unacknowledged_s:
@@ -227,37 +229,37 @@
             found.append(self._flows[binding])
         return found
 
-    def _unused_beyond_limit(self, now_s: float) -> list[OwnedFlow]:
+    def _find_excess_unused(self, now_s: float) -> list[OwnedFlow]:
         excess = max(0, len(self._unused) - self._unused_max)
         found = []
         for flow in list(islice(self._unused.values(), excess)):
             if not flow.is_unused:
-                # Its request was cancelled before it came.
+                # A cancellation that overtook its request has claimed a number.
                 del self._unused[flow.binding]
-            elif self._is_silent(flow, now_s, self._settings.unacknowledged_s):
+            elif self._is_inactive(flow, now_s, self._settings.unacknowledged_s):
                 found.append(flow)
         return found
 
-    def _expired(self, now_s: float) -> list[OwnedFlow]:
-        """Look at the next share of all flows for those whose token has expired."""
+    def _find_expired(self, now_s: float) -> list[OwnedFlow]:
+        """Scan the next share of all flows for expired tokens."""
         share = 1.0
-        if self._looked_at_s is not None:
-            share = min(1.0, (now_s - self._looked_at_s) / LOOK_EVERY_S)
-        self._looked_at_s = now_s
+        if self._scanned_at_s is not None:
+            share = min(1.0, (now_s - self._scanned_at_s) / LOOK_EVERY_S)
+        self._scanned_at_s = now_s
         if not share:
             return []
-        if not self._to_look_at:
-            self._to_look_at = list(self._flows)
-            self._round_size = len(self._to_look_at)
-        rest = max(0, len(self._to_look_at) - ceil(self._round_size * share))
-        look_at = self._to_look_at[rest:]
-        del self._to_look_at[rest:]
-        flows = [self._flows[one] for one in look_at if one in self._flows]
+        if not self._scan_queue:
+            self._scan_queue = list(self._flows)
+            self._scan_size = len(self._scan_queue)
+        remaining = max(0, len(self._scan_queue) - ceil(self._scan_size * share))
+        scanned = self._scan_queue[remaining:]
+        del self._scan_queue[remaining:]
+        flows = [self._flows[one] for one in scanned if one in self._flows]
         return [
-            flow for flow in flows if self._is_silent(flow, now_s, self._token_kept_s)
+            flow for flow in flows if self._is_inactive(flow, now_s, self._token_kept_s)
         ]
 
-    def _is_silent(self, flow: OwnedFlow, now_s: float, limit_s: float) -> bool:
-        # The successor of a frozen flow may hold it already: it stays known as
-        # frozen until the successor has answered.
+    def _is_inactive(self, flow: OwnedFlow, now_s: float, limit_s: float) -> bool:
+        # A successor may already have taken a frozen flow.  The flow stays in the
+        # table as frozen until the successor has replied.
         return not flow.frozen and now_s - flow.heard_at_s > limit_s
--- a/endivepick/core/held.py
+++ b/endivepick/core/held.py
@@ -1,4 +1,4 @@
-"""A request together with the flow that it belongs to."""
+"""Request together with the flow that it belongs to."""
 
 from dataclasses import dataclass
 
@@ -6,22 +6,22 @@
 from endivepick.core.dispatch import CostClass, RequestIntent
 from endivepick.core.flow import OwnedFlow, OwnedRequest
 
-__all__ = ["HeldRequest", "send_unsent_parts"]
+__all__ = ["FlowRequest", "send_unsent_parts"]
 
 COST_CLASS_HEADER = "endivepick-cost"
-"""Header by which a caller says that its request takes long."""
+"""Request header in which a caller declares the cost class."""
 
 
 @dataclass(frozen=True, slots=True)
-class HeldRequest:
-    """One request of a flow that is held here.
+class FlowRequest:
+    """One request and its flow.
 
     Attributes
     ----------
     flow : OwnedFlow
-        The flow.
+        Flow of the request.
     request : OwnedRequest
-        The request.
+        Request of the flow.
     """
 
     flow: OwnedFlow
@@ -29,16 +29,16 @@
 
     @property
     def request_id(self) -> RequestId:
-        """Name of this submission in events and decisions."""
+        """Identifier of the current submission in events and decisions."""
         return (self.flow.binding, self.request.seq, self.request.submissions)
 
     @property
     def idempotency_key(self) -> str:
-        """Key that all attempts of the request carry."""
+        """Idempotency key that all attempts of the request share."""
         return f"{self.flow.flow_id:016x}-{self.flow.binding:016x}-{self.request.seq}"
 
     def ids(self, **more: object) -> dict[str, object]:
-        """Return what log events about the request name."""
+        """Return the identifying fields of log events about the request."""
         return {
             "flow": self.flow.flow_id,
             "binding": self.flow.binding,
@@ -49,7 +49,7 @@
         }
 
     def intent(self) -> RequestIntent:
-        """Describe the request to the dispatcher."""
+        """Return the description of the request for the dispatcher."""
         flow, request = self.flow, self.request
         others = [
             other
@@ -79,7 +79,7 @@
 
 
 def send_unsent_parts(flow: OwnedFlow, request: OwnedRequest) -> list[Action]:
-    """Send the parts of an answer that the caller's window allows."""
+    """Send the unsent answer parts that the caller's window allows."""
     answer = request.answer
     assert answer is not None
     return [
--- a/endivepick/core/instance.py
+++ b/endivepick/core/instance.py
@@ -1,4 +1,4 @@
-"""Decision core of one instance: events in, actions out."""
+"""Decision core of an instance, which maps events to actions."""
 
 from collections.abc import Callable
 
@@ -32,7 +32,7 @@
 from endivepick.core.handover_exchange import HandOverExchange
 from endivepick.core.lifecycle import Lifecycle, LifecycleAction
 from endivepick.core.member_actions import MemberActions
-from endivepick.core.open_pings import OpenPings
+from endivepick.core.open_pings import PendingPings
 from endivepick.core.owner import FlowOwner
 from endivepick.core.peer_messages import (
     Forwarded,
@@ -61,22 +61,22 @@
 
 
 class InstanceCore:
-    """Everything that an instance decides.
+    """Decision logic of an instance, without input and output.
 
-    It has no sockets and no clock; random numbers come from ``new_id``.
+    It uses no sockets and no clock; random numbers are derived from ``new_id``.
 
     Parameters
     ----------
     settings : CoreSettings
-        Settings of all parts.
+        Settings of all components.
     incarnation : int
-        Random 64-bit number drawn at the start of the process.
+        Random 64-bit number generated at the start of the process.
     peer_address : str
-        ``host:port`` that peers reach this instance at.
+        ``host:port`` at which peers reach this instance.
     new_id : callable
         Returns a random 64-bit number.
     now_s : float
-        Present time, in seconds since the epoch, of a clock that never goes back.
+        Current time of a monotonic clock, in seconds since the epoch.
     """
 
     def __init__(
@@ -138,7 +138,7 @@
             self._choose_successor,
             self.relay.is_lost,
             self.relay.takes_flows,
-            self._somebody_joins,
+            self._has_joining_peer,
             self._peers.ready_names,
         )
         self.lifecycle = Lifecycle(
@@ -172,7 +172,7 @@
             settings, self.membership, self.catalog, sources, self._random_number
         )
         self._members = MemberActions(
-            self._member_changed, self.roles.forget_peer, self._leave
+            self._member_changed, self.roles.on_peer_ended, self._begin_leaving
         )
         self._exchange = HandOverExchange(
             self.me,
@@ -182,19 +182,19 @@
             self.roles,
             lambda: self.lifecycle.stopping,
         )
-        self._open_pings = OpenPings(settings.membership)
+        self._pending_pings = PendingPings(settings.membership)
         self._peer_failed = False
         self._next_expiry_s = now_s + EXPIRY_EVERY_S
 
     @property
     def quiescent(self) -> bool:
-        """Whether ticks are needed only for what is done now and then.
+        """Whether ticks are needed for periodic work only.
 
-        They are needed soon for a probe of a peer that has no answer, after a
-        failed send, and after a change among the instances.
+        A tick is needed soon while a ping is unacknowledged, after a failed send to
+        a peer, and after a membership change.
         """
-        awaited = self._open_pings or self._peer_failed
-        return not (awaited or self.configuration.members_dirty)
+        needs_tick_soon = self._pending_pings or self._peer_failed
+        return not (needs_tick_soon or self.configuration.members_dirty)
 
     def _random_number(self) -> float:
         return self._new_id() / RANDOM_RANGE
@@ -206,21 +206,21 @@
             return None
         return Identity(name, incarnation)
 
-    def _somebody_joins(self) -> bool:
+    def _has_joining_peer(self) -> bool:
         views = self.membership.view().values()
         return any(view.joining for view in views if view.name != self.me.name)
 
     def start(self) -> list[Action]:
-        """Note that all sockets are bound."""
+        """Start the lifecycle; call this once all sockets are bound."""
         return self.lifecycle.listen()
 
     def handle(self, event: Event, now_s: float) -> list[Action]:
-        """Take one event and return what to do about it."""
+        """Process one event and return the resulting actions."""
         match event:
             case CallerDatagram(caller=caller, datagram=datagram):
-                return self._datagram(caller, datagram, 0, now_s)
+                return self._handle_datagram(caller, datagram, 0, now_s)
             case PeerMessage():
-                return self._peer_message(event, now_s)
+                return self._handle_peer_message(event, now_s)
             case AttemptAnswered():
                 return self.executor.answered(event, now_s)
             case AttemptFailed():
@@ -255,7 +255,7 @@
             case Tick():
                 return self._tick(now_s)
 
-    def _datagram(
+    def _handle_datagram(
         self, caller: tuple[str, int], datagram: bytes, hops: int, now_s: float
     ) -> list[Action]:
         if self.catalog.keys.keyring is None:
@@ -266,11 +266,11 @@
         except (PacketInvalidError, TokenInvalidError) as error:
             return [Count("packets_dropped", error.reason)]
 
-    def _peer_message(self, event: PeerMessage, now_s: float) -> list[Action]:
+    def _handle_peer_message(self, event: PeerMessage, now_s: float) -> list[Action]:
         sender = Identity(event.sender, event.incarnation)
         match event.message:
             case RelayedPacket(caller=caller, hops=hops, datagram=datagram):
-                return self._datagram(caller, datagram, hops, now_s)
+                return self._handle_datagram(caller, datagram, hops, now_s)
             case InFlightReport():
                 return self.roles.on_report(sender.name, event.message, now_s)
             case TargetDraining():
@@ -283,40 +283,42 @@
             case message if isinstance(message, RecordsMessage):
                 return self.configuration.handle(event, now_s)
             case _:
-                return self._membership_message(event, now_s)
+                return self._handle_membership_message(event, now_s)
 
-    def _membership_message(self, event: PeerMessage, now_s: float) -> list[Action]:
+    def _handle_membership_message(
+        self, event: PeerMessage, now_s: float
+    ) -> list[Action]:
         if isinstance(event.message, Ack):
-            self._open_pings.answered(event.sender, event.message)
+            self._pending_pings.record_ack(event.sender, event.message)
         news = self.membership.on_message(
             now_s, event.sender, event.incarnation, event.message
         )
         actions = self._members.translate(news, now_s)
-        self._open_pings.sent(actions, now_s)
+        self._pending_pings.record_sent(actions, now_s)
         return actions
 
-    def _leave(self, now_s: float) -> list[LifecycleAction]:
+    def _begin_leaving(self, now_s: float) -> list[LifecycleAction]:
         self.configuration.members_dirty = True
         return self.lifecycle.begin_stop(now_s)
 
     def _begin_stop(self, now_s: float) -> list[Action]:
-        return self._members.translate(self._leave(now_s), now_s)
+        return self._members.translate(self._begin_leaving(now_s), now_s)
 
     def _member_changed(self, now_s: float) -> list[Action]:
-        # A lost zone brings hundreds of these: the next tick acts on all at once.
+        # The loss of a zone causes hundreds of changes; the next tick handles all.
         self.configuration.members_dirty = True
-        self.roles.review_soon()
+        self.roles.schedule_review()
         return []
 
     def _tick(self, now_s: float) -> list[Action]:
         translate = self._members.translate
         actions = translate(self.membership.tick(now_s, self._new_id()), now_s)
         self._peer_failed = False
-        self._open_pings.prune(now_s)
-        self._open_pings.sent(actions, now_s)
+        self._pending_pings.remove_expired(now_s)
+        self._pending_pings.record_sent(actions, now_s)
         actions += self.configuration.tick(self._random_number(), now_s)
         actions += self._writers.tick(now_s)
-        readiness = self.lifecycle.check_ready(self._missing(), now_s)
+        readiness = self.lifecycle.check_ready(self._describe_missing(), now_s)
         actions += translate(readiness, now_s)
         actions += self.roles.tick(now_s)
         actions += self.owner.tick(now_s)
@@ -327,8 +329,8 @@
                 self.executor.flow_removed(flow, now_s)
         return actions
 
-    def _missing(self) -> str:
-        """Return what keeps this instance from being ready."""
+    def _describe_missing(self) -> str:
+        """Return why this instance is not ready; empty if nothing is missing."""
         if self.configuration.missing:
             return self.configuration.missing
         return "" if self.membership.joined else "no peer has answered yet"
--- a/endivepick/core/intake.py
+++ b/endivepick/core/intake.py
@@ -1,4 +1,4 @@
-"""Intake of requests: parts in, one complete request to the dispatcher."""
+"""Reassembly and admission of requests."""
 
 from endivepick.core.actions import Action, Count, Log, SendToCaller
 from endivepick.core.codec import decode_struct
@@ -12,11 +12,11 @@
     RequestPart,
 )
 from endivepick.core.replies import (
-    accepted,
-    come_back,
-    forgotten,
-    progress,
-    repeat_state,
+    reply_accepted,
+    reply_answer_forgotten,
+    reply_current_state,
+    reply_progress,
+    reply_retry_later,
 )
 from endivepick.core.settings import FlowSettings
 from endivepick.core.window import SeqState
@@ -24,23 +24,23 @@
 
 __all__ = ["RequestIntake"]
 
-PUT_OFF_S = 1.0
-"""How long a leaving owner puts requests off, and then takes them, in seconds."""
+DEFER_PERIOD_S = 1.0
+"""Alternating period of deferring and admitting requests while leaving, in seconds."""
 PARTS_PER_PROGRESS = 8
-"""Request parts after which the owner reports what it has."""
+"""Number of received request parts per progress reply."""
 
 
 class RequestIntake:
-    """Accepts each request number once.
+    """Reassembles requests and accepts each sequence number at most once.
 
     Parameters
     ----------
     settings : FlowSettings
-        Limits and times.
+        Limits and timeouts.
     table : FlowTable
         Flows of this instance.
     executor : RequestExecutor
-        Runs complete requests.
+        Executor of complete requests.
     """
 
     def __init__(
@@ -54,39 +54,42 @@
         self._last_deadline_s = 0.0
 
     def begin_leaving(self, now_s: float, last_deadline_s: float) -> None:
-        """Take requests only of flows that cannot be handed over yet.
+        """Admit requests only of flows that cannot be handed over yet.
 
         Parameters
         ----------
         now_s : float
-            Present time, in seconds.
+            Current time, in seconds.
         last_deadline_s : float
-            Requests that may run longer are left to the successor, in seconds.
+            Latest deadline of an admitted request, in seconds; the successor
+            handles requests with a later one.
         """
         self.leaving = True
         self._leaving_since_s = now_s
         self._last_deadline_s = last_deadline_s
 
-    def take(self, flow: OwnedFlow, packet: RequestPart, now_s: float) -> list[Action]:
-        """Take one part of a request of a flow that is held here."""
+    def receive_part(
+        self, flow: OwnedFlow, packet: RequestPart, now_s: float
+    ) -> list[Action]:
+        """Handle one request part of a flow in the table."""
         request = flow.requests.get(packet.seq)
         if request is None:
             return self._new_request(flow, packet, now_s)
         request.heard_at_s = now_s
         if request.state == "receiving":
             return self._receive(flow, request, packet, now_s)
-        return repeat_state(flow, request)
+        return reply_current_state(flow, request)
 
     def _new_request(
         self, flow: OwnedFlow, packet: RequestPart, now_s: float
     ) -> list[Action]:
         match flow.window.state(packet.seq):
             case SeqState.CLAIMED:
-                return [forgotten(flow, packet.seq)]
+                return [reply_answer_forgotten(flow, packet.seq)]
             case SeqState.OUT_OF_RANGE:
-                # A flow that is older than its binding, or a number never sent.
-                # The caller has no request so far below this one, so that to
-                # raise the floor blocks no number that is still in use.
+                # Either the flow is older than its binding, or the number is invalid.
+                # The caller has no outstanding request so far below this one, so
+                # raising the floor blocks no number that is still in use.
                 flow.window.skip_below(
                     packet.seq - self._settings.outstanding_requests_max
                 )
@@ -98,7 +101,7 @@
         self, flow: OwnedFlow, packet: RequestPart, now_s: float
     ) -> list[Action]:
         if self.leaving and not self._admits_while_leaving(flow, packet, now_s):
-            return [come_back(flow, packet.seq, flow.caller)]
+            return [reply_retry_later(flow, packet.seq, flow.caller)]
         if len(flow.requests) >= self._settings.outstanding_requests_max:
             return [Count("packets_dropped", "too_many_requests")]
         request = OwnedRequest(
@@ -109,7 +112,7 @@
             part_count=packet.count,
         )
         flow.requests[packet.seq] = request
-        self._table.note_request(flow)
+        self._table.mark_active(flow)
         if flow.closed:
             return self._refuse_unclaimed(flow, request, "flow_closed")
         if packet.count * PART_SIZE_BYTES > self._settings.request_bytes_max:
@@ -119,15 +122,16 @@
     def _admits_while_leaving(
         self, flow: OwnedFlow, packet: RequestPart, now_s: float
     ) -> bool:
-        """Tell whether a flow takes a request although it is to be handed over.
+        """Return whether to admit a request of a flow that awaits its handover.
 
-        In every other period it does not, so that a flow whose requests overlap can
-        end them; in between, a request does not have to wait for a long one.
+        Requests are admitted in every second period only.  The other periods let a
+        flow with overlapping requests become idle; the admitting ones spare a
+        request the wait for a long-running one.
         """
         deadline_at_s = now_s + self._time_left_s(flow, packet)
         if not flow.in_progress or deadline_at_s > self._last_deadline_s:
             return False
-        periods = int((now_s - self._leaving_since_s) / PUT_OFF_S)
+        periods = int((now_s - self._leaving_since_s) / DEFER_PERIOD_S)
         return periods % 2 == 1
 
     def _time_left_s(self, flow: OwnedFlow, packet: RequestPart) -> float:
@@ -140,7 +144,7 @@
     def _limit_deadline(
         self, flow: OwnedFlow, request: OwnedRequest, now_s: float
     ) -> None:
-        """Hold a request to the time that the record allows; streams live longer."""
+        """Limit a request to the record's timeout, which does not apply to streams."""
         dispatcher = self._executor.dispatchers.get(flow.service)
         if dispatcher is None or request.is_stream:
             return
@@ -157,14 +161,14 @@
         if packet.count != request.part_count or not 0 <= packet.index < packet.count:
             return [Count("packets_dropped", "part_out_of_range")]
         if packet.index in request.parts:
-            # A part that is repeated asks what is missing.
-            return [progress(flow, request)]
+            # The caller repeats a part to learn which parts are missing.
+            return [reply_progress(flow, request)]
         request.parts[packet.index] = packet.data
         if len(request.parts) == request.part_count:
             return self._complete(flow, request, now_s)
         if len(request.parts) % PARTS_PER_PROGRESS:
             return []
-        return [progress(flow, request)]
+        return [reply_progress(flow, request)]
 
     def _complete(
         self, flow: OwnedFlow, request: OwnedRequest, now_s: float
@@ -176,20 +180,20 @@
         except PacketInvalidError:
             return self._refuse_unclaimed(flow, request, "malformed_request")
         if request.head.stream and not request.idempotent:
-            # To resume a stream is to run its request again.
+            # Resuming a stream runs its request again.
             return self._refuse_unclaimed(flow, request, "stream_not_idempotent")
         self._limit_deadline(flow, request, now_s)
         if not flow.window.claim(request.seq):
-            # The floor has passed this number since its first part came.
+            # The floor has passed this number since the first part arrived.
             del flow.requests[request.seq]
-            return [forgotten(flow, request.seq)]
+            return [reply_answer_forgotten(flow, request.seq)]
         request.step("complete")
         request.accepted_at_s = now_s
         actions: list[Action] = [
             Log(
                 "owner",
                 "request_accepted",
-                "request is complete",
+                "all request parts received",
                 {
                     "flow": flow.flow_id,
                     "binding": flow.binding,
@@ -197,19 +201,19 @@
                     "service": flow.service,
                 },
             ),
-            accepted(flow, request.seq),
+            reply_accepted(flow, request.seq),
         ]
         return actions + self._executor.submit(flow, request, now_s)
 
     def _refuse_unclaimed(
         self, flow: OwnedFlow, request: OwnedRequest, reason: str
     ) -> list[Action]:
-        # Claim first: no later copy of a refused request may run.
+        # The claim ensures that no later copy of a refused request runs.
         flow.window.claim(request.seq)
         request.step("refuse")
         request.verdict = Refused(flow.flow_id, flow.binding, request.seq, reason, 0)
         ids = {"flow": flow.flow_id, "binding": flow.binding, "seq": request.seq}
-        text = "request refused before any run"
+        text = "request refused without being run"
         return [
             Log("owner", "request_refused", text, {**ids, "reason": reason}),
             Count("refused", reason),
--- a/endivepick/core/open_pings.py
+++ b/endivepick/core/open_pings.py
@@ -1,4 +1,4 @@
-"""Probes of peers that have no answer yet."""
+"""Pings to peers that await an acknowledgement."""
 
 from collections.abc import Iterable
 
@@ -6,19 +6,19 @@
 from endivepick.membership import MembershipSettings
 from endivepick.membership.peer_messages import Ack, Ping
 
-__all__ = ["OpenPings"]
+__all__ = ["PendingPings"]
 
 
-class OpenPings:
-    """Knows whether a probe may soon need its next step.
+class PendingPings:
+    """Tracks whether a ping may soon need an indirect probe.
 
-    The membership asks other peers when a probe has no answer for a while, at the
-    first tick after that; without such a probe ticks may come less often.
+    The membership requests indirect probes at the first tick after a ping has gone
+    unacknowledged for a while.  Without a pending ping, ticks may be less frequent.
 
     Parameters
     ----------
     settings : MembershipSettings
-        How long a probe is open at most.
+        Probe deadline, after which a ping has failed.
     """
 
     def __init__(self, settings: MembershipSettings) -> None:
@@ -28,19 +28,19 @@
     def __bool__(self) -> bool:
         return bool(self._sent_at_s)
 
-    def sent(self, actions: Iterable[Action], now_s: float) -> None:
-        """Take what is sent; only probes count."""
+    def record_sent(self, actions: Iterable[Action], now_s: float) -> None:
+        """Record the pings among the actions."""
         for action in actions:
             match action:
                 case SendToPeer(name=name, message=Ping(sequence=sequence)):
                     self._sent_at_s[name, sequence] = now_s
 
-    def answered(self, sender: str, ack: Ack) -> None:
-        """Take an answer."""
+    def record_ack(self, sender: str, ack: Ack) -> None:
+        """Remove the ping of an acknowledgement."""
         self._sent_at_s.pop((sender, ack.sequence), None)
 
-    def prune(self, now_s: float) -> None:
-        """Forget the probes that have failed by now."""
+    def remove_expired(self, now_s: float) -> None:
+        """Remove the pings whose deadline has passed."""
         oldest_s = now_s - self._kept_s
         failed = [ping for ping, at_s in self._sent_at_s.items() if at_s <= oldest_s]
         for ping in failed:
--- a/endivepick/core/owner.py
+++ b/endivepick/core/owner.py
@@ -1,4 +1,4 @@
-"""Owner of flows: the one place where their requests are accepted."""
+"""Owner of flows, the only instance that accepts their requests."""
 
 from collections.abc import Callable
 
@@ -19,9 +19,9 @@
     Renew,
     RequestPart,
 )
-from endivepick.core.replies import come_back
+from endivepick.core.replies import reply_retry_later
 from endivepick.core.settings import FlowSettings
-from endivepick.core.silence import SilenceWatch
+from endivepick.core.silence import CallerTimeoutMonitor
 from endivepick.core.token import FlowToken, TokenCodec
 
 __all__ = ["FlowOwner", "TokenPacket"]
@@ -30,20 +30,20 @@
 
 
 class FlowOwner:
-    """Handles the packets of flows whose window this instance holds.
+    """Handles packets of the flows that this instance owns.
 
     Parameters
     ----------
     settings : FlowSettings
-        Limits and times.
+        Limits and timeouts.
     table : FlowTable
         Flows of this instance.
     codec : TokenCodec
-        Signs tokens.
+        Codec that seals tokens.
     executor : RequestExecutor
-        Runs complete requests.
+        Executor of complete requests.
     random_number : callable
-        Returns a float from 0 up to 1.
+        Returns a float in the interval [0, 1).
     """
 
     def __init__(
@@ -61,38 +61,39 @@
         self._random_number = random_number
         self._intake = RequestIntake(settings, table, executor)
         self._delivery = AnswerDelivery(settings, executor)
-        self._silence = SilenceWatch(settings, table, executor)
+        self._caller_timeouts = CallerTimeoutMonitor(settings, table, executor)
 
     @property
     def leaving(self) -> bool:
-        """Whether a planned stop has begun: no new flow is opened here."""
+        """Whether a planned stop has begun, so that no new flow is opened."""
         return self._intake.leaving
 
     def begin_leaving(self, now_s: float, last_deadline_s: float) -> None:
-        """Take no new flow, and requests only of flows that cannot go yet.
+        """Stop opening flows, and admit requests only of flows in progress.
 
         Parameters
         ----------
         now_s : float
-            Present time, in seconds.
+            Current time, in seconds.
         last_deadline_s : float
-            Requests that may run longer are left to the successor, in seconds.
+            Latest deadline of an admitted request, in seconds; the successor
+            handles requests with a later one.
         """
         self._intake.begin_leaving(now_s, last_deadline_s)
 
     @property
     def renew_after_s(self) -> float:
-        """When a caller should ask for a new token, in seconds after the last."""
+        """Age at which a caller should renew its token, in seconds."""
         return self._settings.token_lifetime_s * self._settings.renew_share
 
     def open_flow(
         self, service: str, open_id: int, caller: CallerAddress, now_s: float
     ) -> list[Action]:
-        """Open a flow to a service whose dispatcher is here."""
+        """Open a flow to a service that has a dispatcher at this instance."""
         dispatcher = self._executor.dispatchers[service]
         activity = FlowActivity()
         target = dispatcher.place_flow(activity, now_s, self._random_number())
-        # All flows share the record's text, not each the one of its packet.
+        # The record's name string saves a separate copy for each flow.
         flow = self._table.open(dispatcher.record.name, target, caller, now_s)
         flow.activity = activity
         sealed = self._codec.seal(self._table.token(flow, now_s))
@@ -115,10 +116,10 @@
             ),
         ]
 
-    def find_flow(
+    def get_or_adopt_flow(
         self, token: FlowToken, caller: CallerAddress, now_s: float
     ) -> OwnedFlow:
-        """Return the flow of a token that names this incarnation as its owner."""
+        """Return the flow of a token, adopting it if it is not in the table."""
         flow = self._table.get(token.binding)
         if flow is None:
             flow = self._table.adopt(token, caller, now_s)
@@ -132,16 +133,16 @@
         caller: CallerAddress,
         now_s: float,
     ) -> list[Action]:
-        """Handle a packet of a flow that is held here."""
+        """Handle a packet of a flow in the table."""
         if flow.frozen:
-            return [come_back(flow, getattr(packet, "seq", 0), caller)]
+            return [reply_retry_later(flow, getattr(packet, "seq", 0), caller)]
         flow.caller = caller
         flow.heard_at_s = now_s
         match packet:
             case RequestPart():
-                return self._intake.take(flow, packet, now_s)
+                return self._intake.receive_part(flow, packet, now_s)
             case Acknowledge():
-                return self._delivery.acknowledged(flow, packet, now_s)
+                return self._delivery.handle_acknowledge(flow, packet, now_s)
             case Cancel(seq=seq):
                 return self._cancel(flow, seq, now_s)
             case Renew():
@@ -150,7 +151,7 @@
                 return self._close(flow, now_s)
 
     def reissue(self, flow: OwnedFlow, now_s: float) -> Action:
-        """Send a new token that names this instance and the same binding."""
+        """Send a new token for the same binding that names this instance as owner."""
         sealed = self._codec.seal(self._table.token(flow, now_s))
         packet = Reissued(
             flow.flow_id, flow.binding, sealed, flow.binding, True, self.renew_after_s
@@ -159,7 +160,7 @@
 
     def _cancel(self, flow: OwnedFlow, seq: int, now_s: float) -> list[Action]:
         request = flow.requests.get(seq)
-        # A cancellation that overtakes its request must stop the later parts.
+        # The claim rejects request parts that arrive after the cancellation.
         flow.window.claim(seq)
         if request is None:
             return []
@@ -167,7 +168,7 @@
 
     def _close(self, flow: OwnedFlow, now_s: float) -> list[Action]:
         self._executor.flow_removed(flow, now_s)
-        self._table.note_closed(flow, now_s)
+        self._table.mark_closed(flow, now_s)
         actions: list[Action] = []
         for request in list(flow.requests.values()):
             flow.window.claim(request.seq)
@@ -176,5 +177,5 @@
         return actions
 
     def tick(self, now_s: float) -> list[Action]:
-        """Stop work that nobody awaits and forget answers that nobody fetches."""
-        return self._silence.tick(now_s)
+        """Cancel requests and drop answers of silent callers."""
+        return self._caller_timeouts.tick(now_s)
--- a/endivepick/core/owners.py
+++ b/endivepick/core/owners.py
@@ -1,4 +1,4 @@
-"""Owner of each service, kept up to date as instances come and go."""
+"""Owner of each service, updated as instances join and leave."""
 
 from collections.abc import Callable, Collection
 from dataclasses import dataclass
@@ -8,21 +8,21 @@
 
 __all__ = ["LiveInstances", "ServiceOwners"]
 
-CANDIDATES = 4
-"""Instances in rank order that are tried when the first is silent."""
+RANKED_CANDIDATES_MAX = 4
+"""Number of top-ranked instances considered if the owner is unsuitable."""
 
 
-UNKNOWN_CANDIDATES = 64
-"""Instances among which an unknown service is dealt out, to bound its cost."""
+UNKNOWN_SERVICE_CANDIDATES_MAX = 64
+"""Limit of candidates for an unknown service; bounds the cost of its lookup."""
 
 
 class LiveInstances(Protocol):
-    """What the owners are chosen from."""
+    """Instances that are eligible as owners."""
 
     def ready_names(self) -> tuple[str, ...]:
-        """Return the names that may take a role, this instance included.
+        """Return the names of eligible instances, including this one.
 
-        The same tuple as long as no name comes or goes.
+        Returns the same tuple object as long as the names do not change.
         """
 
     def zone_of(self, name: str) -> str:
@@ -30,34 +30,35 @@
 
 
 @dataclass
-class _Winner:
-    """Owner of a service, and the zones that it was chosen from."""
+class _CachedOwner:
+    """Owner of a service, and the zones of the service's targets."""
 
     name: str | None
     zones: frozenset[str]
 
 
 class ServiceOwners:
-    """Caches the rendezvous winner of each service.
+    """Caches the owner of each service, chosen by rendezvous hashing.
 
-    Candidates are the instances in the zones of the service's targets, so that an
-    owner stands near them whatever the number of regions; if none of these lives,
-    all instances are.  A name that comes is compared with each cached winner, and
-    a name that goes drops only what it had won: the cost of a change does not grow
-    with the product of services and instances.
+    Candidates are the instances in the zones of the service's targets, so that the
+    owner is close to the targets regardless of the number of regions.  If there is
+    none, all instances are candidates.  An added instance is compared with each
+    cached owner, and a removed instance invalidates only the services that it owned:
+    the cost of a change does not grow with the product of services and instances.
 
-    Whether this instance owns a service is answered by the first rival that is
-    heavier, a logarithmic number of comparisons, and remembered with the rival.
-    ``take_unsettled`` names those whose winner or rival has gone.
+    To decide whether this instance owns a service, candidates are compared until
+    one has a higher weight, which takes a logarithmic number of comparisons.  That
+    candidate is cached.  ``pop_ownership_candidates`` returns the services whose
+    cached owner or cached heavier candidate has been removed.
 
     Parameters
     ----------
     me : str
         Name of this instance.
     live : LiveInstances
-        Instances that may take a role.
+        Instances that are eligible as owners.
     zones_of : callable
-        Returns the zones of a service's targets, empty for an unknown service.
+        Returns the zones of a service's targets; empty for an unknown service.
 
     Examples
     --------
@@ -83,83 +84,85 @@
         self._names: tuple[str, ...] = ()
         self._zones: dict[str, str] = {}
         self._by_zone: dict[str, list[str]] = {}
-        self._winners: dict[str, _Winner] = {}
-        self._rivals: dict[str, str] = {}
-        self._unsettled: set[str] = set()
+        self._cached_owners: dict[str, _CachedOwner] = {}
+        self._heavier_names: dict[str, str] = {}
+        self._ownership_candidates: set[str] = set()
         self._my_zone: str | None = None
 
     def owner(self, service: str) -> str | None:
-        """Return the owner of a service, or None if no instance may be."""
-        return self._winner(service).name
+        """Return the owner of a service, or None if no instance is eligible."""
+        return self._get_cached_owner(service).name
 
-    def _winner(self, service: str) -> _Winner:
+    def _get_cached_owner(self, service: str) -> _CachedOwner:
         self._refresh()
-        winner = self._winners.get(service)
-        if winner is None:
+        cached = self._cached_owners.get(service)
+        if cached is None:
             zones = self._zones_of(service)
-            winner = _Winner(owner(service, self._candidates(zones)), zones)
+            cached = _CachedOwner(owner(service, self._candidates(zones)), zones)
             if zones:
-                # Callers choose the names of unknown services: these are not kept.
-                self._winners[service] = winner
-        return winner
+                # Unknown services are not cached: callers choose their names freely.
+                self._cached_owners[service] = cached
+        return cached
 
     def is_mine(self, service: str) -> bool:
-        """Tell whether this instance owns a service; also if no instance may."""
+        """Return whether this instance owns a service or no instance is eligible."""
         self._refresh()
-        if service in self._rivals:
+        if service in self._heavier_names:
             return False
-        winner = self._winners.get(service)
-        if winner is not None:
-            return winner.name == self._me
+        cached = self._cached_owners.get(service)
+        if cached is not None:
+            return cached.name == self._me
         if self._my_zone is None:
-            self._unsettled.add(service)
+            self._ownership_candidates.add(service)
             return not self._names
-        return self._settle_mine(service)
+        return self._compute_is_owner(service)
 
     def take_unsettled(self) -> set[str]:
-        """Return the services that may have become this instance's since last asked.
+        """Return services that this instance may own since the last call.
 
-        They are among those that were asked for before: with ``is_mine``, or with
-        ``owner``.
+        Only services that were passed to ``is_owned_here`` or ``owner`` before are
+        returned.
         """
         self._refresh()
-        unsettled = self._unsettled
-        self._unsettled = set()
-        return unsettled
+        ownership_candidates = self._ownership_candidates
+        self._ownership_candidates = set()
+        return ownership_candidates
 
-    def _settle_mine(self, service: str) -> bool:
-        """Compare with the candidates until one of them is heavier."""
+    def _compute_is_owner(self, service: str) -> bool:
+        """Compare this instance with the candidates until one has a higher weight."""
         zones = self._zones_of(service)
         if not zones:
             return self.owner(service) == self._me
         candidates = self._candidates(zones)
-        rival: str | None = next(iter(candidates))
+        heavier_name: str | None = next(iter(candidates))
         if self._my_zone in zones or candidates is self._names:
-            rival = heavier(service, self._me, candidates)
-        if rival is None:
-            self._winners[service] = _Winner(self._me, zones)
+            heavier_name = heavier(service, self._me, candidates)
+        if heavier_name is None:
+            self._cached_owners[service] = _CachedOwner(self._me, zones)
             return True
-        self._rivals[service] = rival
+        self._heavier_names[service] = heavier_name
         return False
 
-    def first_that(self, service: str, suits: Callable[[str], bool]) -> str | None:
-        """Return the first instance in rank order that suits, or the owner."""
-        winner = self._winner(service)
-        if winner.name is None or suits(winner.name):
-            return winner.name
-        ranked = top(service, self._candidates(winner.zones), CANDIDATES)
-        return next((name for name in ranked if suits(name)), winner.name)
-
-    def forget(self, service: str) -> None:
-        """Choose the owner anew: the service's record has changed."""
-        self._winners.pop(service, None)
-        self._rivals.pop(service, None)
+    def first_matching(
+        self, service: str, predicate: Callable[[str], bool]
+    ) -> str | None:
+        """Return the first instance in rank order that matches, else the owner."""
+        cached = self._get_cached_owner(service)
+        if cached.name is None or predicate(cached.name):
+            return cached.name
+        ranked = top(service, self._candidates(cached.zones), RANKED_CANDIDATES_MAX)
+        return next((name for name in ranked if predicate(name)), cached.name)
+
+    def invalidate(self, service: str) -> None:
+        """Discard the cached owner of a service whose record has changed."""
+        self._cached_owners.pop(service, None)
+        self._heavier_names.pop(service, None)
 
     def _candidates(self, zones: frozenset[str]) -> Collection[str]:
         if not zones:
-            return self._names[:UNKNOWN_CANDIDATES]
-        near = [name for zone in zones for name in self._by_zone.get(zone, ())]
-        return near or self._names
+            return self._names[:UNKNOWN_SERVICE_CANDIDATES_MAX]
+        local = [name for zone in zones for name in self._by_zone.get(zone, ())]
+        return local or self._names
 
     def _refresh(self) -> None:
         names = self._live.ready_names()
@@ -168,43 +171,51 @@
         before, now = set(self._names), set(names)
         self._names = names
         self._group_by_zone(before - now, now - before)
-        self._drop_won_by(before - now)
+        self._drop_entries_of(before - now)
         if self._me in now - before:
-            self._unsettled.update(self._rivals)
-            self._rivals.clear()
+            self._ownership_candidates.update(self._heavier_names)
+            self._heavier_names.clear()
         for name in now - before:
-            self._offer(name)
+            self._add_candidate(name)
 
-    def _group_by_zone(self, gone: set[str], come: set[str]) -> None:
-        for name in gone:
+    def _group_by_zone(self, removed: set[str], added: set[str]) -> None:
+        for name in removed:
             self._by_zone[self._zones.pop(name)].remove(name)
-        for name in come:
+        for name in added:
             zone = self._zones[name] = self._live.zone_of(name)
             self._by_zone.setdefault(zone, []).append(name)
         self._my_zone = self._zones.get(self._me)
 
-    def _drop_won_by(self, gone: set[str]) -> None:
-        if not gone:
+    def _drop_entries_of(self, removed: set[str]) -> None:
+        if not removed:
             return
-        lost = {service for service, rival in self._rivals.items() if rival in gone}
+        lost = {
+            service
+            for service, heavier_name in self._heavier_names.items()
+            if heavier_name in removed
+        }
         for service in lost:
-            del self._rivals[service]
-        self._unsettled |= lost
-        won = {service for service, one in self._winners.items() if one.name in gone}
-        for service in won:
-            self._drop_winner(service)
-
-    def _drop_winner(self, service: str) -> None:
-        del self._winners[service]
-        self._unsettled.add(service)
-
-    def _offer(self, name: str) -> None:
+            del self._heavier_names[service]
+        self._ownership_candidates |= lost
+        owned = {
+            service
+            for service, one in self._cached_owners.items()
+            if one.name in removed
+        }
+        for service in owned:
+            self._drop_cached_owner(service)
+
+    def _drop_cached_owner(self, service: str) -> None:
+        del self._cached_owners[service]
+        self._ownership_candidates.add(service)
+
+    def _add_candidate(self, name: str) -> None:
         zone = self._zones[name]
-        for service, winner in list(self._winners.items()):
-            if winner.name is None or self._zones[winner.name] not in winner.zones:
-                # Chosen for want of an instance near the targets.
-                self._drop_winner(service)
-            elif zone in winner.zones:
-                winner.name = owner(service, (winner.name, name))
-                if winner.name == self._me:
-                    self._unsettled.add(service)
+        for service, cached in list(self._cached_owners.items()):
+            if cached.name is None or self._zones[cached.name] not in cached.zones:
+                # The cached owner was a fallback from outside the targets' zones.
+                self._drop_cached_owner(service)
+            elif zone in cached.zones:
+                cached.name = owner(service, (cached.name, name))
+                if cached.name == self._me:
+                    self._ownership_candidates.add(service)
--- a/endivepick/core/relay.py
+++ b/endivepick/core/relay.py
@@ -1,4 +1,4 @@
-"""Relay: finds who holds a flow and what to say if nobody can be reached."""
+"""Relay: locates the holder of a flow and forwards or answers its packets."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -27,46 +27,46 @@
 ]
 
 HOPS_MAX = 4
-"""Instances that a datagram may pass before it is given up."""
-FORGOTTEN = "forgotten"
-"""Why a flow got a new binding although its owner lives."""
+"""Limit of hops between instances, after which a datagram is dropped."""
+REASON_FORGOTTEN = "forgotten"
+"""Reason of a reissue when the owner is alive but no longer has the flow."""
 SUSPECTED_RETRY_MS = 300
-"""When to come back while the owner is suspected, in milliseconds."""
+"""Retry delay for callers while the holder is suspected, in milliseconds."""
 
 
 class Peers(LiveInstances, Protocol):
-    """What the relay asks of the membership."""
+    """Membership state that the relay queries."""
 
     def is_suspected(self, name: str) -> bool:
-        """Tell whether an instance is suspected and not yet declared dead."""
+        """Return whether an instance is suspected and not yet declared dead."""
 
     def is_incarnation_dead(self, name: str, incarnation: int) -> bool:
-        """Tell whether an incarnation is known to be gone."""
+        """Return whether an incarnation is known to have ended."""
 
     def successor_of(self, incarnation: int, service: str) -> Identity | None:
-        """Return who took over a service's flows from an incarnation."""
+        """Return the instance that took over a service's flows, if any."""
 
     def incarnation_of(self, name: str) -> int:
-        """Return the known incarnation of an instance, or 0."""
+        """Return the incarnation of an instance, or 0 if it is unknown."""
 
 
 @dataclass(frozen=True, slots=True)
 class Holder:
-    """The named instance holds the flow; it may be this one."""
+    """The identified instance, possibly this one, holds the flow."""
 
     identity: Identity
 
 
 @dataclass(frozen=True, slots=True)
 class HolderSuspected:
-    """The holder answers no probe but may be alive."""
+    """The holder does not answer probes but may be alive."""
 
     identity: Identity
 
 
 @dataclass(frozen=True, slots=True)
 class HolderLost:
-    """The holder is gone and has handed nothing over."""
+    """The holder has ended without handing the flow over."""
 
     identity: Identity
 
@@ -75,27 +75,27 @@
 
 
 class Relay:
-    """Decides where a packet of a flow goes.
+    """Locates flow holders, forwards packets and reissues tokens.
 
     Parameters
     ----------
     me : Identity
         This instance.
     peers : Peers
-        What is known of the others.
+        Membership state of the other instances.
     codec : TokenCodec
-        Signs tokens.
+        Codec that seals tokens.
     new_id : callable
         Returns a random 64-bit number.
     renew_after_s : float
-        When a caller should ask for a new token, in seconds.
+        Age at which a caller should renew its token, in seconds.
     zones_of : callable
-        Returns the zones of a service's targets, empty for an unknown service.
+        Returns the zones of a service's targets; empty for an unknown service.
 
     Attributes
     ----------
     flows_relayed : DistinctCounter
-        Flows of which a packet was relayed.
+        Counter of flows with a relayed packet.
     """
 
     def __init__(
@@ -116,12 +116,12 @@
         self._owners = ServiceOwners(me.name, peers, zones_of)
 
     def locate(self, token: FlowToken) -> Whereabouts:
-        """Find the holder of a token's binding."""
+        """Return the location of a token's flow."""
         named = Identity(token.owner, token.owner_incarnation)
-        return self.follow(named, token.service)
+        return self.resolve_holder(named, token.service)
 
-    def follow(self, holder: Identity, service: str) -> Whereabouts:
-        """Find who holds the flows of a service that an instance has held."""
+    def resolve_holder(self, holder: Identity, service: str) -> Whereabouts:
+        """Return the location of a service's flows, given a former holder."""
         successor = self._peers.successor_of(holder.incarnation, service)
         holder = successor or holder
         if holder == self._me:
@@ -133,11 +133,11 @@
         return Holder(holder)
 
     def is_lost(self, identity: Identity) -> bool:
-        """Tell whether an incarnation is known to be gone."""
+        """Return whether an incarnation is known to have ended."""
         return self._peers.is_incarnation_dead(identity.name, identity.incarnation)
 
     def takes_flows(self, identity: Identity) -> bool:
-        """Tell whether an instance that was chosen as successor still is one."""
+        """Return whether an instance can still act as the chosen successor."""
         if self._peers.incarnation_of(identity.name) != identity.incarnation:
             return False
         known = identity.name in self._peers.ready_names()
@@ -146,23 +146,23 @@
     def forward(
         self, identity: Identity, caller: CallerAddress, hops: int, datagram: bytes
     ) -> list[Action]:
-        """Hand a datagram to another instance."""
+        """Forward a datagram to another instance."""
         if hops >= HOPS_MAX:
             return [Count("packets_dropped", "too_many_hops")]
         message = RelayedPacket(caller, hops + 1, datagram)
         return [SendToPeer(identity.name, message), Count("packets_relayed")]
 
-    def note_flow(self, token: FlowToken) -> None:
-        """Count a flow of which a packet is relayed."""
+    def record_relayed_flow(self, token: FlowToken) -> None:
+        """Count the flow of a relayed packet."""
         self.flows_relayed.add(token.flow_id)
 
     def say_unreachable(
         self, token: FlowToken, holder: Identity, seq: int, caller: CallerAddress
     ) -> list[Action]:
-        """Tell the caller to come back; promise nothing about the run."""
+        """Tell the caller to retry, without stating whether the request ran."""
         packet = Unreachable(token.flow_id, token.binding, seq, SUSPECTED_RETRY_MS)
         ids = {"flow": token.flow_id, "binding": token.binding, "seq": seq}
-        text = "holder is suspected, caller told to come back"
+        text = "flow holder is suspected; caller told to retry"
         return [
             Log("relay", "holder_suspected", text, {**ids, "peer": holder.name}),
             SendToCaller(caller, packet),
@@ -172,20 +172,20 @@
     def reissue_after_loss(
         self, token: FlowToken, caller: CallerAddress, now_s: float
     ) -> list[Action]:
-        """Give the flow a new owner and a new, empty binding."""
-        text = "owner lost, flow has a new owner"
+        """Reissue a flow of a lost owner with a new owner and an empty binding."""
+        text = "flow owner lost; flow reissued with a new owner"
         return self._reissue(token, caller, now_s, text, "")
 
     def reissue_forgotten(
         self, token: FlowToken, caller: CallerAddress, now_s: float
     ) -> list[Action]:
-        """Give a flow that was closed or forgotten here a new, empty binding.
+        """Reissue a flow that was removed from the table, with an empty binding.
 
-        Whether its requests ran is not known any more, so that "not run" might be
-        untrue; under the old binding nothing ever runs again.
+        It is no longer known whether its requests ran, so the reply "not run" could
+        be wrong.  No request of the old binding runs again.
         """
-        text = "packet of a flow that was closed or forgotten here"
-        return self._reissue(token, caller, now_s, text, FORGOTTEN)
+        text = "packet of a removed flow; flow reissued with an empty binding"
+        return self._reissue(token, caller, now_s, text, REASON_FORGOTTEN)
 
     def _reissue(
         self,
@@ -195,7 +195,7 @@
         text: str,
         reason: str,
     ) -> list[Action]:
-        owner = self._present_owner(token.service)
+        owner = self._current_owner(token.service)
         renewed = FlowToken(
             service=token.service,
             flow_id=token.flow_id,
@@ -230,7 +230,7 @@
             Count("flows_reissued", reason),
         ]
 
-    def _present_owner(self, service: str) -> Identity:
+    def _current_owner(self, service: str) -> Identity:
         name = self.reachable_owner_name(service)
         incarnation = self._peers.incarnation_of(name)
         if name == self._me.name or not incarnation:
@@ -238,24 +238,24 @@
         return Identity(name, incarnation)
 
     def take_unsettled(self) -> set[str]:
-        """Return services asked for before that this instance may now own."""
+        """Return services that this instance may own since the last call."""
         return self._owners.take_unsettled()
 
     def owner_name(self, service: str) -> str:
-        """Return the instance that opens this service's flows at present."""
+        """Return the instance that currently opens a service's flows."""
         return self._owners.owner(service) or self._me.name
 
     def is_mine(self, service: str) -> bool:
-        """Tell whether this instance opens this service's flows at present."""
+        """Return whether this instance currently opens a service's flows."""
         return self._owners.is_mine(service)
 
     def record_changed(self, service: str) -> None:
-        """Choose a service's owner anew: its targets may stand in other zones."""
-        self._owners.forget(service)
+        """Discard a service's cached owner: its targets' zones may have changed."""
+        self._owners.invalidate(service)
 
     def reachable_owner_name(self, service: str) -> str:
         """Return the first instance in rank order that is not suspected."""
-        name = self._owners.first_that(
+        name = self._owners.first_matching(
             service, lambda name: not self._peers.is_suspected(name)
         )
         return name or self._me.name
@@ -263,6 +263,6 @@
     def refuse_open(
         self, open_id: int, reason: str, retry_after_ms: int, caller: CallerAddress
     ) -> list[Action]:
-        """Answer that no flow was opened, and when to come back."""
+        """Refuse to open a flow, with a retry delay."""
         packet = OpenRefused(open_id, reason, retry_after_ms)
         return [SendToCaller(caller, packet), Count("opens_refused", reason)]
--- a/endivepick/core/replies.py
+++ b/endivepick/core/replies.py
@@ -1,4 +1,4 @@
-"""Packets by which an owner answers questions about a request."""
+"""Reply packets about the state of a request."""
 
 from endivepick.core.actions import Action, SendToCaller
 from endivepick.core.flow import OwnedFlow, OwnedRequest
@@ -10,20 +10,26 @@
     Unreachable,
 )
 
-__all__ = ["accepted", "come_back", "forgotten", "progress", "repeat_state"]
+__all__ = [
+    "reply_accepted",
+    "reply_retry_later",
+    "reply_answer_forgotten",
+    "reply_progress",
+    "reply_current_state",
+]
 
 FROZEN_RETRY_MS = 100
-"""When to come back to a flow that is being handed over, in milliseconds."""
+"""Retry delay for a flow that is being handed over, in milliseconds."""
 MISSING_PARTS_MAX = 64
-"""Missing request parts that one message names."""
+"""Limit of missing request parts named in one packet."""
 
 
-def accepted(flow: OwnedFlow, seq: int) -> Action:
-    """Tell the caller that the whole request is known here."""
+def reply_accepted(flow: OwnedFlow, seq: int) -> Action:
+    """Tell the caller that all parts of its request have arrived."""
     return SendToCaller(flow.caller, Accepted(flow.flow_id, flow.binding, seq))
 
 
-def progress(flow: OwnedFlow, request: OwnedRequest) -> Action:
+def reply_progress(flow: OwnedFlow, request: OwnedRequest) -> Action:
     """Tell the caller which parts of its request are missing."""
     next_index = 0
     while next_index in request.parts:
@@ -42,21 +48,21 @@
     return SendToCaller(flow.caller, packet)
 
 
-def forgotten(flow: OwnedFlow, seq: int) -> Action:
-    """Tell the caller that the number was used and its answer is not held."""
+def reply_answer_forgotten(flow: OwnedFlow, seq: int) -> Action:
+    """Tell the caller that the request is claimed and its answer is not kept."""
     packet = Outcome(flow.flow_id, flow.binding, seq, "answer_forgotten", 0)
     return SendToCaller(flow.caller, packet)
 
 
-def come_back(flow: OwnedFlow, seq: int, caller: CallerAddress) -> Action:
-    """Tell the caller to send again soon; promises nothing about a run."""
+def reply_retry_later(flow: OwnedFlow, seq: int, caller: CallerAddress) -> Action:
+    """Tell the caller to retry soon, without stating whether the request ran."""
     return SendToCaller(
         caller, Unreachable(flow.flow_id, flow.binding, seq, FROZEN_RETRY_MS)
     )
 
 
-def repeat_state(flow: OwnedFlow, request: OwnedRequest) -> list[Action]:
-    """Answer a copy of a request, or a question about it."""
+def reply_current_state(flow: OwnedFlow, request: OwnedRequest) -> list[Action]:
+    """Reply to a duplicate of a request, or to a query about it."""
     if request.verdict is not None:
         return [SendToCaller(flow.caller, request.verdict)]
     answer = request.answer
@@ -67,4 +73,4 @@
         return [SendToCaller(flow.caller, packet)]
     if request.state == "cancelled":
         return []
-    return [accepted(flow, request.seq)]
+    return [reply_accepted(flow, request.seq)]
--- a/endivepick/core/roles.py
+++ b/endivepick/core/roles.py
@@ -1,4 +1,4 @@
-"""Services that this instance places requests for."""
+"""Services that have a dispatcher at this instance."""
 
 from collections.abc import Iterable
 from dataclasses import dataclass, field
@@ -20,28 +20,28 @@
 from endivepick.core.flow_table import FlowTable
 from endivepick.core.peer_messages import InFlightReport, TargetDraining
 
-__all__ = ["OwnerChoice", "RoleSettings", "ServiceRoles"]
+__all__ = ["OwnerLookup", "RoleSettings", "ServiceRoles"]
 
 NEVER_S = float("-inf")
 
 
 @dataclass(frozen=True)
 class RoleSettings:
-    """How an owner looks after its services.
+    """Probe, report and review intervals of an owner.
 
     Attributes
     ----------
     probe_every_s : float
-        Time between two probes of one target, in seconds.
+        Interval between probes of a target, in seconds.
     quiet_probe_every_s : float
-        The same while its service has no requests and all its targets are ready,
-        in seconds; never less than ``probe_every_s``.
+        Probe interval while the service has no requests and all its targets are
+        ready, in seconds; never less than ``probe_every_s``.
     report_every_s : float
-        Time between two reports of requests in progress, in seconds.
+        Interval between reports of requests in progress, in seconds.
     report_kept_s : float
-        Silence after which another owner's report is forgotten, in seconds.
+        Age at which another owner's last report is discarded, in seconds.
     review_every_s : float
-        Time between two reviews of which services are still needed, in seconds.
+        Interval between reviews of which services are still needed, in seconds.
     """
 
     probe_every_s: float = 1.0
@@ -51,22 +51,22 @@
     review_every_s: float = 1.0
 
 
-class OwnerChoice(Protocol):
-    """What the roles ask about owners."""
+class OwnerLookup(Protocol):
+    """Service ownership that the roles query."""
 
     def take_unsettled(self) -> set[str]:
-        """Return services asked for before that this instance may now own."""
+        """Return services that this instance may own since the last call."""
 
     def owner_name(self, service: str) -> str:
-        """Return the instance that opens a service's flows at present."""
+        """Return the instance that currently opens a service's flows."""
 
     def is_mine(self, service: str) -> bool:
-        """Tell whether this instance does."""
+        """Return whether this instance currently opens a service's flows."""
 
 
 @dataclass
 class _ActiveService:
-    """What is due when, and which other instances send to the same targets."""
+    """Schedule of an active service, and the other instances that use its targets."""
 
     probed_at_s: float
     next_report_s: float
@@ -75,12 +75,12 @@
 
 
 class ServiceRoles:
-    """Keeps a dispatcher for each service that is opened or held here.
+    """Keeps a dispatcher for each service that this instance owns or has flows of.
 
     Parameters
     ----------
     settings : RoleSettings
-        Periods.
+        Probe, report and review intervals.
     dispatch : DispatchSettings
         Settings of the dispatchers.
     zone : str
@@ -88,11 +88,11 @@
     catalog : Catalog
         Records in force.
     table : FlowTable
-        Flows held here.
+        Flows of this instance.
     executor : RequestExecutor
-        Holds the dispatchers.
-    owners : OwnerChoice
-        Knows the owner of each service.
+        Executor that uses the dispatchers.
+    owners : OwnerLookup
+        Owners of the services.
     my_name : str
         Name of this instance.
     """
@@ -105,7 +105,7 @@
         catalog: Catalog,
         table: FlowTable,
         executor: RequestExecutor,
-        owners: OwnerChoice,
+        owners: OwnerLookup,
         my_name: str,
     ) -> None:
         self._settings = settings
@@ -119,20 +119,20 @@
         self._active: dict[str, _ActiveService] = {}
         self._allowance = WaitingAllowance(dispatch.waiting_per_instance)
         self._next_review_s = 0.0
-        self._lost: set[str] = set()
+        self._ended_peers: set[str] = set()
 
     @property
     def active(self) -> Iterable[str]:
-        """Names of the services with a dispatcher here."""
+        """Names of the services with a dispatcher at this instance."""
         return self._active.keys()
 
     @property
     def owned(self) -> list[str]:
-        """Names of the services whose owner this instance is."""
+        """Names of the active services that this instance owns."""
         return [name for name in self._active if self._owners.is_mine(name)]
 
     def activate(self, service: str, now_s: float) -> bool:
-        """Make sure that a service has a dispatcher; False if it has no record."""
+        """Create a service's dispatcher if needed; return False without a record."""
         if service in self._active:
             return True
         record = self._catalog.service(service)
@@ -145,28 +145,28 @@
         return True
 
     def take_up(self, service: str, now_s: float) -> list[Action]:
-        """Make a dispatcher for flows that are taken over; probe its targets at once.
+        """Create a dispatcher for taken-over flows and probe its targets immediately.
 
-        Their requests wait for the first probe.
+        The flows' requests wait for the first probe result.
         """
         if service in self._active or not self.activate(service, now_s):
             return []
         self._active[service].probed_at_s = now_s
-        return self._probes(service)
+        return self._build_probes(service)
 
     def record_changed(self, service: str, now_s: float) -> list[Action]:
-        """Bring a new version of a record into force at its dispatcher."""
+        """Apply a changed record to its dispatcher."""
         dispatcher = self._executor.dispatchers.get(service)
         record = self._catalog.service(service)
         if dispatcher is None:
             return []
         if record is None:
-            return self._drop(service)
+            return self._deactivate(service)
         active = self._active[service]
         active.probed_at_s = NEVER_S
         return self._executor.carry_out(dispatcher.update_record(record, now_s), now_s)
 
-    def _drop(self, service: str) -> list[Action]:
+    def _deactivate(self, service: str) -> list[Action]:
         del self._active[service]
         del self._executor.dispatchers[service]
         self._allowance.leave(service)
@@ -175,50 +175,50 @@
         ]
 
     def tick(self, now_s: float) -> list[Action]:
-        """Do what is due: probes, reports, reviews, and the dispatchers' own."""
+        """Run due reviews, dispatcher ticks, probes and reports."""
         actions: list[Action] = []
         if now_s >= self._next_review_s:
             self._next_review_s = now_s + self._settings.review_every_s
             actions += self.review(now_s)
-        actions += self._forget_lost(now_s)
+        actions += self._remove_ended_peers(now_s)
         for service, active in self._active.items():
             dispatcher = self._executor.dispatchers[service]
             actions += self._executor.carry_out(dispatcher.tick(now_s), now_s)
             if self._probe_is_due(active, dispatcher, now_s):
                 active.probed_at_s = now_s
-                actions += self._probes(service)
+                actions += self._build_probes(service)
             if now_s >= active.next_report_s:
                 active.next_report_s = now_s + self._settings.report_every_s
-                actions += self._reports(service, active, now_s)
+                actions += self._build_reports(service, active, now_s)
         return actions
 
-    def forget_peer(self, name: str) -> None:
-        """Free, at the next tick, the slots that an ended instance reported."""
-        self._lost.add(name)
+    def on_peer_ended(self, name: str) -> None:
+        """Release the slots reported by an ended instance at the next tick."""
+        self._ended_peers.add(name)
 
-    def _forget_lost(self, now_s: float) -> list[Action]:
+    def _remove_ended_peers(self, now_s: float) -> list[Action]:
         actions: list[Action] = []
-        lost, self._lost = self._lost, set()
-        if not lost:
+        ended, self._ended_peers = self._ended_peers, set()
+        if not ended:
             return actions
         for service, active in self._active.items():
             dispatcher = self._executor.dispatchers[service]
-            for name in sorted(lost & active.reporters.keys()):
+            for name in sorted(ended & active.reporters.keys()):
                 del active.reporters[name]
                 decisions = dispatcher.remove_peer(name, now_s)
                 actions += self._executor.carry_out(decisions, now_s)
         return actions
 
     def review(self, now_s: float) -> list[Action]:
-        """Take up services that fall to this instance, and let others go."""
+        """Activate newly owned services and deactivate services no longer needed."""
         return self._review(self._owners.take_unsettled() | set(self._active), now_s)
 
-    def review_soon(self) -> None:
-        """Review at the next tick: an instance has come or gone."""
+    def schedule_review(self) -> None:
+        """Schedule a review for the next tick, after an instance joined or left."""
         self._next_review_s = 0.0
 
     def records_changed(self, services: Iterable[str], now_s: float) -> list[Action]:
-        """Take up or let go services whose records changed."""
+        """Activate or deactivate services whose records changed."""
         return self._review(services, now_s)
 
     def _review(self, services: Iterable[str], now_s: float) -> list[Action]:
@@ -232,16 +232,16 @@
                     Log("owner", "service_taken", "service taken", {"service": service})
                 )
             if active and not owned and service not in held:
-                actions += self._drop(service)
+                actions += self._deactivate(service)
         return actions
 
     def _probe_is_due(
         self, active: _ActiveService, dispatcher: ServiceDispatcher, now_s: float
     ) -> bool:
-        """Tell whether to probe a service's targets now.
+        """Return whether to probe a service's targets now.
 
-        The first request after a quiet time makes a probe due at once if the last
-        one is older than ``probe_every_s``.
+        The first request after a quiet period makes a probe due immediately if the
+        last one is older than ``probe_every_s``.
         """
         waited_s = now_s - active.probed_at_s
         if waited_s < self._settings.probe_every_s:
@@ -250,7 +250,7 @@
             return True
         return not dispatcher.is_quiet(now_s)
 
-    def _probes(self, service: str) -> list[Action]:
+    def _build_probes(self, service: str) -> list[Action]:
         record = self._catalog.service(service)
         if record is None:
             return []
@@ -258,7 +258,7 @@
             Probe(service, target.name, target.address) for target in record.targets
         ]
 
-    def _in_flight(self, service: str) -> dict[str, int]:
+    def _count_in_flight(self, service: str) -> dict[str, int]:
         dispatcher = self._executor.dispatchers[service]
         counts = {
             target.name: dispatcher.in_flight(target.name)
@@ -266,10 +266,10 @@
         }
         return {name: count for name, count in counts.items() if count}
 
-    def _reports(
+    def _build_reports(
         self, service: str, active: _ActiveService, now_s: float
     ) -> list[Action]:
-        """Tell the other owners of flows of a service what runs from here."""
+        """Report requests in progress to the other owners of a service's flows."""
         oldest_s = now_s - self._settings.report_kept_s
         active.reporters = {
             name: heard_s
@@ -282,13 +282,13 @@
             receivers.add(owner)
         if not receivers:
             return []
-        report = InFlightReport(service, self._in_flight(service))
+        report = InFlightReport(service, self._count_in_flight(service))
         return [SendToPeer(name, report) for name in sorted(receivers)]
 
     def on_report(
         self, sender: str, report: InFlightReport, now_s: float
     ) -> list[Action]:
-        """Take in what another owner runs at the same targets."""
+        """Apply another owner's report of requests in progress."""
         active = self._active.get(report.service)
         if active is None:
             return []
@@ -300,7 +300,7 @@
     def on_probed(
         self, service: str, target: str, outcome: ProbeOutcome, now_s: float
     ) -> list[Action]:
-        """Take in what a target said about itself."""
+        """Apply the outcome of a target probe."""
         dispatcher = self._executor.dispatchers.get(service)
         if dispatcher is None:
             return []
@@ -310,13 +310,13 @@
         match outcome:
             case ProbeResult(state=TargetHealth.DRAINING, incarnation=incarnation):
                 note = TargetDraining(service, target, incarnation)
-                actions += self._tell_draining(note)
+                actions += self._announce_draining(note)
             case ProbeResult():
                 self._active[service].draining.discard(target)
         return actions
 
-    def _tell_draining(self, note: TargetDraining) -> list[Action]:
-        """Tell the other owners of flows, after each probe: a note may be lost."""
+    def _announce_draining(self, note: TargetDraining) -> list[Action]:
+        """Notify the other owners of flows after each probe: a note may be lost."""
         active = self._active[note.service]
         receivers = {self._owners.owner_name(note.service), *active.reporters}
         actions: list[Action] = [
@@ -325,27 +325,30 @@
         if note.target not in active.draining:
             active.draining.add(note.target)
             ids = {"service": note.service, "target": note.target}
-            text = "target says that it drains"
+            text = "target reports that it is draining"
             actions.append(Log("owner", "target_draining", text, ids))
         return actions
 
     def on_draining_note(
         self, sender: str, note: TargetDraining, now_s: float
     ) -> list[Action]:
-        """Take another owner's word that a target drains."""
+        """Apply another owner's note that a target is draining."""
         dispatcher = self._executor.dispatchers.get(note.service)
         if dispatcher is None:
             return []
         decisions = dispatcher.on_draining_note(
             note.target, note.target_incarnation, now_s
         )
-        passed_on = self._pass_on(sender, note)
-        return self._executor.carry_out(decisions, now_s) + passed_on
+        forwarded = self._forward_draining_note(sender, note)
+        return self._executor.carry_out(decisions, now_s) + forwarded
 
-    def _pass_on(self, sender: str, note: TargetDraining) -> list[Action]:
-        """As the service's owner, tell those who don't know of the sender."""
+    def _forward_draining_note(self, sender: str, note: TargetDraining) -> list[Action]:
+        """Forward a note, as the service's owner, to the other owners of flows.
+
+        The sender knows the service's owner, but not all other owners of flows.
+        """
         if note.passed_on or not self._owners.is_mine(note.service):
             return []
-        passed_on = structs.replace(note, passed_on=True)
+        forwarded = structs.replace(note, passed_on=True)
         receivers = self._active[note.service].reporters.keys() - {sender}
-        return [SendToPeer(name, passed_on) for name in sorted(receivers)]
+        return [SendToPeer(name, forwarded) for name in sorted(receivers)]
--- a/endivepick/core/router.py
+++ b/endivepick/core/router.py
@@ -1,4 +1,4 @@
-"""Routes each packet: handle it here, forward it, or answer in the owner's place."""
+"""Routing of caller packets to the owner of their flow."""
 
 from endivepick.core.actions import Action, Count
 from endivepick.core.flow_table import FlowTable, Identity
@@ -21,22 +21,22 @@
 
 
 class PacketRouter:
-    """Decides for each packet of a caller.
+    """Handles each caller packet locally, forwards it, or replies for its owner.
 
     Parameters
     ----------
     me : Identity
         This instance.
     codec : TokenCodec
-        Verifies tokens.
+        Codec that verifies tokens.
     table : FlowTable
-        Flows held here.
+        Flows of this instance.
     owner : FlowOwner
-        Handles packets of flows held here.
+        Handler for packets of flows of this instance.
     relay : Relay
-        Handles all others.
+        Handler for all other packets.
     roles : ServiceRoles
-        Services that can be opened here.
+        Services that have a dispatcher at this instance.
     """
 
     def __init__(
@@ -63,20 +63,20 @@
         hops: int,
         now_s: float,
     ) -> list[Action]:
-        """Handle a packet from the fabric (``hops`` 0) or from another instance.
+        """Handle a packet from the fabric (``hops`` is 0) or from another instance.
 
         Raises
         ------
         TokenInvalidError
-            If its token is forged or expired.
+            If the packet's token is forged or expired.
         """
         match packet:
             case Open():
-                return self._open(packet, caller, datagram, hops, now_s)
+                return self._handle_open(packet, caller, datagram, hops, now_s)
             case _:
-                return self._token_packet(packet, caller, datagram, hops, now_s)
+                return self._handle_token_packet(packet, caller, datagram, hops, now_s)
 
-    def _open(
+    def _handle_open(
         self,
         packet: Open,
         caller: CallerAddress,
@@ -85,8 +85,8 @@
         now_s: float,
     ) -> list[Action]:
         name = self._relay.reachable_owner_name(packet.service)
-        # What was relayed is opened here even if the views differ, so that no
-        # packet goes in circles; a leaving instance takes no new flow.
+        # A relayed open is handled here even if the membership views differ, which
+        # prevents forwarding loops.  A leaving instance opens no flow.
         opens_here = name == self._me.name or (hops > 0 and not self._owner.leaving)
         if not opens_here:
             return self._relay.forward(Identity(name, 0), caller, hops, datagram)
@@ -97,7 +97,7 @@
             )
         return self._owner.open_flow(packet.service, packet.open_id, caller, now_s)
 
-    def _token_packet(
+    def _handle_token_packet(
         self,
         packet: TokenPacket,
         caller: CallerAddress,
@@ -110,7 +110,7 @@
         except TokenInvalidError as error:
             if error.reason != UNKNOWN_KEY:
                 raise
-            # The keyring is on its way here; the caller sends again by itself.
+            # The new keyring has not arrived yet; the caller retransmits.
             return [Count("packets_dropped", UNKNOWN_KEY)]
         if self._table.get(token.binding) is not None:
             return self._handle_here(token, packet, caller, now_s)
@@ -118,24 +118,24 @@
             case Holder(identity=identity) if identity == self._me:
                 return self._handle_as_holder(token, packet, caller, now_s)
             case Holder(identity=identity):
-                self._relay.note_flow(token)
+                self._relay.record_relayed_flow(token)
                 return self._relay.forward(identity, caller, hops, datagram)
             case HolderSuspected(identity=identity):
-                # A suspect may be alive and runs or refuses what it gets; a packet that
-                # is dropped here is lost if the caller does not hear the answer.
-                self._relay.note_flow(token)
+                # A suspected instance may be alive and able to handle the packet.
+                # Without forwarding, the packet is lost if the reply to the caller is.
+                self._relay.record_relayed_flow(token)
                 forwarded = self._relay.forward(identity, caller, hops, datagram)
                 seq = getattr(packet, "seq", 0)
-                told = self._relay.say_unreachable(token, identity, seq, caller)
-                return forwarded + told
+                unreachable = self._relay.say_unreachable(token, identity, seq, caller)
+                return forwarded + unreachable
             case HolderLost():
                 return self._relay.reissue_after_loss(token, caller, now_s)
 
     def _locate(self, token: FlowToken) -> Whereabouts:
-        taker = self._table.successor(token.binding)
-        if taker is None:
+        flow_successor = self._table.successor(token.binding)
+        if flow_successor is None:
             return self._relay.locate(token)
-        return self._relay.follow(taker, token.service)
+        return self._relay.resolve_holder(flow_successor, token.service)
 
     def _handle_as_holder(
         self,
@@ -145,10 +145,10 @@
         now_s: float,
     ) -> list[Action]:
         issued_here = token.owner_incarnation == self._me.incarnation
-        handed_on = self._table.successor(token.binding) is not None
-        if not issued_here or handed_on:
-            # A predecessor handed its flows over, but this one did not arrive; or
-            # it was handed on from here, so that an empty window would be a second.
+        was_handed_over = self._table.successor(token.binding) is not None
+        if not issued_here or was_handed_over:
+            # Either this flow of a predecessor's handover never arrived, or it was
+            # handed over from here; adopting it would create a second window.
             return self._relay.reissue_after_loss(token, caller, now_s)
         if not self._table.may_adopt(token):
             return self._relay.reissue_forgotten(token, caller, now_s)
@@ -162,9 +162,9 @@
         now_s: float,
     ) -> list[Action]:
         self._roles.activate(token.service, now_s)
-        flow = self._owner.find_flow(token, caller, now_s)
+        flow = self._owner.get_or_adopt_flow(token, caller, now_s)
         actions = self._owner.handle(flow, packet, caller, now_s)
         if token.owner_incarnation != self._me.incarnation and not flow.frozen:
-            # The caller still uses its old token.
+            # The caller still uses the previous owner's token.
             actions.append(self._owner.reissue(flow, now_s))
         return actions
--- a/endivepick/core/silence.py
+++ b/endivepick/core/silence.py
@@ -1,4 +1,4 @@
-"""What an owner does with the requests of callers that fall silent."""
+"""Timeouts for requests whose callers have become silent."""
 
 from endivepick.core.actions import Action, Count
 from endivepick.core.executor import RequestExecutor
@@ -7,26 +7,26 @@
 from endivepick.core.messages import Outcome, Refused
 from endivepick.core.settings import FlowSettings
 
-__all__ = ["CALLER_SILENT", "SilenceWatch"]
+__all__ = ["CALLER_SILENT", "CallerTimeoutMonitor"]
 
 CALLER_SILENT = "caller_silent"
-"""Why a request ended: nobody asked for its answer."""
+"""Reason of a request that ended because its caller was silent."""
 
 
-class SilenceWatch:
-    """Stops work that nobody awaits and forgets answers that nobody fetches.
+class CallerTimeoutMonitor:
+    """Cancels requests and drops answers of silent callers.
 
-    A caller may come back: a stream then goes on after its last event, and of any
-    other request it learns at once that it has ended, and whether it ran.
+    When a caller returns, its stream resumes after the last event.  For any other
+    request the caller is told immediately that it has ended and whether it ran.
 
     Parameters
     ----------
     settings : FlowSettings
-        How long callers may be silent.
+        Timeouts.
     table : FlowTable
         Flows of this instance.
     executor : RequestExecutor
-        Holds the requests that wait or run.
+        Executor of waiting and running requests.
     """
 
     def __init__(
@@ -38,19 +38,19 @@
         self._next_sweep_s = 0.0
 
     def tick(self, now_s: float) -> list[Action]:
-        """Look at all requests, now and then."""
+        """Check all requests when the sweep period has passed."""
         if now_s < self._next_sweep_s:
             return []
         self._next_sweep_s = now_s + self._settings.sweep_every_s
         actions: list[Action] = []
-        for flow in self._table.with_requests():
+        for flow in self._table.list_active_flows():
             if flow.frozen:
                 continue
             for request in list(flow.requests.values()):
-                actions += self._look_at(flow, request, now_s)
+                actions += self._check_request(flow, request, now_s)
         return actions
 
-    def _look_at(
+    def _check_request(
         self, flow: OwnedFlow, request: OwnedRequest, now_s: float
     ) -> list[Action]:
         silent_s = now_s - request.heard_at_s
@@ -59,20 +59,20 @@
                 del flow.requests[request.seq]
         elif request.at_dispatcher:
             if silent_s > self._settings.caller_silence_s:
-                return self._stop(flow, request, now_s)
+                return self._stop_request(flow, request, now_s)
         elif silent_s > self._settings.unacknowledged_s:
             del flow.requests[request.seq]
         return []
 
-    def _stop(
+    def _stop_request(
         self, flow: OwnedFlow, request: OwnedRequest, now_s: float
     ) -> list[Action]:
         if request.is_stream:
-            return self._executor.pause(flow, request, now_s)
+            return self._executor.pause_stream(flow, request, now_s)
         ran = request.state == "running" or request.may_have_run
         actions = self._executor.cancel(flow, request, now_s)
-        word = Outcome if ran else Refused
-        request.verdict = word(
+        reply_type = Outcome if ran else Refused
+        request.verdict = reply_type(
             flow.flow_id, flow.binding, request.seq, CALLER_SILENT, retry_after_ms=0
         )
         if ran:
--- a/endivepick/core/tests/_fixture.py
+++ b/endivepick/core/tests/_fixture.py
@@ -1,4 +1,4 @@
-"""An owner with one service, driven without sockets."""
+"""Test fixture: a flow owner with one service and no sockets."""
 
 from itertools import count
 
@@ -41,7 +41,7 @@
 
 
 class OwnerFixture:
-    """One instance's owner with a probed dispatcher."""
+    """Flow owner of one instance, with a dispatcher that has probe results."""
 
     def __init__(self, name: str = "a", first_id: int = 1) -> None:
         ids = count(first_id)
@@ -77,7 +77,7 @@
         return self.codec.unseal(opened.token, NOW_S), opened.token
 
     def flow(self, token: FlowToken):
-        return self.owner.find_flow(token, CALLER, NOW_S)
+        return self.owner.get_or_adopt_flow(token, CALLER, NOW_S)
 
     def send(self, token: FlowToken, packet, now_s: float = NOW_S) -> list[Action]:
         return self.owner.handle(self.flow(token), packet, CALLER, now_s)
--- a/endivepick/core/tests/test_closed_flows.py
+++ b/endivepick/core/tests/test_closed_flows.py
@@ -1,4 +1,4 @@
-"""Flows that were closed, forgotten or never used, and late copies of their packets."""
+"""Closed, removed and unused flows, and late duplicates of their packets."""
 
 import unittest
 from unittest.mock import Mock
@@ -36,8 +36,8 @@
 MINUTES_LATER_S = NOW_S + 120.0
 
 
-class Peers:
-    """Beliefs of an instance: who is gone, and who took over from whom."""
+class FakePeers:
+    """Membership state of an instance: ended incarnations and successors."""
 
     def __init__(self, me: Identity) -> None:
         self.me = me
@@ -64,11 +64,11 @@
 
 
 class Node(OwnerFixture):
-    """An instance that routes packets and hands flows over."""
+    """Instance that routes packets and hands flows over."""
 
     def __init__(self, name: str = "a", first_id: int = 1) -> None:
         super().__init__(name, first_id)
-        self.peers = Peers(self.me)
+        self.peers = FakePeers(self.me)
         self.relay = Relay(
             self.me, self.peers, self.codec, self.new_id, 1.0, lambda _: frozenset()
         )
@@ -78,12 +78,12 @@
         self.taker = HandOverTaker(self.settings, self.table, self.executor)
 
     def route(self, sealed, packet, now_s=NOW_S):
-        """Route a packet under a token."""
+        """Route a packet with a sealed token."""
         packet = type(packet)(**{**_fields(packet), "token": sealed})
         return self.router.route(packet, CALLER, b"datagram", 0, now_s)
 
     def run(self, sealed, seq=1):
-        """Run a request up to its acknowledged answer."""
+        """Run a request until its answer is acknowledged."""
         [start] = starts(self.route(sealed, request_part(seq)))
         self.answer(start)
         self.route(sealed, Acknowledge(b"", seq, 2, [], 64, True))
@@ -100,7 +100,7 @@
         return sum(target.flows for target in snapshot.targets)
 
     def reissue(self):
-        """Return the token that a relay draws in this instance's name."""
+        """Return a token that a relay issues on behalf of this instance."""
         lost = self.codec.unseal(self.open()[1], NOW_S)
         actions = self.relay.reissue_after_loss(lost, CALLER, NOW_S)
         return packets(actions, Reissued)[0].token
@@ -120,9 +120,9 @@
     return {name: getattr(packet, name) for name in packet.__struct_fields__}
 
 
-class ForgottenTestCase(unittest.TestCase):
-    def assert_never_runs(self, actions):
-        """A late copy neither runs nor is called "not run"; it gets a new token."""
+class RemovedFlowTestCase(unittest.TestCase):
+    def assert_not_run(self, actions):
+        """Check that a late duplicate is reissued, and neither run nor refused."""
         self.assertEqual(starts(actions), [])
         self.assertEqual(packets(actions, Refused), [])
         [reissued] = packets(actions, Reissued)
@@ -130,33 +130,33 @@
         self.assertNotEqual(reissued.binding, reissued.old_binding)
 
 
-class TestClosedFlow(ForgottenTestCase):
+class TestClosedFlow(RemovedFlowTestCase):
     def setUp(self):
         self.node = Node()
         _, self.sealed = self.node.open()
 
-    def close_and_forget(self):
+    def close_and_expire(self):
         self.node.close(self.sealed)
         self.node.expire(MINUTES_LATER_S)
 
     def test_is_not_kept_until_its_token_expires(self):
         self.node.run(self.sealed)
-        self.close_and_forget()
+        self.close_and_expire()
         self.assertEqual(len(self.node.table), 0)
         self.assertEqual(self.node.flows_at_targets(), 0)
 
     def test_late_copy_of_what_ran_never_runs_again(self):
         self.node.run(self.sealed)
-        self.close_and_forget()
+        self.close_and_expire()
         copy = self.node.route(self.sealed, request_part(1), MINUTES_LATER_S)
-        self.assert_never_runs(copy)
+        self.assert_not_run(copy)
         self.assertIn(Count("flows_reissued", "forgotten"), copy)
         self.assertEqual(len(self.node.table), 0)
 
     def test_request_that_arrives_after_its_flow_was_closed_and_forgotten(self):
-        self.close_and_forget()
+        self.close_and_expire()
         late = self.node.route(self.sealed, request_part(1), MINUTES_LATER_S)
-        self.assert_never_runs(late)
+        self.assert_not_run(late)
 
     def test_copies_that_follow_at_once_are_told_what_is_known(self):
         self.node.run(self.sealed)
@@ -168,18 +168,18 @@
         self.assertEqual(len(packets(fresh, Refused)), 1)
         self.node.expire(MINUTES_LATER_S)
         copy = self.node.route(self.sealed, request_part(2), MINUTES_LATER_S)
-        self.assert_never_runs(copy)
+        self.assert_not_run(copy)
 
     def test_owner_that_started_again_does_not_run_it(self):
         self.node.run(self.sealed)
-        self.close_and_forget()
+        self.close_and_expire()
         restarted = Node("a", 5000)
         restarted.peers.dead.add(self.node.me.incarnation)
         copy = restarted.route(self.sealed, request_part(1), MINUTES_LATER_S)
-        self.assert_never_runs(copy)
+        self.assert_not_run(copy)
 
 
-class TestBindingDrawnByRelay(ForgottenTestCase):
+class TestBindingDrawnByRelay(RemovedFlowTestCase):
     def setUp(self):
         self.node = Node()
         self.sealed = self.node.reissue()
@@ -189,7 +189,7 @@
         self.node.close(self.sealed)
         self.node.expire(MINUTES_LATER_S)
         copy = self.node.route(self.sealed, request_part(1), MINUTES_LATER_S)
-        self.assert_never_runs(copy)
+        self.assert_not_run(copy)
 
     def test_is_remembered_until_its_token_has_expired(self):
         self.node.run(self.sealed)
@@ -211,7 +211,7 @@
         self.assertEqual(len(starts(first)), 1)
 
 
-class TestHandOverOfClosedFlows(ForgottenTestCase):
+class TestHandOverOfClosedFlows(RemovedFlowTestCase):
     def setUp(self):
         self.giver, self.taker = Node("a"), Node("b", 1000)
         _, self.closed = self.giver.open()
@@ -221,11 +221,11 @@
         self.giver.close(self.closed)
 
     def hand_over(self):
-        give = self.giver.giver(self.taker.me)
-        [message] = _messages(give.tick(NOW_S), HandOver)
+        giver_core = self.giver.giver(self.taker.me)
+        [message] = _messages(giver_core.tick(NOW_S), HandOver)
         _, actions = self.taker.taker.take(self.giver.me, message, False, NOW_S)
         [accepted] = _messages(actions, HandOverAccepted)
-        give.accepted(self.taker.me, accepted.transfer_id)
+        giver_core.accepted(self.taker.me, accepted.transfer_id)
         return message
 
     def test_successor_gets_the_open_ones_only(self):
@@ -236,9 +236,9 @@
 
     def test_late_copies_run_neither_here_nor_there(self):
         self.hand_over()
-        self.assert_never_runs(self.giver.route(self.closed, request_part(1)))
+        self.assert_not_run(self.giver.route(self.closed, request_part(1)))
         self.taker.peers.successors[self.giver.me.incarnation] = self.taker.me
-        self.assert_never_runs(self.taker.route(self.closed, request_part(1)))
+        self.assert_not_run(self.taker.route(self.closed, request_part(1)))
 
     def test_flow_closed_at_the_successor_runs_neither_here_nor_there(self):
         self.hand_over()
@@ -247,10 +247,10 @@
         self.taker.expire(MINUTES_LATER_S)
         self.assertEqual(len(self.taker.table), 0)
         copy = self.taker.route(self.still_open, request_part(1), MINUTES_LATER_S)
-        self.assert_never_runs(copy)
-        passed_on = self.giver.route(self.still_open, request_part(1), MINUTES_LATER_S)
-        self.assertEqual(starts(passed_on), [])
-        self.assertEqual(packets(passed_on, Refused), [])
+        self.assert_not_run(copy)
+        forwarded = self.giver.route(self.still_open, request_part(1), MINUTES_LATER_S)
+        self.assertEqual(starts(forwarded), [])
+        self.assertEqual(packets(forwarded, Refused), [])
 
     def test_closed_flow_that_an_earlier_build_still_sends_is_left_out(self):
         flow = next(flow for flow in self.giver.table if flow.closed)
@@ -286,8 +286,8 @@
     def test_unused_flow_goes_to_the_successor_hours_later(self):
         self.node.open()
         self.node.expire(NOW_S + HOUR_S)
-        give = self.node.giver(Identity("b", 2))
-        [message] = _messages(give.tick(NOW_S + HOUR_S), HandOver)
+        giver_core = self.node.giver(Identity("b", 2))
+        [message] = _messages(giver_core.tick(NOW_S + HOUR_S), HandOver)
         self.assertEqual(len(message.flows), 1)
 
     def test_oldest_unused_flows_go_beyond_the_limit(self):
--- a/endivepick/core/tests/test_owner.py
+++ b/endivepick/core/tests/test_owner.py
@@ -171,13 +171,14 @@
         self.assertEqual(part1.data, b"new")
 
     def test_repeated_part_is_told_what_is_missing(self):
-        # Their number gives no report by itself, and the caller may send no more.
+        # 11 parts are no multiple of the progress interval, so only the repeated
+        # part can trigger a report; the caller may send no further part.
         parts = [RequestPart(b"", 1, i, 40, False, 10_000, b"a") for i in range(11)]
         for part in parts:
             self.fixture.send(self.token, part)
         repeated = self.fixture.send(self.token, parts[-1])
-        [told] = packets(repeated, RequestProgress)
-        self.assertEqual(told.next_index, 11)
+        [reply] = packets(repeated, RequestProgress)
+        self.assertEqual(reply.next_index, 11)
 
     def test_parts_in_any_order_make_one_request(self):
         whole = request_part(1).data + b""
@@ -204,7 +205,7 @@
 
         self.assertEqual(flows(self.fixture), 1)
         other = OwnerFixture(first_id=900)
-        other.owner.find_flow(self.token, CALLER, NOW_S)
+        other.owner.get_or_adopt_flow(self.token, CALLER, NOW_S)
         self.assertEqual(flows(other), 1)
         for _ in range(2):
             self.fixture.send(self.token, FlowClosed(b""))
--- a/endivepick/core/tests/test_roles.py
+++ b/endivepick/core/tests/test_roles.py
@@ -22,13 +22,13 @@
 from endivepick.records.objects import StoredObject
 
 
-class Owners:
-    """Owner choice that counts how often it is asked."""
+class FakeOwnerLookup:
+    """Owner lookup that counts its queries."""
 
     def __init__(self):
         self.mine = set()
         self.unsettled = set()
-        self.asked = 0
+        self.query_count = 0
 
     def take_unsettled(self):
         unsettled, self.unsettled = self.unsettled, set()
@@ -38,13 +38,13 @@
         return "a" if service in self.mine else "b"
 
     def is_mine(self, service):
-        self.asked += 1
+        self.query_count += 1
         return service in self.mine
 
 
 class TestReview(unittest.TestCase):
     def setUp(self):
-        self.owners = Owners()
+        self.owners = FakeOwnerLookup()
         self.catalog = Catalog()
         names = [f"service-{number}" for number in range(50)]
         self.catalog.apply(
@@ -67,21 +67,21 @@
             "a",
         )
         self.roles.tick(0.0)
-        self.owners.asked = 0
+        self.owners.query_count = 0
 
     def test_asks_for_no_service_while_nobody_comes_or_goes(self):
         for second in range(1, 20):
             self.roles.tick(float(second))
-        self.assertEqual(self.owners.asked, 0)
+        self.assertEqual(self.owners.query_count, 0)
 
     def test_takes_up_and_lets_go_when_an_instance_comes_or_goes(self):
         self.owners.mine = {"service-7", "service-9"}
         self.owners.unsettled = {"service-1", "service-7", "service-9"}
-        self.roles.review_soon()
+        self.roles.schedule_review()
         self.roles.tick(1.1)
         self.assertEqual(set(self.roles.active), {"service-7", "service-9"})
         self.owners.mine = {"service-9"}
-        self.roles.review_soon()
+        self.roles.schedule_review()
         self.roles.tick(1.2)
         self.assertEqual(set(self.roles.active), {"service-9"})
 
@@ -102,7 +102,7 @@
             ready = ProbeResult(TargetHealth.READY, "service-3", 7)
             self.roles.on_probed("service-3", "t0", ready, 1.0)
             self.roles.on_report("b", InFlightReport("service-3", {"t0": 2}), 1.0)
-            self.roles.forget_peer(lost)
+            self.roles.on_peer_ended(lost)
             self.roles.tick(1.1)
             dispatcher = self.executor.dispatchers["service-3"]
             decisions = dispatcher.submit(intent(lost), 1.1, 0.5)
--- a/endivepick/core/tests/test_router.py
+++ b/endivepick/core/tests/test_router.py
@@ -9,7 +9,7 @@
 
 
 class FakePeers:
-    """Beliefs of the leaving instance ``a``."""
+    """Membership state of the leaving instance ``a``."""
 
     def __init__(self) -> None:
         self.dead: set[Identity] = set()
@@ -65,11 +65,11 @@
         self.assertEqual(self.receivers(), ["b"])
 
     def test_goes_to_its_taker_also_while_that_one_is_suspected(self):
-        """A suspect that is alive does what is asked, whatever its caller hears."""
+        """A suspected instance may be alive, so the packet is forwarded anyway."""
         self.peers.suspects.add(self.taker.name)
         self.assertEqual(self.receivers(), ["b"])
-        [told] = packets(self.route(), Unreachable)
-        self.assertEqual(told.retry_after_ms, 300)
+        [reply] = packets(self.route(), Unreachable)
+        self.assertEqual(reply.retry_after_ms, 300)
 
     def test_goes_to_the_last_holder_once_its_taker_has_left_too(self):
         self.peers.dead.add(self.taker)
--- a/endivepick/core/tests/test_silence.py
+++ b/endivepick/core/tests/test_silence.py
@@ -20,16 +20,16 @@
 
 
 class TestSilentCaller(unittest.TestCase):
-    """A caller that was out of reach learns at its first word how things stand."""
+    """A silent caller that returns gets the request state on its first packet."""
 
     def setUp(self):
         self.fixture = OwnerFixture()
         self.token, _ = self.fixture.open()
         settings = self.fixture.settings
         self.silent_s = NOW_S + settings.caller_silence_s + 1
-        self.forgotten_s = NOW_S + settings.unacknowledged_s + 1
+        self.dropped_s = NOW_S + settings.unacknowledged_s + 1
 
-    def ask(self, seq, next_index, now_s):
+    def acknowledge(self, seq, next_index, now_s):
         packet = Acknowledge(b"", seq, next_index, [], 64, False)
         return self.fixture.send(self.token, packet, now_s)
 
@@ -52,14 +52,14 @@
         [start] = starts(self.fixture.request(self.token, 1))
         stopped = self.fixture.owner.tick(self.silent_s)
         self.assertIn(CancelAttempt(start.request_id, start.attempt), stopped)
-        [outcome] = packets(self.ask(1, 0, self.silent_s), Outcome)
+        [outcome] = packets(self.acknowledge(1, 0, self.silent_s), Outcome)
         self.assertEqual(outcome.reason, "caller_silent")
 
     def test_waiting_request_did_not_run(self):
         for seq in range(1, 6):
             self.fixture.request(self.token, seq)
         self.fixture.owner.tick(self.silent_s)
-        [refused] = packets(self.ask(5, 0, self.silent_s), Refused)
+        [refused] = packets(self.acknowledge(5, 0, self.silent_s), Refused)
         self.assertEqual(refused.reason, "caller_silent")
         # No later copy runs.
         self.assertEqual(starts(self.fixture.request(self.token, 5)), [])
@@ -70,7 +70,7 @@
         cancelled = CancelAttempt(start.request_id, start.attempt, by_key=False)
         self.assertIn(cancelled, stopped)
         self.end_attempt(start)
-        actions = self.ask(1, 0, self.silent_s + 1)
+        actions = self.acknowledge(1, 0, self.silent_s + 1)
         self.assertEqual(len(packets(actions, AnswerPart)), 2)
         [resumed] = starts(actions)
         self.assertEqual(resumed.last_event_id, "9")
@@ -79,8 +79,8 @@
         start = self.begin_stream()
         self.fixture.owner.tick(self.silent_s)
         self.end_attempt(start)
-        self.fixture.owner.tick(self.forgotten_s)
-        actions = self.ask(1, 0, self.forgotten_s)
+        self.fixture.owner.tick(self.dropped_s)
+        actions = self.acknowledge(1, 0, self.dropped_s)
         self.assertEqual(starts(actions), [])
         [outcome] = packets(actions, Outcome)
         self.assertEqual(outcome.reason, "answer_forgotten")
--- a/endivepick/core/tests/test_window.py
+++ b/endivepick/core/tests/test_window.py
@@ -10,7 +10,7 @@
 
 
 class Reference:
-    """Every number below the floor and every claimed one, kept one by one."""
+    """Reference model that stores every claimed number individually."""
 
     def __init__(self):
         self.claimed = {0}
--- a/endivepick/core/window.py
+++ b/endivepick/core/window.py
@@ -1,8 +1,8 @@
-"""Replay window: which request numbers of one binding were seen.
+"""Replay window over the request sequence numbers of one binding.
 
-A number is *claimed* once, when its request is complete, and never again.  The
-window holds a floor below which every number counts as claimed, and the set of
-claimed numbers above it.
+A sequence number is *claimed* at most once, when its request is complete.  The
+window stores a floor, below which every number counts as claimed, and the set of
+claimed numbers above the floor.
 """
 
 from collections.abc import Iterable
@@ -15,23 +15,23 @@
 
 
 class SeqState(Enum):
-    """What a window says about a request number."""
+    """State of a sequence number in a replay window."""
 
     FRESH = "fresh"
-    """Not seen: may be claimed."""
+    """Not claimed and within the window."""
     CLAIMED = "claimed"
-    """Seen before: must not run again."""
+    """Claimed before: the request must not run again."""
     OUT_OF_RANGE = "out_of_range"
-    """Too far above the floor to be tracked: must not run now."""
+    """Beyond the tracked range: the request must not run now."""
 
 
 class WindowSnapshot(msgspec.Struct, frozen=True, array_like=True):
-    """A window as it travels in a hand-over.
+    """Serialized replay window of a handover.
 
     Attributes
     ----------
     floor : int
-        Every number below it counts as claimed.
+        Number below which every number counts as claimed.
     claimed : list of int
         Claimed numbers from ``floor`` up, ascending.
     """
@@ -40,18 +40,20 @@
     claimed: list[int]
 
 
-_NONE: frozenset[int] = frozenset()
-"""Shared by all windows without a claimed number above the floor."""
+_EMPTY: frozenset[int] = frozenset()
+"""Empty set that all windows without a claimed number above the floor share."""
 
 
 @dataclass(slots=True)
 class ReplayWindow:
-    """Window over the request numbers of one binding.
+    """Replay window of one binding.
 
     Parameters
     ----------
     size : int
-        How many numbers above the floor are tracked.
+        Number of tracked sequence numbers from the floor up.
+    floor : int
+        Number below which every number counts as claimed.
 
     Examples
     --------
@@ -64,10 +66,10 @@
 
     size: int
     floor: int = 1
-    _claimed: set[int] | frozenset[int] = _NONE
+    _claimed: set[int] | frozenset[int] = _EMPTY
 
     def state(self, seq: int) -> SeqState:
-        """Look a request number up."""
+        """Return the state of a sequence number."""
         if seq < self.floor or seq in self._claimed:
             return SeqState.CLAIMED
         if seq >= self.floor + self.size:
@@ -75,12 +77,12 @@
         return SeqState.FRESH
 
     def claim(self, seq: int) -> bool:
-        """Take a number for the one run of its request.
+        """Claim a number for the only run of its request.
 
         Returns
         -------
         bool
-            False if the number was claimed before or lies out of range.
+            False if the number was claimed before or is out of range.
         """
         if self.state(seq) is not SeqState.FRESH:
             return False
@@ -101,34 +103,34 @@
             claimed.remove(self.floor)
             self.floor += 1
         if not claimed:
-            self._claimed = _NONE
+            self._claimed = _EMPTY
 
     @property
-    def is_untouched(self) -> bool:
-        """Whether no number was ever claimed."""
+    def is_unclaimed(self) -> bool:
+        """Whether no number was claimed."""
         return self.floor == 1 and not self._claimed
 
     def skip_below(self, seq: int) -> None:
-        """Give up all numbers below ``seq`` that were never claimed."""
+        """Raise the floor to ``seq``, so that all lower numbers count as claimed."""
         if seq <= self.floor:
             return
         self.floor = seq
         self._claimed = {
             claimed for claimed in self._claimed if claimed >= seq
-        } or _NONE
+        } or _EMPTY
         self._raise_floor()
 
     def snapshot(self) -> WindowSnapshot:
-        """Copy the window for a hand-over."""
+        """Return a snapshot of the window for a handover."""
         return WindowSnapshot(self.floor, sorted(self._claimed))
 
     @classmethod
     def restore(cls, snapshot: WindowSnapshot, size: int) -> "ReplayWindow":
-        """Build a window from a snapshot."""
+        """Return the window of a snapshot."""
         return cls._from_parts(size, snapshot.floor, snapshot.claimed)
 
     @classmethod
     def _from_parts(
         cls, size: int, floor: int, claimed: Iterable[int]
     ) -> "ReplayWindow":
-        return cls(size=size, floor=floor, _claimed=set(claimed) or _NONE)
+        return cls(size=size, floor=floor, _claimed=set(claimed) or _EMPTY)
