--- a/endivepick/core/executor.py
+++ b/endivepick/core/executor.py
@@ -77,13 +77,13 @@
         self._attempt_services: dict[RequestId, str] = {}
 
     def flow_added(self, flow: OwnedFlow, now_s: float) -> None:
-        """Count a flow of another owner, with its pinned target, at the dispatcher."""
+        """Register a flow from another owner at its target."""
         dispatcher = self.dispatchers.get(flow.service)
         if dispatcher is not None:
             dispatcher.adopt_flow(flow.target, flow.activity, now_s)
 
     def flow_removed(self, flow: OwnedFlow, now_s: float) -> None:
-        """Remove a closed, expired or handed-over flow from its target's count."""
+        """Unregister a closed, expired or handed-over flow from its target."""
         dispatcher = self.dispatchers.get(flow.service)
         if dispatcher is not None and not flow.closed:
             dispatcher.close_flow(flow.target, flow.activity, now_s)
--- a/endivepick/core/flow_table.py
+++ b/endivepick/core/flow_table.py
@@ -43,7 +43,7 @@
     Parameters
     ----------
     settings : FlowSettings
-        Limits and times.
+        Limits and timeouts.
     me : Identity
         This instance.
     new_id : callable
--- a/endivepick/core/intake.py
+++ b/endivepick/core/intake.py
@@ -25,7 +25,7 @@
 __all__ = ["RequestIntake"]
 
 DEFER_PERIOD_S = 1.0
-"""Alternating period of deferring and admitting requests while leaving, in seconds."""
+"""Length of the periods of deferring and admitting requests, in seconds."""
 PARTS_PER_PROGRESS = 8
 """Number of received request parts per progress reply."""
 
--- a/endivepick/core/relay.py
+++ b/endivepick/core/relay.py
@@ -176,7 +176,7 @@
         text = "flow owner lost; flow reissued with a new owner"
         return self._reissue(token, caller, now_s, text, "")
 
-    def reissue_forgotten(
+    def reissue_removed_flow(
         self, token: FlowToken, caller: CallerAddress, now_s: float
     ) -> list[Action]:
         """Reissue a flow that was removed from the table, with an empty binding.
--- a/endivepick/core/router.py
+++ b/endivepick/core/router.py
@@ -151,7 +151,7 @@
             # handed over from here; adopting it would create a second window.
             return self._relay.reissue_after_loss(token, caller, now_s)
         if not self._table.may_adopt(token):
-            return self._relay.reissue_forgotten(token, caller, now_s)
+            return self._relay.reissue_removed_flow(token, caller, now_s)
         return self._handle_here(token, packet, caller, now_s)
 
     def _handle_here(
--- a/endivepick/core/tests/test_closed_flows.py
+++ b/endivepick/core/tests/test_closed_flows.py
@@ -145,7 +145,7 @@
         self.assertEqual(len(self.node.table), 0)
         self.assertEqual(self.node.flows_at_targets(), 0)
 
-    def test_late_copy_of_what_ran_never_runs_again(self):
+    def test_late_duplicate_of_completed_request_does_not_run(self):
         self.node.run(self.sealed)
         self.close_and_expire()
         copy = self.node.route(self.sealed, request_part(1), MINUTES_LATER_S)
@@ -153,12 +153,12 @@
         self.assertIn(Count("flows_reissued", "forgotten"), copy)
         self.assertEqual(len(self.node.table), 0)
 
-    def test_request_that_arrives_after_its_flow_was_closed_and_forgotten(self):
+    def test_request_after_removal_of_closed_flow_does_not_run(self):
         self.close_and_expire()
         late = self.node.route(self.sealed, request_part(1), MINUTES_LATER_S)
         self.assert_not_run(late)
 
-    def test_copies_that_follow_at_once_are_told_what_is_known(self):
+    def test_duplicates_before_removal_get_outcome_or_refusal(self):
         self.node.run(self.sealed)
         self.node.close(self.sealed)
         self.node.close(self.sealed)
@@ -170,7 +170,7 @@
         copy = self.node.route(self.sealed, request_part(2), MINUTES_LATER_S)
         self.assert_not_run(copy)
 
-    def test_owner_that_started_again_does_not_run_it(self):
+    def test_restarted_owner_does_not_run_late_duplicate(self):
         self.node.run(self.sealed)
         self.close_and_expire()
         restarted = Node("a", 5000)
@@ -228,19 +228,19 @@
         giver_core.accepted(self.taker.me, accepted.transfer_id)
         return message
 
-    def test_successor_gets_the_open_ones_only(self):
+    def test_successor_gets_only_open_flows(self):
         message = self.hand_over()
         self.assertEqual(len(message.flows), 1)
         self.assertEqual((len(self.giver.table), len(self.taker.table)), (0, 1))
         self.assertEqual(self.taker.flows_at_targets(), 1)
 
-    def test_late_copies_run_neither_here_nor_there(self):
+    def test_late_duplicate_runs_at_neither_instance(self):
         self.hand_over()
         self.assert_not_run(self.giver.route(self.closed, request_part(1)))
         self.taker.peers.successors[self.giver.me.incarnation] = self.taker.me
         self.assert_not_run(self.taker.route(self.closed, request_part(1)))
 
-    def test_flow_closed_at_the_successor_runs_neither_here_nor_there(self):
+    def test_flow_closed_at_successor_runs_at_neither_instance(self):
         self.hand_over()
         self.taker.peers.successors[self.giver.me.incarnation] = self.taker.me
         self.taker.close(self.still_open)
@@ -252,7 +252,7 @@
         self.assertEqual(starts(forwarded), [])
         self.assertEqual(packets(forwarded, Refused), [])
 
-    def test_closed_flow_that_an_earlier_build_still_sends_is_left_out(self):
+    def test_closed_flow_from_earlier_build_is_not_restored(self):
         flow = next(flow for flow in self.giver.table if flow.closed)
         message = HandOver(1, self.taker.me.incarnation, [snapshot_flow(flow, NOW_S)])
         flows, actions = self.taker.taker.take(self.giver.me, message, False, NOW_S)
@@ -283,14 +283,14 @@
             request = self.node.route(sealed, request_part(seq), late_s)
             self.assertEqual(len(starts(request)), 1)
 
-    def test_unused_flow_goes_to_the_successor_hours_later(self):
+    def test_unused_flow_is_handed_over_hours_later(self):
         self.node.open()
         self.node.expire(NOW_S + HOUR_S)
         giver_core = self.node.giver(Identity("b", 2))
         [message] = _messages(giver_core.tick(NOW_S + HOUR_S), HandOver)
         self.assertEqual(len(message.flows), 1)
 
-    def test_oldest_unused_flows_go_beyond_the_limit(self):
+    def test_oldest_unused_flows_beyond_limit_are_removed(self):
         table = FlowTable(self.node.settings, self.node.me, self.node.new_id, 2)
         flows = [table.open(SERVICE, "", CALLER, NOW_S) for _ in range(5)]
         flows[0].window.claim(1)
@@ -298,7 +298,7 @@
         self.assertEqual(table.expire(MINUTES_LATER_S), flows[1:3])
         self.assertIs(table.get(flows[0].binding), flows[0])
 
-    def test_flow_whose_token_has_expired_goes_within_an_hour(self):
+    def test_flow_with_expired_token_is_removed_within_an_hour(self):
         _, sealed = self.node.open()
         self.node.run(sealed)
         self.node.expire(NOW_S)
@@ -308,7 +308,7 @@
         self.node.expire(NOW_S + kept_s + LOOK_EVERY_S)
         self.assertEqual(len(self.node.table), 0)
 
-    def test_each_flow_is_looked_at_once_an_hour(self):
+    def test_each_flow_is_scanned_once_an_hour(self):
         table = self.node.table
         table.expire(NOW_S)
         flows = [table.open(SERVICE, "", CALLER, NOW_S) for _ in range(50)]
--- a/endivepick/core/tests/test_owner.py
+++ b/endivepick/core/tests/test_owner.py
@@ -43,14 +43,14 @@
         event = AttemptFailed(start.request_id, start.attempt, kind, 0.01, **more)
         return self.fixture.executor.failed(event, NOW_S)
 
-    def test_request_runs_once_whatever_copies_arrive(self):
+    def test_duplicate_requests_run_once(self):
         first = self.fixture.request(self.token, 1)
         copies = [self.fixture.request(self.token, 1) for _ in range(3)]
         self.assertEqual(len(starts(first)), 1)
         self.assertEqual([starts(copy) for copy in copies], [[], [], []])
         self.assertTrue(all(packets(copy, Accepted) for copy in copies))
 
-    def test_copy_after_the_answer_gets_the_same_answer(self):
+    def test_duplicate_after_answer_gets_same_answer(self):
         [start] = starts(self.fixture.request(self.token, 1))
         sent = packets(self.fixture.answer(start, b"x" * 2000), AnswerPart)
         copy = self.fixture.request(self.token, 1)
@@ -58,7 +58,7 @@
         self.assertTrue(sent[-1].final)
         self.assertEqual(packets(copy, AnswerPart), sent[:1])
 
-    def test_copy_after_everything_is_forgotten_never_runs(self):
+    def test_duplicate_after_acknowledged_answer_does_not_run(self):
         [start] = starts(self.fixture.request(self.token, 1))
         self.fixture.answer(start)
         self.fixture.send(self.token, Acknowledge(b"", 1, 2, [], 64, True))
@@ -91,7 +91,7 @@
         counts = [action for action in actions if isinstance(action, Count)]
         self.assertEqual(counts, [Count("attempts_retried", "shed")])
 
-    def test_sweep_looks_only_at_flows_with_requests(self):
+    def test_sweep_visits_only_flows_with_requests(self):
         fixture = self.fixture
         for _ in range(100):
             fixture.open()
@@ -101,7 +101,7 @@
             cancelled = fixture.owner.tick(NOW_S + 60)
         self.assertTrue(any(isinstance(a, CancelAttempt) for a in cancelled))
 
-    def test_everything_is_logged_before_it_is_sent(self):
+    def test_log_precedes_send(self):
         fixture = self.fixture
         opened = fixture.owner.open_flow("notes", 1, CALLER, NOW_S)
         accepted = fixture.request(self.token, 1)
@@ -124,12 +124,12 @@
                 kinds = [type(getattr(a, "packet", a)) for a in actions]
                 self.assertLess(names.index(logged), kinds.index(sent))
 
-    def test_time_to_answer_counts_from_the_whole_request(self):
+    def test_time_to_answer_starts_at_complete_request(self):
         [start] = starts(self.fixture.request(self.token, 1, now_s=NOW_S - 2.5))
         observed = [a for a in self.fixture.answer(start) if isinstance(a, Observe)]
         self.assertEqual(observed, [Observe("time_to_answer_s", "notes", 2.5)])
 
-    def test_leaving_owner_takes_requests_of_a_flow_that_waits_for_a_long_one(self):
+    def test_leaving_owner_admits_requests_of_flow_with_long_request(self):
         self.fixture.request(self.token, 1)
         self.fixture.owner.begin_leaving(NOW_S, NOW_S + 20)
         put_off = self.fixture.request(self.token, 2, now_s=NOW_S + 0.5)
@@ -139,12 +139,12 @@
         too_long = self.fixture.request(self.token, 3, now_s=NOW_S + 11.5)
         self.assertEqual(len(packets(too_long, Unreachable)), 1)
 
-    def test_leaving_owner_takes_no_request_of_an_idle_flow(self):
+    def test_leaving_owner_defers_request_of_idle_flow(self):
         self.fixture.owner.begin_leaving(NOW_S, NOW_S + 20)
         actions = self.fixture.request(self.token, 1, now_s=NOW_S + 1.5)
         self.assertEqual(len(packets(actions, Unreachable)), 1)
 
-    def test_cancellation_that_overtakes_its_request_stops_it(self):
+    def test_cancellation_before_request_prevents_run(self):
         self.fixture.send(self.token, Cancel(b"", 1))
         self.assertEqual(starts(self.fixture.request(self.token, 1)), [])
 
@@ -157,20 +157,20 @@
         self.fail_attempt(start, FinishKind.CANCELLED)
         self.assertEqual(dispatcher.in_flight(start.target), 0)
 
-    def test_caller_that_falls_silent_has_its_request_cancelled(self):
+    def test_request_of_silent_caller_is_cancelled(self):
         [start] = starts(self.fixture.request(self.token, 1))
         later_s = NOW_S + self.fixture.settings.caller_silence_s + 1
         actions = self.fixture.owner.tick(later_s)
         self.assertIn(CancelAttempt(start.request_id, start.attempt), actions)
 
-    def test_late_answer_of_an_old_attempt_is_dropped(self):
+    def test_answer_of_outdated_attempt_is_dropped(self):
         [start] = starts(self.fixture.request(self.token, 1))
         [second] = starts(self.fail_attempt(start, FinishKind.SHED, retry_after_s=5.0))
         self.assertEqual(packets(self.fixture.answer(start, b"old"), AnswerPart), [])
         [part0, part1] = packets(self.fixture.answer(second, b"new"), AnswerPart)
         self.assertEqual(part1.data, b"new")
 
-    def test_repeated_part_is_told_what_is_missing(self):
+    def test_repeated_part_gets_progress_report(self):
         # 11 parts are no multiple of the progress interval, so only the repeated
         # part can trigger a report; the caller may send no further part.
         parts = [RequestPart(b"", 1, i, 40, False, 10_000, b"a") for i in range(11)]
@@ -180,7 +180,7 @@
         [reply] = packets(repeated, RequestProgress)
         self.assertEqual(reply.next_index, 11)
 
-    def test_parts_in_any_order_make_one_request(self):
+    def test_reordered_parts_form_one_request(self):
         whole = request_part(1).data + b""
         half = len(whole) // 2
         late = RequestPart(b"", 1, 1, 2, False, 10_000, whole[half:])
@@ -190,7 +190,7 @@
         self.assertEqual(packets(asked, RequestProgress)[0].missing, [0])
         self.assertEqual(len(starts(self.fixture.send(self.token, early))), 1)
 
-    def test_part_that_contradicts_the_others_is_dropped(self):
+    def test_inconsistent_part_is_dropped(self):
         self.fixture.send(self.token, RequestPart(b"", 1, 0, 3, False, 1000, b"a"))
         for packet in (
             RequestPart(b"", 1, 1, 9, False, 1000, b"a"),
@@ -220,14 +220,14 @@
         [second] = starts(self.fail_attempt(start, FinishKind.BROKEN))
         self.assertEqual(second.last_event_id, "4")
 
-    def test_stream_that_must_not_run_twice_is_refused(self):
+    def test_non_idempotent_stream_is_refused(self):
         part = request_part(1, stream=True)
         once = RequestPart(b"", 1, 0, 1, False, 10_000, part.data)
         actions = self.fixture.send(self.token, once)
         self.assertEqual(starts(actions), [])
         self.assertEqual(packets(actions, Refused)[0].reason, "stream_not_idempotent")
 
-    def test_request_that_may_have_run_is_never_refused_as_not_run(self):
+    def test_request_that_may_have_run_is_not_refused(self):
         [start] = starts(self.fixture.send(self.token, self.idempotent(1)))
         [second] = starts(self.fail_attempt(start, FinishKind.BROKEN))
         [third] = starts(self.fail_attempt(second, FinishKind.SHED, retry_after_s=5.0))
@@ -238,7 +238,7 @@
     def idempotent(self, seq):
         return RequestPart(b"", seq, 0, 1, True, 10_000, request_part(seq).data)
 
-    def test_flow_older_than_its_binding_goes_on(self):
+    def test_flow_older_than_its_binding_continues(self):
         first = self.fixture.request(self.token, 5000)
         self.assertEqual(len(starts(first)), 1)
         [start] = starts(first)
@@ -246,7 +246,7 @@
         self.assertEqual(starts(self.fixture.request(self.token, 5000)), [])
         self.assertEqual(len(starts(self.fixture.request(self.token, 4999))), 1)
 
-    def test_number_that_the_floor_has_passed_never_runs(self):
+    def test_sequence_number_below_floor_does_not_run(self):
         whole = request_part(1).data
         early = RequestPart(b"", 1, 0, 2, False, 10_000, whole[:4])
         late = RequestPart(b"", 1, 1, 2, False, 10_000, whole[4:])
@@ -256,7 +256,7 @@
         self.assertEqual(starts(ended), [])
         self.assertEqual(len(packets(ended, Outcome)), 1)
 
-    def test_overtaken_acknowledgement_repeats_nothing(self):
+    def test_stale_acknowledgement_retransmits_nothing(self):
         [start] = starts(self.fixture.request(self.token, 1))
         self.fixture.answer(start, bytes(100_000))
         self.fixture.send(self.token, Acknowledge(b"", 1, 20, [], 64, False))
@@ -266,7 +266,7 @@
             )
             self.assertEqual(packets(again, AnswerPart), [])
 
-    def test_leaving_owner_promises_nothing_about_new_requests(self):
+    def test_leaving_owner_replies_unreachable_to_new_request(self):
         self.fixture.owner.begin_leaving(NOW_S, 0.0)
         actions = self.fixture.request(self.token, 1)
         self.assertEqual(starts(actions), [])
--- a/endivepick/core/tests/test_owners.py
+++ b/endivepick/core/tests/test_owners.py
@@ -43,7 +43,7 @@
         for service in SERVICES:
             self.assertEqual(self.owners.owner(service), self.expected(service))
 
-    def test_follows_every_change(self):
+    def test_owner_is_updated_after_every_change(self):
         rng = random.Random(1)
         present = set()
         for _ in range(300):
@@ -51,7 +51,7 @@
             self.instances.names = tuple(sorted(present))
             self.assert_all_owners()
 
-    def test_knows_what_is_its_own_after_every_change(self):
+    def test_owned_services_are_updated_after_every_change(self):
         rng = random.Random(2)
         present, mine = set(), set(SERVICES)
         for service in SERVICES:
@@ -74,7 +74,7 @@
     def expected_mine(self):
         return {s for s in SERVICES if self.expected(s) in ("entry-1", None)}
 
-    def test_keeps_nothing_of_unknown_services(self):
+    def test_unknown_services_are_not_cached(self):
         self.instances.names = tuple(f"entry-{number}" for number in range(500))
         for number in range(1000):
             self.zones[f"junk-{number}"] = frozenset()
@@ -85,14 +85,14 @@
         self.assertLess(w.call_count, 300 * 1000)
         self.assertEqual(len(self.owners._cached_owners), 0)
 
-    def test_looks_at_few_instances_to_know_what_is_not_its_own(self):
+    def test_ownership_check_compares_few_instances(self):
         self.instances.names = tuple(f"entry-{number}" for number in range(3000))
         with patch.object(rendezvous, "_weight", side_effect=rendezvous._weight) as w:
             for service in SERVICES:
                 self.owners.is_mine(service)
         self.assertLess(w.call_count, 30 * len(SERVICES))
 
-    def test_follows_a_record_that_moves_to_other_zones(self):
+    def test_owner_is_updated_after_record_moves_to_other_zones(self):
         self.instances.names = tuple(f"entry-{number}" for number in range(6))
         self.assert_all_owners()
         self.zones["service-0"] = frozenset({"zone-2"})
@@ -106,7 +106,7 @@
             self.owners.owner("unknown"), owner("unknown", self.instances.names)
         )
 
-    def test_silent_owner_is_passed_over(self):
+    def test_unsuitable_owner_is_skipped(self):
         self.instances.names = ("entry-0", "entry-3", "entry-6")
         winner = self.owners.owner("service-0")
         other = self.owners.first_matching("service-0", lambda name: name != winner)
--- a/endivepick/core/tests/test_roles.py
+++ b/endivepick/core/tests/test_roles.py
@@ -69,12 +69,12 @@
         self.roles.tick(0.0)
         self.owners.query_count = 0
 
-    def test_asks_for_no_service_while_nobody_comes_or_goes(self):
+    def test_review_queries_nothing_without_membership_change(self):
         for second in range(1, 20):
             self.roles.tick(float(second))
         self.assertEqual(self.owners.query_count, 0)
 
-    def test_takes_up_and_lets_go_when_an_instance_comes_or_goes(self):
+    def test_services_are_activated_and_deactivated_after_membership_change(self):
         self.owners.mine = {"service-7", "service-9"}
         self.owners.unsettled = {"service-1", "service-7", "service-9"}
         self.roles.schedule_review()
@@ -85,17 +85,17 @@
         self.roles.tick(1.2)
         self.assertEqual(set(self.roles.active), {"service-9"})
 
-    def test_lets_go_of_a_service_that_was_only_opened_here(self):
+    def test_service_without_flows_is_deactivated(self):
         self.roles.activate("service-3", 1.0)
         self.roles.tick(5.0)
         self.assertEqual(set(self.roles.active), set())
 
-    def test_takes_up_a_service_whose_record_changed(self):
+    def test_service_with_changed_record_is_activated(self):
         self.owners.mine = {"service-4"}
         self.roles.records_changed(["service-4", "unknown"], 1.0)
         self.assertEqual(set(self.roles.active), {"service-4"})
 
-    def test_slots_of_a_lost_owner_are_free_again(self):
+    def test_slots_reported_by_ended_owner_are_released(self):
         self.owners.mine = {"service-3"}
         for lost, decided in (("c", Queued), ("b", Start)):
             self.roles.activate("service-3", 1.0)
@@ -118,7 +118,7 @@
         members.translate([PeerChanged(old, new and replace(old, **new))], 1.0)
         return lost
 
-    def test_tells_of_incarnations_that_ended(self):
+    def test_ended_incarnations_are_reported(self):
         self.assertEqual(self.lost({"state": PeerState.DEAD}), ["b"])
         self.assertEqual(self.lost({"incarnation": 8}), ["b"])
         self.assertEqual(self.lost(None), ["b"])
--- a/endivepick/core/tests/test_router.py
+++ b/endivepick/core/tests/test_router.py
@@ -35,7 +35,7 @@
         return {"b": 2, "c": 3}[name]
 
 
-class TestFlowHandedOverFromHere(unittest.TestCase):
+class TestHandedOverFlow(unittest.TestCase):
     def setUp(self):
         self.fixture = fixture = OwnerFixture("a")
         self.peers = FakePeers()
@@ -51,8 +51,8 @@
             fixture.me, fixture.codec, fixture.table, fixture.owner, relay, None
         )
         token, self.sealed = fixture.open()
-        self.taker = Identity("b", 2)
-        fixture.table.release(token.binding, self.taker)
+        self.successor = Identity("b", 2)
+        fixture.table.release(token.binding, self.successor)
 
     def route(self):
         return self.router.route(Renew(self.sealed), CALLER, b"datagram", 0, NOW_S)
@@ -61,23 +61,23 @@
         sent = self.route()
         return [action.name for action in sent if isinstance(action, SendToPeer)]
 
-    def test_goes_to_its_taker(self):
+    def test_packet_is_forwarded_to_successor(self):
         self.assertEqual(self.receivers(), ["b"])
 
     def test_goes_to_its_taker_also_while_that_one_is_suspected(self):
         """A suspected instance may be alive, so the packet is forwarded anyway."""
-        self.peers.suspects.add(self.taker.name)
+        self.peers.suspects.add(self.successor.name)
         self.assertEqual(self.receivers(), ["b"])
         [reply] = packets(self.route(), Unreachable)
         self.assertEqual(reply.retry_after_ms, 300)
 
-    def test_goes_to_the_last_holder_once_its_taker_has_left_too(self):
-        self.peers.dead.add(self.taker)
-        self.peers.successors[self.taker.incarnation] = Identity("c", 3)
+    def test_packet_is_forwarded_to_last_holder_after_successor_left(self):
+        self.peers.dead.add(self.successor)
+        self.peers.successors[self.successor.incarnation] = Identity("c", 3)
         self.assertEqual(self.receivers(), ["c"])
 
-    def test_gets_a_new_binding_if_its_taker_was_lost(self):
-        self.peers.dead.add(self.taker)
+    def test_flow_is_reissued_after_loss_of_successor(self):
+        self.peers.dead.add(self.successor)
         [reissued] = packets(self.route(), Reissued)
         self.assertFalse(reissued.continues)
 
--- a/endivepick/core/tests/test_silence.py
+++ b/endivepick/core/tests/test_silence.py
@@ -64,7 +64,7 @@
         # No later copy runs.
         self.assertEqual(starts(self.fixture.request(self.token, 5)), [])
 
-    def test_stream_pauses_and_goes_on_after_its_last_event(self):
+    def test_stream_is_suspended_and_resumed_after_last_event(self):
         start = self.begin_stream()
         stopped = self.fixture.owner.tick(self.silent_s)
         cancelled = CancelAttempt(start.request_id, start.attempt, by_key=False)
@@ -75,7 +75,7 @@
         [resumed] = starts(actions)
         self.assertEqual(resumed.last_event_id, "9")
 
-    def test_paused_stream_is_forgotten_in_the_end(self):
+    def test_suspended_stream_is_dropped_after_timeout(self):
         start = self.begin_stream()
         self.fixture.owner.tick(self.silent_s)
         self.end_attempt(start)
--- a/endivepick/core/tests/test_window.py
+++ b/endivepick/core/tests/test_window.py
@@ -33,7 +33,7 @@
     @seed(1)
     @settings(max_examples=300, deadline=None, database=None)
     @given(steps)
-    def test_is_the_set_of_all_claimed_numbers(self, drawn):
+    def test_window_matches_set_of_claimed_numbers(self, drawn):
         window, reference = ReplayWindow(SIZE), Reference()
         for skips, seq in drawn:
             if skips:
@@ -49,7 +49,7 @@
                     claimed = one.state(number) is SeqState.CLAIMED
                     self.assertEqual(claimed, expected, number)
 
-    def test_idle_windows_hold_no_set_of_their_own(self):
+    def test_windows_without_claims_above_floor_share_one_set(self):
         unused, used = ReplayWindow(SIZE), ReplayWindow(SIZE)
         for seq in (2, 1, 3):
             used.claim(seq)
