--- a/endivepick/core/roles.py
+++ b/endivepick/core/roles.py
@@ -169,7 +169,7 @@
     def _deactivate(self, service: str) -> list[Action]:
         del self._active[service]
         del self._executor.dispatchers[service]
-        self._allowance.leave(service)
+        self._allowance.remove_service(service)
         return [
             Log("owner", "service_released", "service released", {"service": service})
         ]
