--- a/endivepick/core/executor.py
+++ b/endivepick/core/executor.py
@@ -12,7 +12,7 @@
     SendToCaller,
     StartAttempt,
 )
-from endivepick.core.answer import AnswerBuffer
+from endivepick.core.answer_buffer import AnswerBuffer
 from endivepick.core.dispatch import (
     CancelRunning,
     Decision,
@@ -32,8 +32,8 @@
     StreamOpened,
 )
 from endivepick.core.flow import OwnedFlow, OwnedRequest
+from endivepick.core.flow_request import FlowRequest, send_unsent_parts
 from endivepick.core.flow_table import FlowTable
-from endivepick.core.held import FlowRequest, send_unsent_parts
 from endivepick.core.messages import AnswerHead, Outcome, Refused
 from endivepick.core.settings import FlowSettings
 
@@ -76,13 +76,13 @@
         self.dispatchers: dict[str, ServiceDispatcher] = {}
         self._attempt_services: dict[RequestId, str] = {}
 
-    def flow_added(self, flow: OwnedFlow, now_s: float) -> None:
+    def register_flow(self, flow: OwnedFlow, now_s: float) -> None:
         """Register a flow from another owner at its target."""
         dispatcher = self.dispatchers.get(flow.service)
         if dispatcher is not None:
             dispatcher.adopt_flow(flow.target, flow.activity, now_s)
 
-    def flow_removed(self, flow: OwnedFlow, now_s: float) -> None:
+    def unregister_flow(self, flow: OwnedFlow, now_s: float) -> None:
         """Unregister a closed, expired or handed-over flow from its target."""
         dispatcher = self.dispatchers.get(flow.service)
         if dispatcher is not None and not flow.closed:
@@ -101,9 +101,9 @@
             )
         intent = flow_request.intent()
         decisions = dispatcher.submit(intent, now_s, self._random_number())
-        return self.carry_out(decisions, now_s)
+        return self.apply_decisions(decisions, now_s)
 
-    def carry_out(self, decisions: list[Decision], now_s: float) -> list[Action]:
+    def apply_decisions(self, decisions: list[Decision], now_s: float) -> list[Action]:
         """Convert the dispatcher's decisions into actions."""
         actions: list[Action] = []
         for decision in decisions:
@@ -286,7 +286,7 @@
         if dispatcher is None:
             return []
         decisions = dispatcher.finished(request_id, now_s, FinishKind.CANCELLED, 0.0)
-        return self.carry_out(decisions, now_s)
+        return self.apply_decisions(decisions, now_s)
 
     def _report_finished(
         self,
@@ -307,7 +307,7 @@
         decisions = dispatcher.finished(
             flow_request.request_id, now_s, kind, duration_s, retry_after_s
         )
-        return self.carry_out(decisions, now_s)
+        return self.apply_decisions(decisions, now_s)
 
     def stream_opened(self, event: StreamOpened) -> list[Action]:
         """Process the head of a stream; a resumed stream keeps its first head."""
@@ -329,7 +329,7 @@
         request.last_event_id = event.event_id or request.last_event_id
         actions = send_unsent_parts(flow_request.flow, request)
         if request.answer.size_bytes > self._settings.stream_buffer_bytes:
-            actions += self.suspend(flow_request.flow, request)
+            actions += self.suspend_stream(flow_request.flow, request)
         return actions
 
     def stream_ended(self, event: StreamEnded, now_s: float) -> list[Action]:
@@ -345,7 +345,7 @@
         actions += self._report_finished(flow_request, FinishKind.OK, 0.0, now_s)
         return actions
 
-    def suspend(self, flow: OwnedFlow, request: OwnedRequest) -> list[Action]:
+    def suspend_stream(self, flow: OwnedFlow, request: OwnedRequest) -> list[Action]:
         """Close a stream at its target; it can be resumed after its last event."""
         # A cancellation by key could hit the next attempt if that arrives first.
         actions = self._cancel_attempt(flow, request, by_key=False)
@@ -358,12 +358,12 @@
     ) -> list[Action]:
         """Suspend a running or waiting stream until it is resumed."""
         if request.state == "running":
-            return self.suspend(flow, request)
-        actions = self.withdraw(flow, request, now_s)
+            return self.suspend_stream(flow, request)
+        actions = self.withdraw_request(flow, request, now_s)
         request.step("freeze")
         return actions
 
-    def cut(self, flow: OwnedFlow, request: OwnedRequest) -> list[Action]:
+    def abort_running(self, flow: OwnedFlow, request: OwnedRequest) -> list[Action]:
         """Abort a running attempt because this instance has to stop.
 
         An idempotent request waits for its next attempt, at the successor.  Any
@@ -376,14 +376,14 @@
         request.step("requeue")
         return actions
 
-    def resume(
+    def resume_stream(
         self, flow: OwnedFlow, request: OwnedRequest, now_s: float
     ) -> list[Action]:
         """Reopen a suspended stream after its last event."""
         request.step("resume")
         return self.submit(flow, request, now_s)
 
-    def withdraw(
+    def withdraw_request(
         self, flow: OwnedFlow, request: OwnedRequest, now_s: float
     ) -> list[Action]:
         """Withdraw a waiting request from the dispatcher."""
@@ -430,4 +430,4 @@
         others = [
             decision for decision in decisions if decision.request_id != request_id
         ]
-        return self.carry_out(others, now_s)
+        return self.apply_decisions(others, now_s)
--- a/endivepick/core/flow_table.py
+++ b/endivepick/core/flow_table.py
@@ -9,9 +9,9 @@
 from endivepick.core.adopted import AdoptedBindings
 from endivepick.core.flow import OwnedFlow
 from endivepick.core.messages import CallerAddress
+from endivepick.core.replay_window import ReplayWindow
 from endivepick.core.settings import FlowSettings
 from endivepick.core.token import FlowToken
-from endivepick.core.window import ReplayWindow
 
 __all__ = ["FlowTable", "Identity"]
 
@@ -19,7 +19,7 @@
 """Tolerated clock lead of a token's issuer, in seconds."""
 UNUSED_FLOWS_MAX = 65_536
 """Limit of flows without a request; bounds their memory in a flood of opens."""
-LOOK_EVERY_S = 3600.0
+EXPIRY_SCAN_PERIOD_S = 3600.0
 """Period in which the expiry scan visits each flow once, in seconds."""
 
 
@@ -181,7 +181,7 @@
         self._unused.pop(flow.binding, None)
         self._closed_at_s.setdefault(flow.binding, now_s)
 
-    def drop_closed(self) -> None:
+    def remove_closed_flows(self) -> None:
         """Remove all closed flows, which are not handed over to a successor."""
         for binding in list(self._closed_at_s):
             self._remove(binding)
@@ -244,7 +244,7 @@
         """Scan the next share of all flows for expired tokens."""
         share = 1.0
         if self._scanned_at_s is not None:
-            share = min(1.0, (now_s - self._scanned_at_s) / LOOK_EVERY_S)
+            share = min(1.0, (now_s - self._scanned_at_s) / EXPIRY_SCAN_PERIOD_S)
         self._scanned_at_s = now_s
         if not share:
             return []
--- a/endivepick/core/handover.py
+++ b/endivepick/core/handover.py
@@ -69,7 +69,7 @@
     new_id: Callable[[], int]
     choose_successor: Callable[[str], Identity | None]
     is_dead: Callable[[Identity], bool]
-    takes_flows: Callable[[Identity], bool] = lambda identity: False
+    is_valid_successor: Callable[[Identity], bool] = lambda identity: False
     successor_may_come: Callable[[], bool] = lambda: False
     helpers: Callable[[], Sequence[str]] = tuple
     successors: dict[str, Identity] = field(default_factory=dict)
@@ -110,11 +110,11 @@
     def tick(self, now_s: float) -> list[Action]:
         """Freeze what is idle, send it, and send again what has no answer."""
         self._now_s = now_s
-        self.table.drop_closed()
+        self.table.remove_closed_flows()
         self._drop_lost_transfers()
         return self._send_again(now_s) + self._give(now_s)
 
-    def cut(self) -> list[Action]:
+    def abort_running(self) -> list[Action]:
         """Give up the attempts that still run, so that their flows can be given."""
         actions: list[Action] = []
         for flow in self.table:
@@ -122,7 +122,7 @@
                 continue
             for request in list(flow.requests.values()):
                 if request.in_progress:
-                    actions += self.executor.cut(flow, request)
+                    actions += self.executor.abort_running(flow, request)
         return actions
 
     def _give(self, now_s: float) -> list[Action]:
@@ -164,7 +164,7 @@
     def _successor(self, service: str) -> Identity | None:
         """Stay with one successor of a service: only one can be announced."""
         known = self.successors.get(service)
-        if known is not None and self.takes_flows(known):
+        if known is not None and self.is_valid_successor(known):
             return known
         return self.choose_successor(service)
 
@@ -183,9 +183,9 @@
             del flow.requests[request.seq]
             return []
         if request.state == "running":
-            return self.executor.suspend(flow, request)
+            return self.executor.suspend_stream(flow, request)
         if request.state == "waiting":
-            return self.executor.withdraw(flow, request, now_s)
+            return self.executor.withdraw_request(flow, request, now_s)
         return []
 
     def _send(
@@ -257,7 +257,7 @@
         for snapshot in transfer.message.flows:
             flow = self.table.get(snapshot.binding)
             if flow is not None:
-                self.executor.flow_removed(flow, self._now_s)
+                self.executor.unregister_flow(flow, self._now_s)
             self.table.release(snapshot.binding, transfer.successor)
 
     def accepted(self, sender: Identity, transfer_id: int) -> list[Action]:
--- a/endivepick/core/handover_exchange.py
+++ b/endivepick/core/handover_exchange.py
@@ -3,10 +3,10 @@
 from collections.abc import Callable
 
 from endivepick.core.actions import Action, SendToPeer
+from endivepick.core.flow_owner import FlowOwner
 from endivepick.core.flow_table import Identity
 from endivepick.core.handover import HandOverGiver
 from endivepick.core.handover_taker import HandOverTaker
-from endivepick.core.owner import FlowOwner
 from endivepick.core.peer_messages import (
     Forwarded,
     HandOver,
@@ -87,7 +87,7 @@
     def _take(self, sender: Identity, message: HandOver, now_s: float) -> list[Action]:
         probes: list[Action] = []
         for service in sorted({flow.service for flow in message.flows}):
-            probes += self._roles.take_up(service, now_s)
+            probes += self._roles.activate_for_takeover(service, now_s)
         flows, actions = self._taker.take(sender, message, self._is_leaving(), now_s)
         # Callers learn their new owner before they miss the old one.
         actions += [self._owner.reissue(flow, now_s) for flow in flows]
--- a/endivepick/core/router.py
+++ b/endivepick/core/router.py
@@ -1,15 +1,15 @@
 """Routing of caller packets to the owner of their flow."""
 
 from endivepick.core.actions import Action, Count
+from endivepick.core.flow_owner import FlowOwner, TokenPacket
 from endivepick.core.flow_table import FlowTable, Identity
 from endivepick.core.messages import CallerAddress, CallerPacket, Open
-from endivepick.core.owner import FlowOwner, TokenPacket
 from endivepick.core.relay import (
+    FlowLocation,
     Holder,
     HolderLost,
     HolderSuspected,
     Relay,
-    Whereabouts,
 )
 from endivepick.core.roles import ServiceRoles
 from endivepick.core.token import UNKNOWN_KEY, FlowToken, TokenCodec
@@ -126,12 +126,14 @@
                 self._relay.record_relayed_flow(token)
                 forwarded = self._relay.forward(identity, caller, hops, datagram)
                 seq = getattr(packet, "seq", 0)
-                unreachable = self._relay.say_unreachable(token, identity, seq, caller)
+                unreachable = self._relay.reply_unreachable(
+                    token, identity, seq, caller
+                )
                 return forwarded + unreachable
             case HolderLost():
                 return self._relay.reissue_after_loss(token, caller, now_s)
 
-    def _locate(self, token: FlowToken) -> Whereabouts:
+    def _locate(self, token: FlowToken) -> FlowLocation:
         flow_successor = self._table.successor(token.binding)
         if flow_successor is None:
             return self._relay.locate(token)
--- a/endivepick/core/owners.py
+++ b/endivepick/core/service_owners.py
@@ -68,7 +68,7 @@
     ...     def zone_of(self, name):
     ...         return {"a": "fukuoka", "b": "kumamoto"}[name]
     >>> owners = ServiceOwners("a", Live(), lambda service: frozenset({"kumamoto"}))
-    >>> owners.owner("notes"), owners.is_mine("notes")
+    >>> owners.owner("notes"), owners.is_owned_here("notes")
     ('b', False)
     """
 
@@ -104,7 +104,7 @@
                 self._cached_owners[service] = cached
         return cached
 
-    def is_mine(self, service: str) -> bool:
+    def is_owned_here(self, service: str) -> bool:
         """Return whether this instance owns a service or no instance is eligible."""
         self._refresh()
         if service in self._heavier_names:
@@ -117,7 +117,7 @@
             return not self._names
         return self._compute_is_owner(service)
 
-    def take_unsettled(self) -> set[str]:
+    def pop_ownership_candidates(self) -> set[str]:
         """Return services that this instance may own since the last call.
 
         Only services that were passed to ``is_owned_here`` or ``owner`` before are
--- a/endivepick/core/tests/test_handover.py
+++ b/endivepick/core/tests/test_handover.py
@@ -137,7 +137,7 @@
         executor = self.giver.executor
         executor.stream_opened(StreamOpened(start.request_id, 1, 200, []))
         executor.stream_data(StreamData(start.request_id, 1, b"id: 9\n\n", "9"), NOW_S)
-        self.taker.forget_probes()
+        self.taker.reset_dispatcher()
         _, actions = self.hand_over()
         self.assertEqual(starts(actions) + packets(actions, Refused), [])
         [resumed] = starts(self.taker.probe_targets())
@@ -224,7 +224,7 @@
         self.assertEqual(len(sent(self.give.tick(NOW_S), HandOver)), 1)
 
     def test_one_successor_for_all_flows_of_a_service(self):
-        self.give.takes_flows = lambda identity: identity == self.taker.me
+        self.give.is_valid_successor = lambda identity: identity == self.taker.me
         self.hand_over()
         self.successor = Identity("c", 3)
         self.open_flow()
@@ -273,7 +273,7 @@
         self.giver.request(self.token, 1)
         part = request_part(1)
         self.giver.send(other, type(part)(b"", 1, 0, 1, True, 10_000, part.data))
-        outcomes = packets(self.give.cut(), Outcome)
+        outcomes = packets(self.give.abort_running(), Outcome)
         self.assertEqual([one.binding for one in outcomes], [self.token.binding])
         [message] = sent(self.give.tick(NOW_S), HandOver)
         _, actions = self.take.take(self.giver.me, message, False, NOW_S)
@@ -283,7 +283,7 @@
     def test_nothing_is_cut_without_a_successor(self):
         self.giver.request(self.token, 1)
         self.successor = None
-        self.assertEqual(self.give.cut(), [])
+        self.assertEqual(self.give.abort_running(), [])
 
     def test_flows_without_a_successor_wait_for_one_that_joins(self):
         self.successor = None
