--- a/endivepick/core/actions.py
+++ b/endivepick/core/actions.py
@@ -1,4 +1,4 @@
-"""What the decision core asks its surroundings to do."""
+"""Actions that the decision core returns to its host process."""
 
 from dataclasses import dataclass, field
 from typing import Any
@@ -26,7 +26,7 @@
 ]
 
 RequestId = tuple[int, int, int]
-"""Binding, request number, and how often the request was submitted."""
+"""Binding, request number and submission count of the request."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -39,7 +39,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SendToPeer:
-    """Send one message to another instance, without a promise of arrival."""
+    """Send one message to another instance; delivery is not guaranteed."""
 
     name: str
     message: Any
@@ -47,7 +47,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SendToAddress:
-    """Send one message to the instance at an address, whose name is not known."""
+    """Send one message to an instance of which only the address is known."""
 
     peer_address: str
     message: Any
@@ -60,27 +60,27 @@
     Attributes
     ----------
     request_id : tuple of int
-        Binding, request number, and how often the request was submitted.
+        Binding, request number and submission count of the request.
     attempt : int
-        Counts the attempts of this request; events about it carry the number.
+        Number of this attempt; events about the attempt carry it.
     service : str
-        Service that the target has to confirm.
+        Service that the target must confirm.
     target : str
         Name of the target.
     target_incarnation : int
-        Incarnation that the target has to confirm.
+        Incarnation that the target must confirm.
     address : str
         ``host:port`` of the target.
     head : RequestHead
-        The request.
+        Request to send.
     idempotency_key : str
-        The same for all attempts of a request.
+        Key that all attempts of a request share.
     idempotent : bool
         Whether the request may run more than once.
     timeout_s : float
-        Time left, in seconds.
+        Time until the deadline, in seconds.
     last_event_id : str
-        Where a stream goes on; empty at its start.
+        Event after which a stream resumes; empty at its start.
     """
 
     request_id: RequestId
@@ -98,17 +98,18 @@
 
 @dataclass(frozen=True, slots=True)
 class CancelAttempt:
-    """Close the connection of an attempt, by which the target gives it up.
+    """Cancel an attempt by closing its connection to the target.
 
     Attributes
     ----------
-    request_id : tuple
-        The request.
+    request_id : tuple of int
+        Binding, request number and submission count of the request.
     attempt : int
         Number of the attempt.
     by_key : bool
-        Also cancel the request at the target by its idempotency key.  All attempts
-        share that key, so only a request that never runs again is cancelled by it.
+        Whether to also cancel the request at the target by its idempotency key.
+        All attempts share that key, so it is used only for a request that never
+        runs again.
     """
 
     request_id: RequestId
@@ -118,7 +119,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Probe:
-    """Ask a target for its health and load."""
+    """Probe the health and load of a target."""
 
     service: str
     target: str
@@ -127,7 +128,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Count:
-    """Count something, by name and label."""
+    """Increment a counter, by name and label."""
 
     name: str
     label: str = ""
@@ -136,7 +137,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Observe:
-    """Add one value to a distribution, by name and label."""
+    """Add one value to a histogram, by name and label."""
 
     name: str
     label: str
@@ -145,7 +146,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Log:
-    """Write one event into the log."""
+    """Write one event to the log."""
 
     part: str
     name: str
@@ -155,7 +156,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ReadinessChange:
-    """The instance can serve from now on, or can't, and why not."""
+    """Report that the instance became ready, or the reason why it is not ready."""
 
     ready: bool
     reason: str
@@ -163,26 +164,26 @@
 
 @dataclass(frozen=True, slots=True)
 class WatchPlatform:
-    """Watch the platform after a revision; list all objects first if it is 0."""
+    """Watch the platform from a revision; 0 means to list all objects first."""
 
     after: int
 
 
 @dataclass(frozen=True, slots=True)
 class StopPlatformWatch:
-    """Stop watching the platform: peers bring the configuration."""
+    """Stop watching the platform, because peers deliver the configuration."""
 
 
 @dataclass(frozen=True, slots=True)
 class CallPlatform:
-    """Call the platform; what comes of it is told as ``PlatformAnswered``.
+    """Call the platform; the result is reported as ``PlatformAnswered``.
 
     Attributes
     ----------
     purpose : CallPurpose
-        Part of the core that waits for the answer.
+        Component of the core that awaits the answer.
     call : PlatformCall
-        The call.
+        Call to make.
     """
 
     purpose: CallPurpose
@@ -191,7 +192,7 @@
 
 @dataclass(frozen=True, slots=True)
 class StopFinished:
-    """The planned stop is complete; the process may end."""
+    """Report that the planned stop is complete and the process may exit."""
 
     open_flows: int
 
--- a/endivepick/core/adopted.py
+++ b/endivepick/core/adopted.py
@@ -1,22 +1,22 @@
-"""Memory of the bindings that were adopted."""
+"""Set of recently adopted bindings with expiry by generation."""
 
 __all__ = ["AdoptedBindings"]
 
 
 class AdoptedBindings:
-    """Bindings, each for at least the time that its tokens can be valid.
+    """Set of bindings, each kept at least while its tokens can be valid.
 
-    There are two generations.  A whole generation is dropped at once, so that the
-    cost of forgetting does not grow with what is held.
+    The bindings form two generations.  A generation is dropped as a whole, so that
+    the cost of expiry does not grow with the number of bindings.
 
     Parameters
     ----------
-    kept_s : float
-        How long a binding is remembered at least, in seconds; twice that at most.
+    retention_s : float
+        Minimum time that a binding is kept, in seconds; the maximum is twice that.
 
     Examples
     --------
-    >>> adopted = AdoptedBindings(kept_s=60)
+    >>> adopted = AdoptedBindings(retention_s=60)
     >>> adopted.expire(1000)
     >>> adopted.add(7)
     >>> adopted.expire(1060)
@@ -27,26 +27,26 @@
     False
     """
 
-    def __init__(self, kept_s: float) -> None:
-        self._kept_s = kept_s
-        self._recent: set[int] = set()
-        self._earlier: set[int] = set()
-        self._turned_at_s = 0.0
+    def __init__(self, retention_s: float) -> None:
+        self._retention_s = retention_s
+        self._current: set[int] = set()
+        self._previous: set[int] = set()
+        self._rotated_at_s = 0.0
 
     def __len__(self) -> int:
-        return len(self._recent) + len(self._earlier)
+        return len(self._current) + len(self._previous)
 
     def __contains__(self, binding: int) -> bool:
-        return binding in self._recent or binding in self._earlier
+        return binding in self._current or binding in self._previous
 
     def add(self, binding: int) -> None:
-        """Remember a binding from now on."""
-        self._recent.add(binding)
+        """Add a binding to the current generation."""
+        self._current.add(binding)
 
     def expire(self, now_s: float) -> None:
-        """Drop the earlier generation once all of it is old enough."""
-        if now_s - self._turned_at_s < self._kept_s:
+        """Drop the previous generation once all its bindings are old enough."""
+        if now_s - self._rotated_at_s < self._retention_s:
             return
-        self._turned_at_s = now_s
-        self._earlier = self._recent
-        self._recent = set()
+        self._rotated_at_s = now_s
+        self._previous = self._current
+        self._current = set()
--- a/endivepick/core/chart.py
+++ b/endivepick/core/chart.py
@@ -1,8 +1,8 @@
-"""State charts: files that are read once into a transition table.
+"""State charts, loaded from files into transition tables.
 
-The files have the format of the ``sismic`` library and are flat: one level of
-states, transitions by event.  ``sismic`` reads and validates them; stepping uses
-a table, which is cheap enough for every request.
+The files use the format of the ``sismic`` library and are flat: one level of states
+with transitions by event.  ``sismic`` reads and validates them; each transition at
+run time is a lookup in a table, which is cheap enough for every request.
 """
 
 from dataclasses import dataclass
@@ -24,13 +24,13 @@
     Attributes
     ----------
     name : str
-        Name of the chart's file, without its ending.
+        Name of the chart's file without its extension.
     initial : str
-        State of a new object.
+        Initial state.
     transitions : dict
         Next state for each pair of state and event.
     final : frozenset of str
-        States without a way out.
+        States without outgoing transitions.
     """
 
     name: str
@@ -55,37 +55,38 @@
             return self.transitions[state, event]
         except KeyError:
             raise ChartError(
-                f"Chart {self.name!r} has no event {event!r} in state {state!r}. "
+                f"Chart {self.name!r} has no transition for event {event!r} in state "
+                f"{state!r}. "
                 "Add the transition to the chart or check the state first."
             ) from None
 
     def allows(self, state: str, event: str) -> bool:
-        """Tell whether the chart has this transition."""
+        """Tell whether the chart has a transition for an event in a state."""
         return (state, event) in self.transitions
 
 
 @cache
 def load_chart(name: str) -> Chart:
-    """Read ``endivepick/charts/<name>.yaml``.
+    """Load ``endivepick/charts/<name>.yaml``.
 
     Raises
     ------
     ChartError
-        If the file is missing or holds a nested chart.
+        If the file is missing or the chart is nested.
     """
     path = resources.files("endivepick") / "charts" / f"{name}.yaml"
     try:
         statechart = import_from_yaml(path.read_text(encoding="utf-8"))
     except FileNotFoundError:
-        raise ChartError(f"There is no chart {name!r}. Add {path}.") from None
-    return _tabulate(name, statechart)
+        raise ChartError(f"Chart {name!r} is missing. Add {path}.") from None
+    return _build_chart(name, statechart)
 
 
-def _tabulate(name: str, statechart: Statechart) -> Chart:
+def _build_chart(name: str, statechart: Statechart) -> Chart:
     root = statechart.root
     states = statechart.children_for(root)
     if any(statechart.children_for(state) for state in states):
-        raise ChartError(f"Chart {name!r} is nested. Make it flat.")
+        raise ChartError(f"Chart {name!r} has nested states. Make it flat.")
     transitions = {
         (transition.source, transition.event): transition.target
         for transition in statechart.transitions
--- a/endivepick/core/chart_tables.py
+++ b/endivepick/core/chart_tables.py
@@ -1,7 +1,8 @@
-"""Writes the charts of the forwarder as a module of plain tables.
+"""Generator of the module with the transition tables of the forwarder's charts.
 
-Reading a chart takes ``sismic``, which a forwarder would load at its start, before its
-first packet.  Run ``python -m endivepick.core.chart_tables`` after a change of a chart.
+With the generated tables a forwarder does not have to import ``sismic`` at its start,
+before its first packet.  Run ``python -m endivepick.core.chart_tables`` after each
+change of a chart.
 """
 
 from importlib import resources
@@ -12,7 +13,7 @@
 __all__ = ["main", "render_tables"]
 
 _CHARTS = ("fitness", "reachability", "registered_target")
-_HEAD = '''"""State charts as tables: the next state by state and event.
+_HEADER = '''"""State charts as tables: the next state by state and event.
 
 Made from endivepick/charts by ``python -m endivepick.core.chart_tables``; change the
 charts instead of this file.
@@ -21,20 +22,20 @@
 
 
 def render_tables() -> str:
-    """Return the module's text."""
+    """Return the source text of the generated module."""
     names = ", ".join(f'"{name.upper()}"' for name in _CHARTS)
-    parts = [_HEAD, f"__all__ = [{names}]\n"]
+    parts = [_HEADER, f"__all__ = [{names}]\n"]
     for name in _CHARTS:
         rows = [
-            f'    ("{state}", "{event}"): "{after}",\n'
-            for (state, event), after in sorted(load_chart(name).transitions.items())
+            f'    ("{state}", "{event}"): "{target}",\n'
+            for (state, event), target in sorted(load_chart(name).transitions.items())
         ]
         parts.append(f"{name.upper()} = {{\n{''.join(rows)}}}\n")
     return "\n".join(parts)
 
 
 def main() -> None:
-    """Write the module into the package."""
+    """Write the generated module into the package."""
     path = resources.files("endivepick") / "forwarding" / "_charts.py"
     Path(str(path)).write_text(render_tables(), encoding="utf-8")
 
--- a/endivepick/core/codec.py
+++ b/endivepick/core/codec.py
@@ -1,4 +1,4 @@
-"""Encoding of packets: a version byte, then a MessagePack message."""
+"""Encoding of packets as a version byte followed by a MessagePack message."""
 
 from typing import Any, TypeVar
 
@@ -35,7 +35,7 @@
 
 def _decode(decoder: msgspec.msgpack.Decoder, datagram: bytes) -> Any:
     if len(datagram) > MAX_DATAGRAM_BYTES:
-        raise PacketInvalidError("too_long", "Send at most 1452 bytes in a datagram.")
+        raise PacketInvalidError("too_long", "Send at most 1452 bytes per datagram.")
     if datagram[:1] != _VERSION_BYTE:
         raise PacketInvalidError(
             "unknown_version", "Update the caller library to this protocol version."
@@ -44,7 +44,7 @@
         return decoder.decode(memoryview(datagram)[1:])
     except (msgspec.DecodeError, RecursionError) as error:
         raise PacketInvalidError(
-            "malformed", f"Send a packet of this protocol: {error}."
+            "malformed", f"Send a valid packet of this protocol: {error}."
         ) from error
 
 
@@ -54,7 +54,7 @@
     Raises
     ------
     PacketInvalidError
-        If it is too long, of an unknown version or malformed.
+        If the datagram is too long, has an unknown version or is malformed.
     """
     return _decode(_caller_decoder, datagram)
 
@@ -65,7 +65,7 @@
     Raises
     ------
     PacketInvalidError
-        If it is too long, of an unknown version or malformed.
+        If the datagram is too long, has an unknown version or is malformed.
     """
     return _decode(_instance_decoder, datagram)
 
@@ -76,16 +76,16 @@
 
 
 def decode_struct(data: bytes, kind: type[T]) -> T:
-    """Decode a structure that ``encode_struct`` made.
+    """Decode a structure encoded by ``encode_struct``.
 
     Raises
     ------
     PacketInvalidError
-        If the bytes are not a value of this type.
+        If the bytes are not a valid encoding of this type.
     """
     try:
         return msgspec.msgpack.decode(data, type=kind)
     except (msgspec.DecodeError, RecursionError) as error:
         raise PacketInvalidError(
-            "malformed", f"Send a {kind.__name__}: {error}."
+            "malformed", f"Send a valid {kind.__name__}: {error}."
         ) from error
--- a/endivepick/core/distinct.py
+++ b/endivepick/core/distinct.py
@@ -1,18 +1,18 @@
-"""Estimate of how many different numbers were seen, in constant memory."""
+"""Estimate of the number of distinct values in constant memory."""
 
 from math import log
 
 __all__ = ["DistinctCounter"]
 
-CELLS = 1 << 16
+CELL_COUNT = 1 << 16
 
 
 class DistinctCounter:
-    """Counts different random numbers by linear counting.
+    """Counts distinct random numbers by linear counting.
 
-    Each number marks one of 65,536 cells; the share of cells without a mark tells
-    how many numbers there were.  The error is below 2 % up to 200,000 numbers, and
-    the memory 64 KiB whatever their number.
+    Each number marks one of 65,536 cells; the estimate follows from the share of
+    unmarked cells.  The error is below 2 % up to 200,000 numbers.  The memory is
+    64 KiB for any number of values.
 
     Examples
     --------
@@ -24,14 +24,14 @@
     """
 
     def __init__(self) -> None:
-        self._cells = bytearray(CELLS)
+        self._cells = bytearray(CELL_COUNT)
 
     def add(self, number: int) -> None:
-        """Take note of a number whose lowest bits are random."""
-        self._cells[number % CELLS] = 1
+        """Add a number whose lowest bits are random."""
+        self._cells[number % CELL_COUNT] = 1
 
     def take(self) -> float:
-        """Return the estimate since the last call, and begin again."""
+        """Return the estimate since the last call and reset the counter."""
         unmarked = max(1, self._cells.count(0))
-        self._cells = bytearray(CELLS)
-        return CELLS * log(CELLS / unmarked)
+        self._cells = bytearray(CELL_COUNT)
+        return CELL_COUNT * log(CELL_COUNT / unmarked)
--- a/endivepick/core/events.py
+++ b/endivepick/core/events.py
@@ -1,4 +1,4 @@
-"""What the surroundings tell the decision core."""
+"""Events that the host process passes to the decision core."""
 
 from dataclasses import dataclass
 from typing import Any
@@ -33,7 +33,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CallerDatagram:
-    """A datagram came from the fabric."""
+    """A datagram arrived from the fabric."""
 
     caller: CallerAddress
     datagram: bytes
@@ -41,7 +41,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PeerMessage:
-    """A message came from another instance."""
+    """A message arrived from another instance."""
 
     sender: str
     incarnation: int
@@ -50,7 +50,7 @@
 
 @dataclass(frozen=True, slots=True)
 class AttemptAnswered:
-    """The target's whole answer is here."""
+    """The complete answer of the target arrived."""
 
     request_id: RequestId
     attempt: int
@@ -73,7 +73,7 @@
 
 @dataclass(frozen=True, slots=True)
 class StreamOpened:
-    """The target began to answer with an event stream."""
+    """The target started to answer with an event stream."""
 
     request_id: RequestId
     attempt: int
@@ -83,7 +83,7 @@
 
 @dataclass(frozen=True, slots=True)
 class StreamData:
-    """One whole event of a stream."""
+    """One complete event of a stream arrived."""
 
     request_id: RequestId
     attempt: int
@@ -101,7 +101,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Probed:
-    """A target was asked for its health and load."""
+    """A probe of a target's health and load ended."""
 
     service: str
     target: str
@@ -110,7 +110,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PeerSendFailed:
-    """A message could not be handed to the connection of a peer."""
+    """A message could not be queued on the connection to a peer."""
 
     name: str
 
@@ -132,19 +132,19 @@
 
 @dataclass(frozen=True, slots=True)
 class ObjectsChanged:
-    """The platform told all changes between two revisions."""
+    """The platform reported all changes between two revisions."""
 
     result: WatchResult
 
 
 @dataclass(frozen=True, slots=True)
 class PlatformCallFailed:
-    """A list or watch of the platform failed."""
+    """A list or watch call to the platform failed."""
 
 
 @dataclass(frozen=True, slots=True)
 class PlatformAnswered:
-    """A call that the core asked for has ended."""
+    """A call requested with ``CallPlatform`` ended."""
 
     purpose: CallPurpose
     answer: PlatformAnswer
@@ -152,12 +152,12 @@
 
 @dataclass(frozen=True, slots=True)
 class StopRequested:
-    """A planned stop begins."""
+    """A planned stop was requested."""
 
 
 @dataclass(frozen=True, slots=True)
 class Tick:
-    """Time passed."""
+    """Periodic timer event."""
 
 
 Event = (
--- a/endivepick/core/handover.py
+++ b/endivepick/core/handover.py
@@ -1,8 +1,8 @@
-"""Hand-over of flows from a leaving owner to a successor.
+"""Source side of a handover of flows from a leaving owner to a successor.
 
-The giver freezes a flow once no request of it runs, and never runs anything of
-it again.  A flow goes to one successor only: until that one refuses, a second
-successor could run what the first has already run.
+The source freezes a flow once none of its requests runs, and starts no request of
+that flow afterwards.  A flow is sent to a single successor: until that successor
+refuses, a second one could run requests that the first has already run.
 """
 
 from collections import Counter
@@ -21,7 +21,7 @@
     HandOver,
     HandOverMessage,
 )
-from endivepick.core.pieces import PieceSender, cut_into_pieces
+from endivepick.core.pieces import PieceSender, split_into_pieces
 from endivepick.core.settings import FlowSettings
 from endivepick.core.snapshot import snapshot_flow
 from endivepick.core.transfer import Transfer
@@ -29,36 +29,36 @@
 __all__ = ["HandOverGiver", "HandOverTaker"]
 
 FLOWS_PER_MESSAGE_MAX = 256
-AROUND_AFTER_S = 0.5
-"""Time between two sendings from which a third instance is tried, in seconds."""
+INDIRECT_AFTER_S = 0.5
+"""Retransmission interval from which messages also go through a third instance."""
 OPEN_TRANSFERS_MAX = 8
-"""Transfers without an answer; flows that wait for their turn still serve."""
+"""Limit on unanswered transfers; flows that are not yet sent continue to serve."""
 
 
 @dataclass(slots=True)
 class HandOverGiver:
-    """Giving side: freezes flows, sends them and waits for the answer.
+    """Freezes flows, sends them to a successor and retransmits until answered.
 
     Attributes
     ----------
     settings : FlowSettings
-        Limits and times.
+        Limits and timeouts.
     table : FlowTable
         Flows of this instance.
     executor : RequestExecutor
-        Holds the requests that wait or run.
+        Executor of the waiting and running requests.
     new_id : callable
         Returns a random 64-bit number.
     choose_successor : callable
-        Returns the instance that takes a service's flows, or None.
+        Returns the successor for a service's flows, or None.
     is_dead : callable
-        Tells whether an instance is known to be gone.
-    takes_flows : callable
-        Tells whether an instance, once chosen, still takes flows.
-    successor_may_come : callable
-        Tells whether an instance is about to join.
-    helpers : callable
-        Returns the names of instances over which a message can go.
+        Tells whether an incarnation is known to be dead.
+    is_valid_successor : callable
+        Tells whether a successor that was chosen earlier can still receive flows.
+    is_instance_joining : callable
+        Tells whether an instance is joining, which may become a successor.
+    list_intermediaries : callable
+        Returns the names of instances that can forward a message.
     successors : dict
         Last successor of each service, by service name.
     """
@@ -69,37 +69,37 @@
     new_id: Callable[[], int]
     choose_successor: Callable[[str], Identity | None]
     is_dead: Callable[[Identity], bool]
-    takes_flows: Callable[[Identity], bool] = lambda identity: False
-    successor_may_come: Callable[[], bool] = lambda: False
-    helpers: Callable[[], Sequence[str]] = tuple
+    is_valid_successor: Callable[[Identity], bool] = lambda identity: False
+    is_instance_joining: Callable[[], bool] = lambda: False
+    list_intermediaries: Callable[[], Sequence[str]] = tuple
     successors: dict[str, Identity] = field(default_factory=dict)
     _transfers: dict[int, Transfer] = field(default_factory=dict)
     _now_s: float = 0.0
-    _turn: int = 0
+    _intermediary_index: int = 0
 
     @property
     def open_flows(self) -> int:
-        """Flows that no successor has taken yet."""
+        """Number of flows that no successor has accepted yet."""
         return len(self.table)
 
     @property
-    def idle(self) -> bool:
-        """Whether nothing is left that a longer wait could save."""
+    def is_idle(self) -> bool:
+        """Whether waiting longer cannot hand over any further flow."""
         if self._transfers:
             return False
-        waits = self.successor_may_come()
+        joining = self.is_instance_joining()
         return not any(
-            waits or flow.in_progress or self.choose_successor(flow.service)
+            joining or flow.in_progress or self.choose_successor(flow.service)
             for flow in self.table
         )
 
     @property
     def open_transfers(self) -> int:
-        """Transfers without an answer."""
+        """Number of unanswered transfers."""
         return len(self._transfers)
 
     def finished_services(self) -> dict[str, Identity]:
-        """Return the successor of each service with no flow left here."""
+        """Return the successor of each service whose flows were all handed over."""
         remaining = self.table.services
         return {
             service: successor
@@ -108,14 +108,14 @@
         }
 
     def tick(self, now_s: float) -> list[Action]:
-        """Freeze what is idle, send it, and send again what has no answer."""
+        """Freeze and send idle flows, and retransmit unanswered transfers."""
         self._now_s = now_s
         self.table.drop_closed()
         self._drop_lost_transfers()
-        return self._send_again(now_s) + self._give(now_s)
+        return self._send_again(now_s) + self._send_services(now_s)
 
     def cut(self) -> list[Action]:
-        """Give up the attempts that still run, so that their flows can be given."""
+        """Abort the running attempts so that their flows can be handed over."""
         actions: list[Action] = []
         for flow in self.table:
             if not flow.in_progress or self._successor(flow.service) is None:
@@ -125,18 +125,18 @@
                     actions += self.executor.cut(flow, request)
         return actions
 
-    def _give(self, now_s: float) -> list[Action]:
+    def _send_services(self, now_s: float) -> list[Action]:
         actions: list[Action] = []
         for service in sorted(self.table.services):
             actions += self._give_service(service, now_s)
         return actions
 
     @property
-    def _full(self) -> bool:
+    def _is_full(self) -> bool:
         return len(self._transfers) >= OPEN_TRANSFERS_MAX
 
     def _give_service(self, service: str, now_s: float) -> list[Action]:
-        """Freeze and send as many flows as may be under way; the others go on."""
+        """Freeze and send flows up to the transfer limit; the others keep serving."""
         successor = self._successor(service)
         if successor is None:
             return []
@@ -144,13 +144,13 @@
         batch: list[FlowSnapshot] = []
         size_bytes = 0
         for flow in self.table:
-            if self._full:
+            if self._is_full:
                 break
             if flow.service != service or flow.frozen or flow.in_progress:
                 continue
             if flow.closed:
                 continue
-            actions += self._freeze(flow, now_s)
+            actions += self._freeze_flow(flow, now_s)
             batch.append(snapshot_flow(flow, now_s))
             size_bytes += len(encode_struct(batch[-1]))
             full = size_bytes >= self.settings.hand_over_bytes
@@ -162,24 +162,27 @@
         return actions
 
     def _successor(self, service: str) -> Identity | None:
-        """Stay with one successor of a service: only one can be announced."""
-        known = self.successors.get(service)
-        if known is not None and self.takes_flows(known):
-            return known
+        """Return the service's current successor while it is valid, else a new one.
+
+        Only one successor of a service can be announced.
+        """
+        current = self.successors.get(service)
+        if current is not None and self.is_valid_successor(current):
+            return current
         return self.choose_successor(service)
 
-    def _freeze(self, flow: OwnedFlow, now_s: float) -> list[Action]:
+    def _freeze_flow(self, flow: OwnedFlow, now_s: float) -> list[Action]:
         flow.frozen = True
         actions: list[Action] = []
         for request in list(flow.requests.values()):
-            actions += self._detach(flow, request, now_s)
+            actions += self._detach_request(flow, request, now_s)
         return actions
 
-    def _detach(
+    def _detach_request(
         self, flow: OwnedFlow, request: OwnedRequest, now_s: float
     ) -> list[Action]:
         if request.state == "receiving":
-            # Never claimed: the caller sends it again, to the successor.
+            # Not accepted yet: the caller retransmits it to the successor.
             del flow.requests[request.seq]
             return []
         if request.state == "running":
@@ -205,54 +208,54 @@
             "transfer": message.transfer_id,
         }
         log = Log("handover", "transfer_sent", "flows sent to successor", ids)
-        return [log, *self._first_sending(transfer, size_bytes)]
+        return [log, *self._send_first(transfer, size_bytes)]
 
-    def _first_sending(self, transfer: Transfer, size_bytes: int) -> list[Action]:
+    def _send_first(self, transfer: Transfer, size_bytes: int) -> list[Action]:
         limit_bytes = self.settings.hand_over_bytes
         if size_bytes <= 2 * limit_bytes:
             return [SendToPeer(transfer.successor.name, transfer.message)]
-        pieces = cut_into_pieces(transfer.message, limit_bytes)
+        pieces = split_into_pieces(transfer.message, limit_bytes)
         transfer.pieces = PieceSender(pieces)
-        return transfer.send(transfer.pieces.take_new())
+        return transfer.send(transfer.pieces.take_unsent())
 
     def _send_again(self, now_s: float) -> list[Action]:
         actions: list[Action] = []
         for transfer in self._transfers.values():
-            if now_s >= transfer.due_at_s:
-                transfer.postpone(now_s)
-                messages = transfer.unanswered()
+            if now_s >= transfer.retry_at_s:
+                transfer.schedule_retry(now_s)
+                messages = transfer.unanswered_messages()
                 actions += transfer.send(messages)
-                actions += self._send_around(transfer, messages)
+                actions += self._send_indirectly(transfer, messages)
         return actions
 
-    def _send_around(
+    def _send_indirectly(
         self, transfer: Transfer, messages: Iterable[HandOverMessage]
     ) -> list[Action]:
-        """Send messages over a third instance if the direct way seems to be cut."""
+        """Send messages through a third instance if the direct link seems cut."""
         successor, me = transfer.successor, self.table.me
-        helpers = [name for name in self.helpers() if name != successor.name]
-        if not helpers or transfer.interval_s < AROUND_AFTER_S:
+        names = [name for name in self.list_intermediaries() if name != successor.name]
+        if not names or transfer.interval_s < INDIRECT_AFTER_S:
             return []
-        self._turn = (self._turn + 1) % len(helpers)
+        self._intermediary_index = (self._intermediary_index + 1) % len(names)
         return [
             SendToPeer(
-                helpers[self._turn],
+                names[self._intermediary_index],
                 Forwarded(me.name, me.incarnation, successor.name, message),
             )
             for message in messages
         ]
 
     def _drop_lost_transfers(self) -> None:
-        """Give up flows whose successor died before it answered.
+        """Release flows whose successor died before it answered.
 
-        Nobody else may get them: the dead successor may have run requests.
-        Relays then treat the flows as those of a lost owner.
+        They are not sent to another successor, because the dead one may have run
+        their requests.  Relays treat these flows as those of a lost owner.
         """
         for transfer_id, transfer in list(self._transfers.items()):
             if self.is_dead(transfer.successor):
-                self._settle(transfer_id, transfer)
+                self._release_flows(transfer_id, transfer)
 
-    def _settle(self, transfer_id: int, transfer: Transfer) -> None:
+    def _release_flows(self, transfer_id: int, transfer: Transfer) -> None:
         del self._transfers[transfer_id]
         for snapshot in transfer.message.flows:
             flow = self.table.get(snapshot.binding)
@@ -261,11 +264,11 @@
             self.table.release(snapshot.binding, transfer.successor)
 
     def accepted(self, sender: Identity, transfer_id: int) -> list[Action]:
-        """Take the successor's word that it holds the flows."""
+        """Release the flows of a transfer that the successor has accepted."""
         transfer = self._transfers.get(transfer_id)
         if transfer is None or transfer.successor != sender:
             return []
-        self._settle(transfer_id, transfer)
+        self._release_flows(transfer_id, transfer)
         services = Counter(flow.service for flow in transfer.message.flows)
         counts = [Count("flows_handed_over", *item) for item in services.items()]
         return [
@@ -276,24 +279,28 @@
                 "successor holds the flows",
                 {"peer": sender.name, "transfer": transfer_id},
             ),
-            *self._give(self._now_s),
+            *self._send_services(self._now_s),
         ]
 
     def piece_taken(
         self, sender: Identity, transfer_id: int, index: int
     ) -> list[Action]:
-        """Send the next pieces of a large transfer."""
+        """Record the receipt of a piece and send the next ones."""
         transfer = self._transfers.get(transfer_id)
         if transfer is None or transfer.successor != sender or not transfer.pieces:
             return []
-        if not transfer.pieces.taken(index):
+        if not transfer.pieces.acknowledge(index):
             return []
         transfer.interval_s = self.settings.hand_over_retry_s
-        transfer.due_at_s = self._now_s + transfer.interval_s
-        return transfer.send(transfer.pieces.take_new())
+        transfer.retry_at_s = self._now_s + transfer.interval_s
+        return transfer.send(transfer.pieces.take_unsent())
 
     def refused(self, sender: Identity, transfer_id: int, now_s: float) -> list[Action]:
-        """Choose another successor: the first holds nothing and never will."""
+        """Send a refused transfer to another successor.
+
+        A refusal is final: the first successor holds none of the flows and never
+        will.
+        """
         transfer = self._transfers.get(transfer_id)
         if transfer is None or transfer.successor != sender:
             return []
--- a/endivepick/core/handover_exchange.py
+++ b/endivepick/core/handover_exchange.py
@@ -1,4 +1,4 @@
-"""Takes the messages about hand-overs, whichever way they come."""
+"""Dispatch of handover messages, received directly or through a third instance."""
 
 from collections.abc import Callable
 
@@ -22,20 +22,20 @@
 
 
 class HandOverExchange:
-    """Leads each message to the giving or the taking side.
+    """Passes each handover message to the source or the destination side.
 
     Parameters
     ----------
     me : Identity
         This instance.
-    giver : HandOverGiver
-        Giving side.
-    taker : HandOverTaker
-        Taking side.
+    source : HandOverSource
+        Source side of handovers.
+    destination : HandOverDestination
+        Destination side of handovers.
     owner : FlowOwner
-        Tells callers of flows that were taken.
+        Issues new tokens to the callers of restored flows.
     roles : ServiceRoles
-        Makes the dispatchers of their services.
+        Creates the dispatchers of the restored flows' services.
     is_leaving : callable
         Tells whether this instance is in a planned stop.
     """
@@ -43,15 +43,15 @@
     def __init__(
         self,
         me: Identity,
-        giver: HandOverGiver,
-        taker: HandOverTaker,
+        source: HandOverGiver,
+        destination: HandOverTaker,
         owner: FlowOwner,
         roles: ServiceRoles,
         is_leaving: Callable[[], bool],
     ) -> None:
         self._me = me
-        self._giver = giver
-        self._taker = taker
+        self._source = source
+        self._destination = destination
         self._owner = owner
         self._roles = roles
         self._is_leaving = is_leaving
@@ -59,66 +59,76 @@
     def on_message(
         self, sender: Identity, message: HandOverMessage | Forwarded, now_s: float
     ) -> list[Action]:
-        """Take a message.
+        """Handle a handover message.
 
         Parameters
         ----------
         sender : Identity
-            Who sent it.
+            Instance that sent the message.
         message : HandOverMessage or Forwarded
-            The message.
+            Received message.
         now_s : float
-            Present time, in seconds.
+            Current time, in seconds.
+
+        Returns
+        -------
+        list of Action
+            Actions to carry out.
         """
         match message:
             case HandOver():
-                return self._take(sender, message, now_s)
+                return self._on_hand_over(sender, message, now_s)
             case HandOverPiece():
-                return self._take_piece(sender, message, now_s)
+                return self._on_piece(sender, message, now_s)
             case HandOverPieceTaken(transfer_id=transfer_id, index=index):
-                return self._giver.piece_taken(sender, transfer_id, index)
+                return self._source.piece_taken(sender, transfer_id, index)
             case HandOverAccepted(transfer_id=transfer_id):
-                return self._giver.accepted(sender, transfer_id)
+                return self._source.accepted(sender, transfer_id)
             case HandOverRefused(transfer_id=transfer_id):
-                return self._giver.refused(sender, transfer_id, now_s)
+                return self._source.refused(sender, transfer_id, now_s)
             case Forwarded():
-                return self._forwarded(sender, message, now_s)
+                return self._on_forwarded(sender, message, now_s)
 
-    def _take(self, sender: Identity, message: HandOver, now_s: float) -> list[Action]:
+    def _on_hand_over(
+        self, sender: Identity, message: HandOver, now_s: float
+    ) -> list[Action]:
         probes: list[Action] = []
         for service in sorted({flow.service for flow in message.flows}):
             probes += self._roles.take_up(service, now_s)
-        flows, actions = self._taker.take(sender, message, self._is_leaving(), now_s)
-        # Callers learn their new owner before they miss the old one.
+        flows, actions = self._destination.take(
+            sender, message, self._is_leaving(), now_s
+        )
+        # New tokens are sent at once, so that callers learn the new owner before they
+        # find that the old one does not answer.
         actions += [self._owner.reissue(flow, now_s) for flow in flows]
         return probes + actions
 
-    def _take_piece(
+    def _on_piece(
         self, sender: Identity, piece: HandOverPiece, now_s: float
     ) -> list[Action]:
         leaving = self._is_leaving()
-        message, actions = self._taker.take_piece(sender, piece, leaving, now_s)
+        message, actions = self._destination.take_piece(sender, piece, leaving, now_s)
         if message is not None:
-            actions += self._take(sender, message, now_s)
+            actions += self._on_hand_over(sender, message, now_s)
         return actions
 
-    def _forwarded(
-        self, helper: Identity, message: Forwarded, now_s: float
+    def _on_forwarded(
+        self, intermediary: Identity, message: Forwarded, now_s: float
     ) -> list[Action]:
-        """Pass a message on, or take it and answer the way that it came."""
+        """Forward a message, or handle it and answer through the same instance."""
         if message.to_name != self._me.name:
             return [SendToPeer(message.to_name, message)]
         sender = Identity(message.sender, message.incarnation)
         return [
-            self._back(action, sender.name, helper.name)
+            self._wrap_reply(action, sender.name, intermediary.name)
             for action in self.on_message(sender, message.message, now_s)
         ]
 
-    def _back(self, action: Action, to_name: str, helper: str) -> Action:
+    def _wrap_reply(self, action: Action, to_name: str, intermediary: str) -> Action:
         match action:
             case SendToPeer(name=name, message=message) if name == to_name:
                 me = self._me
                 wrapped = Forwarded(me.name, me.incarnation, to_name, message)
-                return SendToPeer(helper, wrapped)
+                return SendToPeer(intermediary, wrapped)
             case _:
                 return action
--- a/endivepick/core/handover_taker.py
+++ b/endivepick/core/handover_taker.py
@@ -1,4 +1,4 @@
-"""Taking side of a hand-over of flows."""
+"""Destination side of a handover of flows."""
 
 from dataclasses import dataclass, field
 
@@ -13,7 +13,7 @@
     HandOverPieceTaken,
     HandOverRefused,
 )
-from endivepick.core.pieces import PieceCollector
+from endivepick.core.pieces import PieceAssembler
 from endivepick.core.settings import FlowSettings
 from endivepick.core.snapshot import restore_flow
 
@@ -22,44 +22,45 @@
 
 @dataclass(slots=True)
 class HandOverTaker:
-    """Taking side: restores flows once, whatever arrives how often.
+    """Restores handed-over flows; a transfer that is repeated has no further effect.
 
     Attributes
     ----------
     settings : FlowSettings
-        Limits and times.
+        Limits and timeouts.
     table : FlowTable
         Flows of this instance.
     executor : RequestExecutor
-        Runs what the flows bring along.
+        Runs the unfinished requests of the flows.
     """
 
     settings: FlowSettings
     table: FlowTable
     executor: RequestExecutor
     _accepted: set[int] = field(default_factory=set)
-    _pieces: PieceCollector = field(default_factory=PieceCollector)
+    _pieces: PieceAssembler = field(default_factory=PieceAssembler)
 
     def take_piece(
         self, sender: Identity, piece: HandOverPiece, leaving: bool, now_s: float
     ) -> tuple[HandOver | None, list[Action]]:
-        """Take a piece of a large hand-over.
+        """Receive a piece of a large transfer.
 
         Parameters
         ----------
         sender : Identity
-            The giver.
+            Source of the transfer.
         piece : HandOverPiece
-            The piece.
+            Received piece.
         leaving : bool
-            This instance is in a planned stop and takes nothing new.
+            Whether this instance is in a planned stop and refuses new transfers.
         now_s : float
-            Present time, in seconds.
+            Current time, in seconds.
 
         Returns
         -------
         HandOver or None, list of Action
-            The whole message for `take` once all its pieces are there.
+            The message to pass to `take` once all its pieces have arrived, and the
+            actions to carry out.
         """
         transfer_id = piece.transfer_id
         if piece.successor_incarnation != self.table.me.incarnation:
@@ -71,40 +72,40 @@
         if not self._pieces.add(sender, piece, now_s):
             return None, []
         taken = HandOverPieceTaken(transfer_id, piece.index)
-        message = self._pieces.message(sender, transfer_id)
+        message = self._pieces.assemble(sender, transfer_id)
         return message, [SendToPeer(sender.name, taken)]
 
     def take(
         self, sender: Identity, message: HandOver, leaving: bool, now_s: float
     ) -> tuple[list[OwnedFlow], list[Action]]:
-        """Take flows in, or refuse them for good.
+        """Restore the flows of a transfer, or refuse them permanently.
 
         Parameters
         ----------
         sender : Identity
-            The giver.
+            Source of the transfer.
         message : HandOver
-            The flows.
+            Message with the flows.
         leaving : bool
-            This instance is in a planned stop and takes nothing new.
+            Whether this instance is in a planned stop and refuses new transfers.
         now_s : float
-            Present time, in seconds.
+            Current time, in seconds.
 
         Returns
         -------
         list of OwnedFlow, list of Action
-            Flows that were new here, and what to do.
+            Flows that were added, and the actions to carry out.
         """
         if message.successor_incarnation != self.table.me.incarnation:
-            # Meant for a process that had this name before and may have run
-            # some of it: nobody else ever may.
+            # Addressed to an earlier process of this name, which may have run some
+            # of the requests: no other process may run them.
             return [], []
         if message.transfer_id in self._accepted:
             accepted = HandOverAccepted(message.transfer_id)
             return [], [SendToPeer(sender.name, accepted)]
-        if leaving or not self._knows_services(message):
-            # A refusal must never be followed by an acceptance of the same
-            # transfer: leaving is final, but an unknown service is not.
+        if leaving or not self._has_dispatchers(message):
+            # A refused transfer must never be accepted later.  Leaving is final,
+            # whereas a service that is unknown now may become known.
             return [], self._refuse(sender, message, leaving)
         self._accepted.add(message.transfer_id)
         self._pieces.drop(sender, message.transfer_id)
@@ -123,10 +124,10 @@
             SendToPeer(sender.name, HandOverAccepted(message.transfer_id)),
         ]
         for flow in flows:
-            actions += self._go_on(flow, now_s)
+            actions += self._resume_requests(flow, now_s)
         return flows, actions
 
-    def _knows_services(self, message: HandOver) -> bool:
+    def _has_dispatchers(self, message: HandOver) -> bool:
         return all(flow.service in self.executor.dispatchers for flow in message.flows)
 
     def _refuse(
@@ -140,7 +141,7 @@
         flows = []
         for snapshot in message.flows:
             if snapshot.closed:
-                # Earlier builds send these too; nothing of them may run here.
+                # Earlier builds also send closed flows, whose requests must not run.
                 continue
             flow = restore_flow(snapshot, self.settings.window_size, now_s)
             if self.table.restore(flow):
@@ -148,7 +149,7 @@
                 flows.append(flow)
         return flows
 
-    def _go_on(self, flow: OwnedFlow, now_s: float) -> list[Action]:
+    def _resume_requests(self, flow: OwnedFlow, now_s: float) -> list[Action]:
         actions: list[Action] = []
         for request in list(flow.requests.values()):
             if request.state == "waiting":
--- a/endivepick/core/lifecycle.py
+++ b/endivepick/core/lifecycle.py
@@ -1,4 +1,4 @@
-"""Life of one instance: joining, serving, and the planned stop."""
+"""Lifecycle of an instance: joining, serving and the planned stop."""
 
 from dataclasses import dataclass, field
 
@@ -16,26 +16,26 @@
 LifecycleAction = Action | MembershipAction
 _CHART = load_chart("instance")
 _STOPPING = frozenset({"leaving", "handing_over"})
-LAST_HAND_OVER_S = 3.0
-"""Time at the end of a planned stop for flows whose requests had to be cut."""
-LINGER_S = 1.0
-"""How long an instance goes on as a relay after its last flow, in seconds."""
+FINAL_HAND_OVER_S = 3.0
+"""Time at the end of a planned stop to hand over flows with aborted requests."""
+RELAY_LINGER_S = 1.0
+"""Time that an instance continues to relay packets after its last flow is gone."""
 
 
 @dataclass
 class Lifecycle:
-    """Follows the chart ``instance``.
+    """Current state of an instance in the state chart ``instance``.
 
     Attributes
     ----------
     settings : FlowSettings
-        Bound on the planned stop.
+        Time limit of the planned stop.
     membership : Membership
-        Learns when this instance is ready, leaves and stops.
+        Is notified when this instance is ready, leaves and stops.
     owner : FlowOwner
-        Stops to accept requests in a planned stop.
-    giver : HandOverGiver
-        Hands the flows over.
+        Stops accepting requests once a planned stop begins.
+    source : HandOverSource
+        Hands over the flows in a planned stop.
     state : str
         State of the chart.
     """
@@ -43,13 +43,13 @@
     settings: FlowSettings
     membership: Membership
     owner: FlowOwner
-    giver: HandOverGiver
+    source: HandOverGiver
     state: str = _CHART.initial
-    _cut_at_s: float = 0.0
+    _abort_at_s: float = 0.0
     _expires_at_s: float = 0.0
-    _empty_since_s: float | None = None
-    _announced: set[str] = field(default_factory=set)
-    _reason: str = ""
+    _idle_since_s: float | None = None
+    _announced_services: set[str] = field(default_factory=set)
+    _reported_missing: str = ""
 
     @property
     def stopping(self) -> bool:
@@ -58,7 +58,7 @@
 
     @property
     def ready(self) -> bool:
-        """Whether this instance takes roles."""
+        """Whether this instance can be assigned roles."""
         return self.state == "ready"
 
     def _step(self, event: str) -> Log:
@@ -72,32 +72,32 @@
         )
 
     def listen(self) -> list[Action]:
-        """Note that all sockets are bound."""
+        """Enter the state ``joining``; all sockets are bound."""
         return [self._step("listen")]
 
     def check_ready(self, missing: str, now_s: float) -> list[LifecycleAction]:
-        """Become ready once nothing is missing.
+        """Become ready once no precondition is missing.
 
         Parameters
         ----------
         missing : str
-            What is missing, empty if nothing is.
+            Reason why the instance is not ready, empty if it is.
         now_s : float
-            Present time, in seconds.
+            Current time, in seconds.
         """
         if self.state != "joining":
             return []
         if missing:
-            if missing == self._reason:
+            if missing == self._reported_missing:
                 return []
-            self._reason = missing
+            self._reported_missing = missing
             return [ReadinessChange(False, missing)]
         actions: list[LifecycleAction] = [self._step("join"), ReadinessChange(True, "")]
         actions += self.membership.set_ready(now_s)
         return actions
 
     def begin_stop(self, now_s: float) -> list[LifecycleAction]:
-        """Begin the planned stop; a second request changes nothing."""
+        """Begin the planned stop; repeated calls have no effect."""
         if not _CHART.allows(self.state, "stop"):
             return []
         actions: list[LifecycleAction] = [
@@ -107,36 +107,38 @@
         if self.state == "stopped":
             return [*actions, StopFinished(0)]
         self._expires_at_s = now_s + self.settings.drain_timeout_s
-        reserve_s = min(LAST_HAND_OVER_S, self.settings.drain_timeout_s / 2)
-        self._cut_at_s = self._expires_at_s - reserve_s
-        self.owner.begin_leaving(now_s, self._cut_at_s)
+        final_s = min(FINAL_HAND_OVER_S, self.settings.drain_timeout_s / 2)
+        self._abort_at_s = self._expires_at_s - final_s
+        self.owner.begin_leaving(now_s, self._abort_at_s)
         actions += self.membership.leave(now_s)
-        # Callers wait from now on, so the hand-over does not wait for a tick.
+        # Callers wait from now on, so the handover starts before the next tick.
         return actions + self.tick(now_s)
 
     def tick(self, now_s: float) -> list[LifecycleAction]:
-        """Go on with the planned stop."""
+        """Continue the planned stop."""
         if not self.stopping:
             return []
         actions: list[LifecycleAction] = []
-        if now_s >= self._cut_at_s:
-            actions += self.giver.cut()
-        actions += self.giver.tick(now_s)
-        if self.state == "leaving" and self.giver.open_transfers:
+        if now_s >= self._abort_at_s:
+            actions += self.source.cut()
+        actions += self.source.tick(now_s)
+        if self.state == "leaving" and self.source.open_transfers:
             actions.append(self._step("hand_over"))
-        actions += self._announce()
+        actions += self._announce_finished_services()
         return actions + self._check_end(now_s)
 
-    def _announce(self) -> list[LifecycleAction]:
-        """Tell the others which successor holds all of a service's flows."""
-        return self._announce_all(self.giver.finished_services())
+    def _announce_finished_services(self) -> list[LifecycleAction]:
+        """Announce the successor of each service whose flows were all handed over."""
+        return self._announce_successors(self.source.finished_services())
 
-    def _announce_all(self, successors: dict[str, Identity]) -> list[LifecycleAction]:
+    def _announce_successors(
+        self, successors: dict[str, Identity]
+    ) -> list[LifecycleAction]:
         actions: list[LifecycleAction] = []
         for service, successor in successors.items():
-            if service in self._announced:
+            if service in self._announced_services:
                 continue
-            self._announced.add(service)
+            self._announced_services.add(service)
             actions += self.membership.announce_hand_over(
                 service, successor.name, successor.incarnation
             )
@@ -153,18 +155,19 @@
     def _check_end(self, now_s: float) -> list[LifecycleAction]:
         if now_s >= self._expires_at_s:
             return self._end("expire", now_s)
-        if not self.giver.idle:
-            self._empty_since_s = None
+        if not self.source.is_idle:
+            self._idle_since_s = None
             return []
-        if self._empty_since_s is None:
-            self._empty_since_s = now_s
-        if now_s - self._empty_since_s < LINGER_S:
+        if self._idle_since_s is None:
+            self._idle_since_s = now_s
+        if now_s - self._idle_since_s < RELAY_LINGER_S:
             return []
         return self._end("finish", now_s)
 
     def _end(self, event: str, now_s: float) -> list[LifecycleAction]:
         actions: list[LifecycleAction] = [self._step(event)]
-        # The others find the flows that were taken, whatever became of the rest.
-        actions += self._announce_all(self.giver.successors)
+        # Other instances can then locate the flows that were handed over, even if
+        # some flows were not.
+        actions += self._announce_successors(self.source.successors)
         actions += self.membership.stop(now_s)
-        return [*actions, StopFinished(self.giver.open_flows)]
+        return [*actions, StopFinished(self.source.open_flows)]
--- a/endivepick/core/messages.py
+++ b/endivepick/core/messages.py
@@ -1,8 +1,8 @@
-"""Typed messages on the wire.
+"""Packets between callers and instances.
 
-Two families exist.  *Packets* travel as single datagrams between a caller and
-any instance.  *Peer messages* travel between instances.  Both are encoded as
-MessagePack arrays whose first item is the tag of the type.
+There are two families of messages.  *Packets* are single datagrams between a caller
+and any instance.  *Peer messages* are exchanged between instances.  Both are encoded
+as MessagePack arrays whose first item is the tag of the type.
 """
 
 import msgspec
@@ -37,26 +37,26 @@
 
 PROTOCOL_VERSION = 1
 MAX_DATAGRAM_BYTES = 1452
-"""Largest datagram that any part sends or accepts, in bytes."""
+"""Largest datagram that callers and instances send or accept, in bytes."""
 PART_SIZE_BYTES = 1024
 """Payload of one request or answer part, in bytes."""
 
 REQUEST_BYTES_MAX = 2 << 20
-"""Largest request by default, encoded, in bytes."""
+"""Default limit on the size of an encoded request, in bytes."""
 ANSWER_BYTES_MAX = 32 << 20
-"""Largest answer by default, in bytes."""
+"""Default limit on the size of an answer, in bytes."""
 
 CallerAddress = tuple[str, int]
 """IPv4 address and UDP port of a caller."""
 
 
 class Open(msgspec.Struct, frozen=True, array_like=True, tag=1):
-    """Ask any instance to open a flow; carries no request.
+    """Request to open a flow, sent to any instance; carries no application request.
 
     Attributes
     ----------
     open_id : int
-        Random number by which the caller recognises the answer.
+        Random number that identifies the answer.
     service : str
         Name of the service.
     """
@@ -75,7 +75,7 @@
     token : bytes
         Flow token.
     seq : int
-        Request number within the flow, from 1, never used again.
+        Request number within the flow, from 1, never reused.
     index : int
         Number of this part, from 0.
     count : int
@@ -83,7 +83,7 @@
     idempotent : bool
         Whether the request may run more than once.
     deadline_ms : int
-        Time that the caller still waits, in milliseconds.
+        Time until the caller's deadline, in milliseconds.
     data : bytes
         At most ``PART_SIZE_BYTES`` bytes.
     """
@@ -98,7 +98,7 @@
 
 
 class Acknowledge(msgspec.Struct, frozen=True, array_like=True, tag=3):
-    """Report which answer parts arrived and ask for the others.
+    """Acknowledgement of answer parts and request for the missing ones.
 
     Attributes
     ----------
@@ -109,11 +109,11 @@
     next_index : int
         All parts below this number arrived.
     missing : list of int
-        Parts from ``next_index`` up that are missing although later ones arrived.
+        Parts from ``next_index`` on that are missing although later ones arrived.
     window : int
-        How many parts beyond ``next_index`` the caller accepts.
+        Number of parts beyond ``next_index`` that the caller accepts.
     done : bool
-        The whole answer arrived: its owner may forget it.
+        Whether the whole answer arrived, so that the owner may discard it.
     """
 
     token: bytes
@@ -125,26 +125,26 @@
 
 
 class Cancel(msgspec.Struct, frozen=True, array_like=True, tag=4):
-    """Give up a request; it is cancelled at the target if it runs."""
+    """Cancellation of a request, also at the target if it runs there."""
 
     token: bytes
     seq: int
 
 
 class Renew(msgspec.Struct, frozen=True, array_like=True, tag=5):
-    """Ask for a token with the present key; keeps an idle flow established."""
+    """Request for a token under the current key; keeps an idle flow established."""
 
     token: bytes
 
 
 class FlowClosed(msgspec.Struct, frozen=True, array_like=True, tag=6):
-    """Tell the owner that the caller has closed the flow."""
+    """Notice to the owner that the caller closed the flow."""
 
     token: bytes
 
 
 class Opened(msgspec.Struct, frozen=True, array_like=True, tag=32):
-    """Answer to ``Open``: the flow, its token and the token's binding."""
+    """Answer to ``Open`` with the flow, its token and the token's binding."""
 
     open_id: int
     flow_id: int
@@ -154,7 +154,7 @@
 
 
 class OpenRefused(msgspec.Struct, frozen=True, array_like=True, tag=33):
-    """Answer to ``Open``: no flow, and when to come back."""
+    """Refusal of an ``Open`` with the time after which to retry."""
 
     open_id: int
     reason: str
@@ -162,7 +162,7 @@
 
 
 class Accepted(msgspec.Struct, frozen=True, array_like=True, tag=34):
-    """The owner holds the whole request; promises nothing about its run."""
+    """Notice that the owner holds the whole request; it may or may not run."""
 
     flow_id: int
     binding: int
@@ -170,7 +170,7 @@
 
 
 class RequestProgress(msgspec.Struct, frozen=True, array_like=True, tag=35):
-    """Parts of a long request that the owner still misses."""
+    """Parts of a long request that the owner has not received yet."""
 
     flow_id: int
     binding: int
@@ -182,8 +182,8 @@
 class AnswerPart(msgspec.Struct, frozen=True, array_like=True, tag=36):
     """One part of an answer.
 
-    Part 0 holds a MessagePack ``AnswerHead``; the following ones hold the body
-    in order.  ``final`` marks the last part.
+    Part 0 holds a MessagePack ``AnswerHead``; the later parts hold the body in
+    order.  ``final`` marks the last part.
     """
 
     flow_id: int
@@ -195,7 +195,7 @@
 
 
 class Refused(msgspec.Struct, frozen=True, array_like=True, tag=37):
-    """The owner's word that this request did not run and never will."""
+    """Guarantee by the owner that this request did not run and never will."""
 
     flow_id: int
     binding: int
@@ -205,7 +205,7 @@
 
 
 class Outcome(msgspec.Struct, frozen=True, array_like=True, tag=38):
-    """The owner sent the request to a target and does not know whether it ran."""
+    """Notice that the request was sent to a target and may or may not have run."""
 
     flow_id: int
     binding: int
@@ -215,7 +215,7 @@
 
 
 class Unreachable(msgspec.Struct, frozen=True, array_like=True, tag=39):
-    """A relay cannot reach the owner; says nothing about the run."""
+    """Notice that a relay cannot reach the owner; the request may have run."""
 
     flow_id: int
     binding: int
@@ -229,19 +229,19 @@
     Attributes
     ----------
     flow_id : int
-        The flow, the same for all its tokens.
+        Number of the flow, the same for all its tokens.
     old_binding : int
         Binding of the token that the caller used.
     token : bytes
-        The new token.
+        New token.
     binding : int
         Binding of the new token.
     continues : bool
         True if the new owner holds the replay window of ``old_binding``, so that
-        unanswered requests go on.  False after the loss of the owner: unanswered
-        non-idempotent requests have an unknown outcome.
+        unanswered requests continue.  False after the loss of the owner, when
+        unanswered non-idempotent requests have an unknown outcome.
     renew_after_s : float
-        When to ask for the next token, in seconds.
+        Time after which to request the next token, in seconds.
     """
 
     flow_id: int
@@ -253,7 +253,7 @@
 
 
 class RequestHead(msgspec.Struct, frozen=True, array_like=True):
-    """Request as the target sees it.
+    """Request as the target receives it.
 
     Attributes
     ----------
@@ -266,7 +266,7 @@
     body : bytes
         Body, empty if there is none.
     stream : bool
-        The answer is an event stream that can be resumed after an event id.
+        Whether the answer is an event stream that can be resumed after an event id.
     """
 
     method: str
--- a/endivepick/core/peer_messages.py
+++ b/endivepick/core/peer_messages.py
@@ -1,4 +1,4 @@
-"""Messages between instances about flows; tags 80 to 95."""
+"""Messages between instances about flows, with tags 80 to 95."""
 
 import msgspec
 
@@ -28,16 +28,16 @@
 
 
 class RelayedPacket(msgspec.Struct, frozen=True, array_like=True, tag=80):
-    """A caller's datagram on its way to the owner of its flow.
+    """Datagram of a caller, relayed to the owner of its flow.
 
     Attributes
     ----------
     caller : tuple
-        Where answers go.
+        Address to which answers are sent.
     hops : int
-        How many instances it passed.
+        Number of instances that have relayed the datagram.
     datagram : bytes
-        The packet as the caller sent it.
+        Packet as the caller sent it.
     """
 
     caller: CallerAddress
@@ -54,9 +54,9 @@
 
 
 class RequestSnapshot(msgspec.Struct, frozen=True, array_like=True):
-    """A request whose answer is not acknowledged, or a suspended stream.
+    """Request whose answer is not acknowledged, or a suspended stream.
 
-    ``time_left_ms`` is what remains of its deadline, in milliseconds.
+    ``time_left_ms`` is the time until its deadline, in milliseconds.
     """
 
     seq: int
@@ -72,7 +72,7 @@
 
 
 class FlowSnapshot(msgspec.Struct, frozen=True, array_like=True):
-    """Everything that the successor of a flow's owner needs."""
+    """State of a flow that is transferred to the successor of its owner."""
 
     flow_id: int
     binding: int
@@ -85,16 +85,16 @@
 
 
 class HandOver(msgspec.Struct, frozen=True, array_like=True, tag=81):
-    """Flows that the sender has frozen for good; sent again until answered.
+    """Transfer of permanently frozen flows, retransmitted until answered.
 
     Attributes
     ----------
     transfer_id : int
         Number of the transfer.
     successor_incarnation : int
-        The one incarnation that may take the flows.
+        The only incarnation that may accept the flows.
     flows : list of FlowSnapshot
-        The flows.
+        Flows of the transfer.
     """
 
     transfer_id: int
@@ -103,35 +103,36 @@
 
 
 class HandOverAccepted(msgspec.Struct, frozen=True, array_like=True, tag=82):
-    """The receiver holds the flows of this transfer."""
+    """Answer that the successor holds the flows of this transfer."""
 
     transfer_id: int
 
 
 class HandOverRefused(msgspec.Struct, frozen=True, array_like=True, tag=83):
-    """The receiver holds nothing of this transfer and never will."""
+    """Answer that the successor holds no flow of this transfer and never will."""
 
     transfer_id: int
 
 
 class InFlightReport(msgspec.Struct, frozen=True, array_like=True, tag=84):
-    """Requests that the sender has in progress at a service's targets."""
+    """Numbers of requests that the sender has in progress at a service's targets."""
 
     service: str
     in_flight: dict[str, int]
 
 
 class TargetDraining(msgspec.Struct, frozen=True, array_like=True, tag=85):
-    """A target said by itself that it is leaving.
+    """Notice that a target reported that it is draining.
 
     Attributes
     ----------
     service, target : str
-        The target.
+        Service and name of the target.
     target_incarnation : int
-        Its incarnation.
+        Incarnation of the target.
     passed_on : bool
-        The sender has it from a peer; it is not passed on again.
+        Whether the sender received the notice from a peer; it is then not forwarded
+        again.
     """
 
     service: str
@@ -141,20 +142,20 @@
 
 
 class HandOverPiece(msgspec.Struct, frozen=True, array_like=True, tag=86):
-    """Piece of a `HandOver` that is too large for one message.
+    """Piece of an encoded `HandOver` that is too large for one message.
 
     Attributes
     ----------
     transfer_id : int
         Number of the transfer.
     successor_incarnation : int
-        The one incarnation that may take the flows.
+        The only incarnation that may accept the flows.
     index : int
         Number of this piece, from 0.
     count : int
         Number of pieces.
     data : bytes
-        Part of the encoded message.
+        Bytes of this piece.
     """
 
     transfer_id: int
@@ -165,7 +166,7 @@
 
 
 class HandOverPieceTaken(msgspec.Struct, frozen=True, array_like=True, tag=87):
-    """The receiver holds a piece; says nothing about the transfer."""
+    """Acknowledgement of a piece; the transfer may still be refused."""
 
     transfer_id: int
     index: int
@@ -177,20 +178,21 @@
 
 
 class Forwarded(msgspec.Struct, frozen=True, array_like=True, tag=88):
-    """A message about a hand-over whose direct way seems to be cut.
+    """Handover message sent through a third instance because the link seems cut.
 
-    The instance that gets it sends it on to ``to_name``, which answers the same way.
+    The instance that receives it forwards it to ``to_name``, which answers through
+    the same instance.
 
     Attributes
     ----------
     sender : str
-        Name of the instance that it comes from.
+        Name of the instance that sent the message.
     incarnation : int
-        Its incarnation.
+        Incarnation of the sender.
     to_name : str
-        Instance that it is for.
+        Name of the instance that the message is addressed to.
     message : HandOverMessage
-        The message.
+        Forwarded message.
     """
 
     sender: str
--- a/endivepick/core/peers.py
+++ b/endivepick/core/peers.py
@@ -1,4 +1,4 @@
-"""What the relay asks of the membership."""
+"""View of the membership that the relay uses."""
 
 from endivepick.core.flow_table import Identity
 from endivepick.membership import Membership, PeerState
@@ -7,19 +7,19 @@
 
 
 class MembershipPeers:
-    """Answers the relay's questions from the membership.
+    """State of the other instances according to the membership.
 
     Parameters
     ----------
     membership : Membership
-        Beliefs about the other instances.
+        Membership of this instance.
     """
 
     def __init__(self, membership: Membership) -> None:
         self._membership = membership
 
     def ready_names(self) -> tuple[str, ...]:
-        """Return the names that may take a role."""
+        """Return the names of the instances that can be assigned a role."""
         return self._membership.live_names()
 
     def zone_of(self, name: str) -> str:
@@ -33,15 +33,15 @@
         return view is not None and view.state is PeerState.SUSPECT
 
     def is_incarnation_dead(self, name: str, incarnation: int) -> bool:
-        """Tell whether an incarnation is known to be gone."""
+        """Tell whether an incarnation is known to be dead."""
         return self._membership.is_incarnation_dead(name, incarnation)
 
     def successor_of(self, incarnation: int, service: str) -> Identity | None:
-        """Return who took over a service's flows from an incarnation."""
-        found = self._membership.successor_of(incarnation, service)
-        return Identity(*found) if found else None
+        """Return the successor of an incarnation for a service's flows, or None."""
+        successor = self._membership.successor_of(incarnation, service)
+        return Identity(*successor) if successor else None
 
     def incarnation_of(self, name: str) -> int:
-        """Return the known incarnation of an instance, or 0."""
+        """Return the known incarnation of an instance, or 0 if unknown."""
         view = self._membership.view().get(name)
         return view.incarnation if view else 0
--- a/endivepick/core/pieces.py
+++ b/endivepick/core/pieces.py
@@ -1,7 +1,7 @@
-"""Hand-overs too large for one message, cut into pieces.
+"""Fragmentation and reassembly of large handover messages.
 
-One message of many megabytes would hold up whatever else goes to the same peer, the
-probes among it, and would break connections that are slow.
+A single message of many megabytes would delay all other messages to the same peer,
+including probes, and would break slow connections.
 """
 
 from collections.abc import Iterator
@@ -12,31 +12,39 @@
 from endivepick.core.peer_messages import HandOver, HandOverPiece
 from endivepick.errors import PacketInvalidError
 
-__all__ = ["PieceCollector", "PieceSender", "cut_into_pieces"]
+__all__ = ["PieceAssembler", "PieceSender", "split_into_pieces"]
 
-OPEN_PIECES_MAX = 8
-"""Pieces of one transfer that are under way at once."""
-OPEN_COLLECTIONS_MAX = 8
-"""Transfers of one giver that are collected at once."""
-KEPT_S = 120.0
-"""Silence after which the pieces of a giver that is gone are dropped, in seconds."""
+UNACKNOWLEDGED_PIECES_MAX = 8
+"""Largest number of unacknowledged pieces of one transfer."""
+PARTIAL_TRANSFERS_MAX = 8
+"""Largest number of partial transfers kept for one source."""
+PARTIAL_TRANSFER_TIMEOUT_S = 120.0
+"""Time without a new piece after which a partial transfer is dropped, in seconds.
+
+The source of such a transfer is gone.
+"""
 
 _Key = tuple[Identity, int]
 
 
-def cut_into_pieces(message: HandOver, size_bytes: int) -> tuple[HandOverPiece, ...]:
-    """Cut a message.
+def split_into_pieces(message: HandOver, size_bytes: int) -> tuple[HandOverPiece, ...]:
+    """Split an encoded message into pieces.
 
     Parameters
     ----------
     message : HandOver
-        The message.
+        Message to split.
     size_bytes : int
-        Size of one piece, in bytes.
+        Size of one piece, in bytes; the last one may be smaller.
+
+    Returns
+    -------
+    tuple of HandOverPiece
+        Pieces in order.
 
     Examples
     --------
-    >>> pieces = cut_into_pieces(HandOver(1, 2, []), size_bytes=3)
+    >>> pieces = split_into_pieces(HandOver(1, 2, []), size_bytes=3)
     >>> [(piece.index, piece.count) for piece in pieces]
     [(0, 2), (1, 2)]
     """
@@ -56,101 +64,114 @@
 
 @dataclass(slots=True)
 class PieceSender:
-    """Decides which pieces of one transfer to send.
+    """Selects the pieces of one transfer to send or retransmit.
 
     Attributes
     ----------
     pieces : tuple of HandOverPiece
-        All pieces.
+        All pieces in order.
     """
 
     pieces: tuple[HandOverPiece, ...]
     _next_index: int = 0
-    _open: set[int] = field(default_factory=set)
-
-    def take_new(self) -> Iterator[HandOverPiece]:
-        """Yield the pieces that may be sent for the first time."""
-        while self._next_index < len(self.pieces) and len(self._open) < OPEN_PIECES_MAX:
-            self._open.add(self._next_index)
+    _unacknowledged: set[int] = field(default_factory=set)
+
+    def take_unsent(self) -> Iterator[HandOverPiece]:
+        """Yield the next unsent pieces, up to the limit of unacknowledged ones."""
+        while (
+            self._next_index < len(self.pieces)
+            and len(self._unacknowledged) < UNACKNOWLEDGED_PIECES_MAX
+        ):
+            self._unacknowledged.add(self._next_index)
             self._next_index += 1
             yield self.pieces[self._next_index - 1]
 
-    def taken(self, index: int) -> bool:
-        """Note that a piece has arrived; False if that is no news."""
-        if index not in self._open:
+    def acknowledge(self, index: int) -> bool:
+        """Record the receipt of a piece; False if it was not awaited."""
+        if index not in self._unacknowledged:
             return False
-        self._open.remove(index)
+        self._unacknowledged.remove(index)
         return True
 
-    def again(self) -> list[HandOverPiece]:
-        """Return the pieces to send again; the last one asks for the final answer."""
-        indexes = sorted(self._open) or [len(self.pieces) - 1]
+    def unacknowledged(self) -> list[HandOverPiece]:
+        """Return the pieces to retransmit.
+
+        Once all are acknowledged, the last piece is sent again to obtain the answer
+        to the transfer.
+        """
+        indexes = sorted(self._unacknowledged) or [len(self.pieces) - 1]
         return [self.pieces[index] for index in indexes]
 
 
 @dataclass(slots=True)
-class _Collection:
+class _PartialTransfer:
     count: int
-    touched_at_s: float
+    updated_at_s: float
     pieces: dict[int, bytes] = field(default_factory=dict)
 
     @property
-    def complete(self) -> bool:
+    def is_complete(self) -> bool:
         return len(self.pieces) == self.count
 
 
 @dataclass(slots=True)
-class PieceCollector:
-    """Puts the pieces of hand-overs together."""
+class PieceAssembler:
+    """Reassembles handover messages from their pieces."""
 
-    _collections: dict[_Key, _Collection] = field(default_factory=dict)
+    _partial: dict[_Key, _PartialTransfer] = field(default_factory=dict)
 
-    def add(self, giver: Identity, piece: HandOverPiece, now_s: float) -> bool:
-        """Take a piece; False if it makes no sense or there are too many.
+    def add(self, source: Identity, piece: HandOverPiece, now_s: float) -> bool:
+        """Store a piece.
 
         Parameters
         ----------
-        giver : Identity
-            Who sent it.
+        source : Identity
+            Instance that sent the piece.
         piece : HandOverPiece
-            The piece.
+            Received piece.
         now_s : float
-            Present time, in seconds.
+            Current time, in seconds.
+
+        Returns
+        -------
+        bool
+            False if the piece contradicts earlier ones, or if the source already
+            has the maximum number of partial transfers.
         """
-        self._drop_old(now_s)
-        key = (giver, piece.transfer_id)
-        known = self._collections.get(key)
-        if known is None:
-            if self._count(giver) >= OPEN_COLLECTIONS_MAX:
+        self._drop_expired(now_s)
+        key = (source, piece.transfer_id)
+        transfer = self._partial.get(key)
+        if transfer is None:
+            if self._count(source) >= PARTIAL_TRANSFERS_MAX:
                 return False
-            known = self._collections[key] = _Collection(piece.count, now_s)
-        if piece.count != known.count or not 0 <= piece.index < piece.count:
+            transfer = self._partial[key] = _PartialTransfer(piece.count, now_s)
+        if piece.count != transfer.count or not 0 <= piece.index < piece.count:
             return False
-        known.touched_at_s = now_s
-        known.pieces[piece.index] = piece.data
+        transfer.updated_at_s = now_s
+        transfer.pieces[piece.index] = piece.data
         return True
 
-    def _count(self, giver: Identity) -> int:
-        return sum(holder == giver for holder, _ in self._collections)
+    def _count(self, source: Identity) -> int:
+        return sum(sender == source for sender, _ in self._partial)
 
-    def _drop_old(self, now_s: float) -> None:
-        oldest_s = now_s - KEPT_S
-        for key, collection in list(self._collections.items()):
-            if collection.touched_at_s < oldest_s:
-                del self._collections[key]
+    def _drop_expired(self, now_s: float) -> None:
+        oldest_s = now_s - PARTIAL_TRANSFER_TIMEOUT_S
+        for key, partial in list(self._partial.items()):
+            if partial.updated_at_s < oldest_s:
+                del self._partial[key]
 
-    def message(self, giver: Identity, transfer_id: int) -> HandOver | None:
-        """Return the message of a transfer once all its pieces make one."""
-        known = self._collections.get((giver, transfer_id))
-        if known is None or not known.complete:
+    def assemble(self, source: Identity, transfer_id: int) -> HandOver | None:
+        """Return the message of a transfer, or None until it is complete and valid."""
+        transfer = self._partial.get((source, transfer_id))
+        if transfer is None or not transfer.is_complete:
             return None
-        data = b"".join(known.pieces[index] for index in range(known.count))
+        data = b"".join(transfer.pieces[index] for index in range(transfer.count))
         try:
             return decode_struct(data, HandOver)
         except PacketInvalidError:
-            self.drop(giver, transfer_id)
+            self.drop(source, transfer_id)
             return None
 
-    def drop(self, giver: Identity, transfer_id: int) -> None:
-        """Forget the pieces of a transfer."""
-        self._collections.pop((giver, transfer_id), None)
+    def drop(self, source: Identity, transfer_id: int) -> None:
+        """Discard the pieces of a transfer."""
+        self._partial.pop((source, transfer_id), None)
--- a/endivepick/core/rendezvous.py
+++ b/endivepick/core/rendezvous.py
@@ -1,7 +1,7 @@
 """Rendezvous (highest random weight) hashing.
 
-Every instance that sees the same names computes the same order, and a name that
-comes or goes moves only the keys that it wins or loses.
+Instances with the same set of names compute the same order.  Adding or removing a name
+moves only the keys that this name gains or loses.
 
 Examples
 --------
@@ -9,8 +9,8 @@
 >>> names = ["entry-1", "entry-2", "entry-3"]
 >>> owner("notes", names) == top("notes", names, 1)[0]
 True
->>> winner = owner("notes", names)
->>> others = [name for name in names if name != winner]
+>>> first = owner("notes", names)
+>>> others = [name for name in names if name != first]
 >>> top("notes", names, 2)[1] == owner("notes", others)
 True
 """
@@ -23,12 +23,12 @@
 
 __all__ = ["heavier", "owner", "rank", "top"]
 
-_CACHED_NAMES = 16_384
+_CACHED_SEEDS_MAX = 16_384
 
 
-@lru_cache(maxsize=_CACHED_NAMES)
+@lru_cache(maxsize=_CACHED_SEEDS_MAX)
 def _name_seed(name: str) -> int:
-    """Return the hash of a name, which serves as its seed."""
+    """Return the hash of a name, which is the seed of its weights."""
     return xxh3_64_intdigest(name.encode())
 
 
@@ -37,19 +37,19 @@
 
 
 def rank(key: str, names: Iterable[str]) -> list[str]:
-    """Order names by their weight for a key, heaviest first.
+    """Sort names by decreasing weight for a key.
 
     Parameters
     ----------
     key : str
-        What is placed, for example the name of a service.
+        Key to place, for example the name of a service.
     names : iterable of str
         Candidates; duplicates count once.
 
     Returns
     -------
     list of str
-        All names; the first is the owner, the second takes over from it.
+        All names; the first is the owner, the second becomes owner if it is removed.
 
     Examples
     --------
@@ -61,7 +61,7 @@
 
 
 def owner(key: str, names: Iterable[str]) -> str | None:
-    """Return the name with the highest weight, or None if there is no name.
+    """Return the name with the highest weight, or None without names.
 
     Examples
     --------
@@ -75,10 +75,10 @@
 
 
 def heavier(key: str, name: str, rivals: Iterable[str]) -> str | None:
-    """Return the first rival that is heavier than a name, or None.
+    """Return the first rival with a higher weight than a name, or None.
 
-    With rivals in any order that does not depend on the key, a logarithmic number
-    of them is looked at on average.
+    If the order of the rivals does not depend on the key, the average number of
+    comparisons is logarithmic.
 
     Examples
     --------
@@ -91,21 +91,21 @@
 
 
 def top(key: str, names: Iterable[str], count: int) -> list[str]:
-    """Return the first ``count`` names of the ranking.
+    """Return the ``count`` names with the highest weights.
 
     Parameters
     ----------
     key : str
-        What is placed.
+        Key to place.
     names : iterable of str
         Candidates; duplicates count once.
     count : int
-        How many names to return at most.
+        Maximum number of names to return.
 
     Returns
     -------
     list of str
-        Heaviest first; shorter if there are fewer names.
+        Names by decreasing weight; fewer than ``count`` if there are fewer names.
 
     Examples
     --------
--- a/endivepick/core/snapshot.py
+++ b/endivepick/core/snapshot.py
@@ -1,4 +1,4 @@
-"""Conversion between held flows and what a hand-over carries."""
+"""Conversion between owned flows and the snapshots that a handover transfers."""
 
 from endivepick.core.answer import AnswerBuffer
 from endivepick.core.flow import OwnedFlow, OwnedRequest
@@ -11,12 +11,12 @@
 
 __all__ = ["restore_flow", "snapshot_flow"]
 
-_NOT_CARRIED = frozenset({"receiving", "cancelled", "done"})
-"""States that the window alone remembers."""
+_OMITTED_STATES = frozenset({"receiving", "cancelled", "done"})
+"""States of requests that are not transferred; the replay window covers them."""
 
 
 def snapshot_flow(flow: OwnedFlow, now_s: float) -> FlowSnapshot:
-    """Copy a frozen flow for its successor."""
+    """Return a snapshot of a frozen flow for its successor."""
     return FlowSnapshot(
         flow_id=flow.flow_id,
         binding=flow.binding,
@@ -28,7 +28,7 @@
         requests=[
             _snapshot_request(request, now_s)
             for request in flow.requests.values()
-            if request.state not in _NOT_CARRIED
+            if request.state not in _OMITTED_STATES
         ],
     )
 
@@ -56,7 +56,7 @@
 
 
 def restore_flow(snapshot: FlowSnapshot, window_size: int, now_s: float) -> OwnedFlow:
-    """Build the flow that a snapshot describes."""
+    """Create a flow from its snapshot."""
     flow = OwnedFlow(
         flow_id=snapshot.flow_id,
         binding=snapshot.binding,
@@ -85,7 +85,8 @@
         attempt=snapshot.attempt,
         may_have_run=snapshot.may_have_run,
         last_event_id=snapshot.last_event_id,
-        # The time to answer counts from here: the giver's clock is another one.
+        # The time to answer is measured from now, because the clock of the source
+        # is not comparable.
         accepted_at_s=now_s,
     )
 
@@ -93,7 +94,7 @@
 def _restore_answer(snapshot: AnswerSnapshot | None) -> AnswerBuffer | None:
     if snapshot is None:
         return None
-    # Nothing counts as sent: what the caller already has, it drops.
+    # All parts are treated as unsent; the caller drops those it already has.
     return AnswerBuffer(
         base_index=snapshot.base_index,
         sent_index=snapshot.base_index,
--- a/endivepick/core/tests/test_bad_input.py
+++ b/endivepick/core/tests/test_bad_input.py
@@ -26,7 +26,7 @@
 CALLER = ("127.0.0.1", 4000)
 NOW_S = 1_000_000.0
 ACTIONS_MAX = 80
-"""Bound on the work that one datagram causes."""
+"""Limit on the number of actions that one datagram may cause."""
 
 numbers = st.integers(-(2**63), 2**64 - 1)
 small = st.integers(-5, 2000)
@@ -84,25 +84,25 @@
         cls.core = ready_core()
         cls.token = open_token(cls.core)
 
-    def feed(self, datagram, now_s=NOW_S):
+    def receive(self, datagram, now_s=NOW_S):
         actions = self.core.handle(CallerDatagram(CALLER, datagram), now_s)
         self.assertLessEqual(len(actions), ACTIONS_MAX)
         return actions
 
-    def dropped(self, datagram, now_s=NOW_S):
-        actions = self.feed(datagram, now_s)
+    def counted_labels(self, datagram, now_s=NOW_S):
+        actions = self.receive(datagram, now_s)
         return [a.label for a in actions if isinstance(a, Count)]
 
     @seed(1)
     @settings(max_examples=4000, deadline=None, database=None)
     @given(st.binary(max_size=2000))
     def test_any_bytes(self, datagram):
-        self.feed(datagram)
+        self.receive(datagram)
 
     @seed(2)
     @settings(max_examples=4000, deadline=None, database=None)
     @given(data=st.data())
-    def test_any_packet_under_a_genuine_token(self, data):
+    def test_any_packet_with_a_valid_token(self, data):
         token = data.draw(st.one_of(st.just(self.token), st.binary(max_size=120)))
         packet = data.draw(
             st.one_of(
@@ -130,7 +130,7 @@
                 st.builds(Open, numbers, st.text(max_size=40)),
             )
         )
-        self.feed(encode_packet(packet))
+        self.receive(encode_packet(packet))
 
     @seed(3)
     @settings(max_examples=2500, deadline=None, database=None)
@@ -140,9 +140,9 @@
         packet = RequestPart(self.token, 5, 0, 1, False, 1000, head)
         datagram = bytearray(encode_packet(packet))
         datagram[position % len(datagram)] = value
-        self.feed(bytes(datagram))
+        self.receive(bytes(datagram))
 
-    def test_each_fault_is_counted_by_its_name(self):
+    def test_each_fault_is_counted_by_reason(self):
         renew = encode_packet(Renew(self.token))
         forged = self.token[:-1] + bytes([self.token[-1] ^ 1])
         unknown_key = b"\x00\x00\x00\x63" + self.token[4:]
@@ -157,26 +157,26 @@
             (encode_packet(Open(7, "nobody")), "unknown_service"),
         ):
             with self.subTest(reason=reason):
-                self.assertIn(reason, self.dropped(datagram))
+                self.assertIn(reason, self.counted_labels(datagram))
 
     def test_expired_token_is_counted(self):
         lifetime_s = CoreSettings("a", "z1").flow.token_lifetime_s
         renew = encode_packet(Renew(self.token))
-        self.assertIn("expired", self.dropped(renew, NOW_S + lifetime_s + 1))
+        self.assertIn("expired", self.counted_labels(renew, NOW_S + lifetime_s + 1))
 
-    def test_forged_packet_starts_nothing_and_reaches_no_peer(self):
+    def test_forged_packet_starts_no_attempt_and_reaches_no_peer(self):
         forged = bytes([1]) + self.token[1:]
         packet = RequestPart(forged, 1, 0, 1, False, 1000, b"")
         for kind in (StartAttempt, SendToPeer):
-            actions = self.feed(encode_packet(packet))
+            actions = self.receive(encode_packet(packet))
             self.assertFalse([a for a in actions if isinstance(a, kind)])
 
     def test_closed_flow_refuses_new_requests(self):
         token = open_token(self.core)
-        self.feed(encode_packet(FlowClosed(token)))
+        self.receive(encode_packet(FlowClosed(token)))
         head = encode_struct(RequestHead("POST", "/work", [], b""))
         packet = RequestPart(token, 1, 0, 1, False, 1000, head)
-        self.assertIn("flow_closed", self.dropped(encode_packet(packet)))
+        self.assertIn("flow_closed", self.counted_labels(encode_packet(packet)))
 
 
 if __name__ == "__main__":
--- a/endivepick/core/tests/test_chart_tables.py
+++ b/endivepick/core/tests/test_chart_tables.py
@@ -12,19 +12,19 @@
 
 
 class TestChartTables(unittest.TestCase):
-    def test_the_tables_are_those_of_the_charts(self):
+    def test_generated_module_is_up_to_date(self):
         path = resources.files("endivepick") / "forwarding" / "_charts.py"
         self.assertEqual(path.read_text(encoding="utf-8"), render_tables())
 
-    def test_states_and_events_of_the_charts_are_those_of_the_code(self):
-        kinds = {
+    def test_charts_and_enumerations_have_the_same_states_and_events(self):
+        enumerations = {
             "registered_target": (TargetState, TargetEvent),
             "reachability": (Reachability, ReachabilityEvent),
         }
-        for name, (states, events) in kinds.items():
+        for name, (states, events) in enumerations.items():
             transitions = load_chart(name).transitions
-            before = {state for state, _ in transitions}
-            after = set(transitions.values())
-            self.assertEqual(before | after, {state.value for state in states})
-            named = {event for _, event in transitions}
-            self.assertEqual(named, {event.value for event in events})
+            sources = {state for state, _ in transitions}
+            destinations = set(transitions.values())
+            self.assertEqual(sources | destinations, {state.value for state in states})
+            charted_events = {event for _, event in transitions}
+            self.assertEqual(charted_events, {event.value for event in events})
--- a/endivepick/core/tests/test_draining_notes.py
+++ b/endivepick/core/tests/test_draining_notes.py
@@ -12,8 +12,8 @@
 from endivepick.records import Change, StoredObject
 from endivepick.records.schema import write_service
 
-NOTE = TargetDraining(SERVICE, "t0", 77)
-PASSED_ON = TargetDraining(SERVICE, "t0", 77, passed_on=True)
+DRAINING_NOTE = TargetDraining(SERVICE, "t0", 77)
+FORWARDED_NOTE = TargetDraining(SERVICE, "t0", 77, passed_on=True)
 
 
 class Owners:
@@ -49,37 +49,43 @@
         )
         self.roles.activate(SERVICE, NOW_S)
 
-    def probed(self, state):
+    def handle_probe(self, state):
         outcome = ProbeResult(state, SERVICE, 77)
         return sent(self.roles.on_probed(SERVICE, "t0", outcome, NOW_S))
 
-    def hear_reports(self, *names):
+    def receive_reports(self, *names):
         for name in names:
             self.roles.on_report(name, InFlightReport(SERVICE, {}), NOW_S)
 
-    def test_owner_is_told_after_each_probe(self):
+    def test_owner_is_notified_after_each_probe(self):
         for _ in range(3):
-            self.assertEqual(self.probed(TargetHealth.DRAINING), [("b", NOTE)])
-
-    def test_second_drain_of_one_incarnation_is_told(self):
-        self.probed(TargetHealth.DRAINING)
-        self.assertEqual(self.probed(TargetHealth.READY), [])
-        self.assertEqual(self.probed(TargetHealth.DRAINING), [("b", NOTE)])
+            self.assertEqual(
+                self.handle_probe(TargetHealth.DRAINING), [("b", DRAINING_NOTE)]
+            )
+
+    def test_second_drain_of_one_incarnation_is_reported(self):
+        self.handle_probe(TargetHealth.DRAINING)
+        self.assertEqual(self.handle_probe(TargetHealth.READY), [])
+        self.assertEqual(
+            self.handle_probe(TargetHealth.DRAINING), [("b", DRAINING_NOTE)]
+        )
 
-    def test_reporter_that_comes_later_is_told(self):
+    def test_later_reporter_is_notified(self):
         self.owners.owner = "a"
-        self.assertEqual(self.probed(TargetHealth.DRAINING), [])
-        self.hear_reports("c")
-        self.assertEqual(self.probed(TargetHealth.DRAINING), [("c", NOTE)])
+        self.assertEqual(self.handle_probe(TargetHealth.DRAINING), [])
+        self.receive_reports("c")
+        self.assertEqual(
+            self.handle_probe(TargetHealth.DRAINING), [("c", DRAINING_NOTE)]
+        )
 
-    def test_owner_passes_a_word_on_once(self):
+    def test_owner_forwards_a_note_once(self):
         self.owners.owner = "a"
-        self.hear_reports("b", "c", "d")
-        actions = self.roles.on_draining_note("b", NOTE, NOW_S)
-        self.assertEqual(sent(actions), [("c", PASSED_ON), ("d", PASSED_ON)])
-        self.assertEqual(self.roles.on_draining_note("b", PASSED_ON, NOW_S), [])
+        self.receive_reports("b", "c", "d")
+        actions = self.roles.on_draining_note("b", DRAINING_NOTE, NOW_S)
+        self.assertEqual(sent(actions), [("c", FORWARDED_NOTE), ("d", FORWARDED_NOTE)])
+        self.assertEqual(self.roles.on_draining_note("b", FORWARDED_NOTE, NOW_S), [])
         self.owners.owner = "b"
-        self.assertEqual(self.roles.on_draining_note("b", NOTE, NOW_S), [])
+        self.assertEqual(self.roles.on_draining_note("b", DRAINING_NOTE, NOW_S), [])
 
 
 def sent(actions):
--- a/endivepick/core/tests/test_rendezvous.py
+++ b/endivepick/core/tests/test_rendezvous.py
@@ -11,7 +11,7 @@
 NAMES = st.lists(st.text(min_size=1, max_size=8), min_size=2, max_size=12, unique=True)
 
 
-class RendezvousTest(unittest.TestCase):
+class TestRendezvous(unittest.TestCase):
     def test_examples_run(self):
         self.assertEqual(doctest.testmod(rendezvous).failed, 0)
 
--- a/endivepick/core/token.py
+++ b/endivepick/core/token.py
@@ -1,4 +1,4 @@
-"""Flow tokens: what the caller echoes on every packet."""
+"""Flow tokens, which a caller includes in every packet of a flow."""
 
 from typing import Protocol
 
@@ -11,12 +11,12 @@
 MAC_SIZE_BYTES = 16
 KEY_ID_SIZE_BYTES = 4
 UNKNOWN_KEY = "unknown_key"
-"""Reason of a token whose key has not reached this instance."""
+"""Reason for rejecting a token whose key this instance does not have yet."""
 _encoder = msgspec.msgpack.Encoder()
 
 
 class FlowToken(msgspec.Struct, frozen=True, array_like=True):
-    """Everything that a relay needs to know about a flow.
+    """Information that a relay needs about a flow.
 
     Attributes
     ----------
@@ -25,18 +25,18 @@
     flow_id : int
         Random number of the flow, the same for all its tokens.
     binding : int
-        Random number of the replay window that requests belong to.
+        Random number of the replay window that covers the requests.
     owner : str
-        Name of the instance that holds the window.
+        Name of the instance that holds the replay window.
     owner_incarnation : int
         Incarnation of that instance.
     target : str
-        Target that the flow is pinned to; empty if it is pinned to none.
+        Target that the flow is pinned to; empty if it is not pinned.
     issued_at_s : int
         Time of issue, in seconds since the epoch.
     drawn_by_relay : bool
-        A relay drew the binding after the loss of an owner, so that the owner named
-        here may see it for the first time in this token.
+        Whether a relay generated the binding after the loss of an owner.  The owner
+        named here may then first learn of the binding from this token.
     """
 
     service: str
@@ -53,28 +53,28 @@
 
 
 class TokenKeys(Protocol):
-    """Keys that sign and verify; see `endivepick.core.keyring`."""
+    """Keys to sign and verify tokens; see `endivepick.core.keyring`."""
 
     def sign(self, data: bytes) -> tuple[int, bytes]:
-        """Return the present key's id and the code of ``data``."""
+        """Return the id of the current key and the authentication code of ``data``."""
 
     def verify(self, key_id: int, data: bytes, mac: bytes) -> bool:
-        """Tell whether the code is right."""
+        """Tell whether the authentication code matches ``data``."""
 
     def holds(self, key_id: int) -> bool:
-        """Tell whether the key is known here."""
+        """Tell whether this instance has the key."""
 
 
 class TokenCodec:
     """Signs and verifies flow tokens.
 
-    A token on the wire is the key id in four bytes, the MessagePack array and a
-    16-byte message authentication code over the array.
+    An encoded token consists of the key id in four bytes, the MessagePack array and
+    a 16-byte message authentication code over the array.
 
     Parameters
     ----------
     keys : TokenKeys
-        Present and earlier keys.
+        Current and earlier keys.
     lifetime_s : float
         Age at which a token expires, in seconds.
     """
@@ -95,16 +95,16 @@
         Raises
         ------
         TokenInvalidError
-            If it is forged, cut off, expired or of an unknown key.
+            If the token is forged, truncated, expired or signed with an unknown key.
         """
         payload = sealed[KEY_ID_SIZE_BYTES:-MAC_SIZE_BYTES]
         if not payload:
-            raise TokenInvalidError("malformed", "Echo the token unchanged.")
+            raise TokenInvalidError("malformed", "Return the token unchanged.")
         key_id = int.from_bytes(sealed[:KEY_ID_SIZE_BYTES], "big")
         if not self.keys.holds(key_id):
-            raise TokenInvalidError(UNKNOWN_KEY, "Send the packet again after a while.")
+            raise TokenInvalidError(UNKNOWN_KEY, "Retry the packet later.")
         if not self.keys.verify(key_id, payload, sealed[-MAC_SIZE_BYTES:]):
-            raise TokenInvalidError("forged", "Echo the token unchanged.")
+            raise TokenInvalidError("forged", "Return the token unchanged.")
         return self._decode(payload, now_s)
 
     def _decode(self, payload: bytes, now_s: float) -> FlowToken:
--- a/endivepick/core/transfer.py
+++ b/endivepick/core/transfer.py
@@ -1,4 +1,4 @@
-"""One hand-over message on its way."""
+"""Unanswered transfer of flows to a successor."""
 
 from collections.abc import Iterable
 from dataclasses import dataclass
@@ -8,45 +8,45 @@
 from endivepick.core.peer_messages import HandOver, HandOverMessage
 from endivepick.core.pieces import PieceSender
 
-__all__ = ["RETRY_MAX_S", "Transfer"]
+__all__ = ["RETRY_INTERVAL_MAX_S", "Transfer"]
 
-RETRY_MAX_S = 1.6
-"""Longest time between two sendings of one transfer, in seconds."""
+RETRY_INTERVAL_MAX_S = 1.6
+"""Longest retransmission interval of a transfer, in seconds."""
 
 
 @dataclass(slots=True)
 class Transfer:
-    """Flows under way to one successor.
+    """Flows sent to one successor that has not answered yet.
 
     Attributes
     ----------
     successor : Identity
-        The one incarnation that may take them.
+        The only incarnation that may accept the flows.
     message : HandOver
-        The flows.
-    due_at_s : float
-        When to send again what has no answer, in seconds.
+        Message with the flows.
+    retry_at_s : float
+        Time of the next retransmission, in seconds.
     interval_s : float
-        Time between the last two sendings, in seconds.
+        Current retransmission interval, in seconds.
     pieces : PieceSender or None
-        Pieces of the message if it is large.
+        Pieces of the message, or None if it is sent whole.
     """
 
     successor: Identity
     message: HandOver
-    due_at_s: float
+    retry_at_s: float
     interval_s: float
     pieces: PieceSender | None = None
 
-    def postpone(self, now_s: float) -> None:
-        """Set the time of the next repetition; each takes longer than the last."""
-        self.interval_s = min(2 * self.interval_s, RETRY_MAX_S)
-        self.due_at_s = now_s + self.interval_s
+    def schedule_retry(self, now_s: float) -> None:
+        """Schedule the next retransmission with exponential backoff."""
+        self.interval_s = min(2 * self.interval_s, RETRY_INTERVAL_MAX_S)
+        self.retry_at_s = now_s + self.interval_s
 
-    def unanswered(self) -> Iterable[HandOverMessage]:
-        """Return what to send again."""
-        return [self.message] if self.pieces is None else self.pieces.again()
+    def unanswered_messages(self) -> Iterable[HandOverMessage]:
+        """Return the messages to retransmit."""
+        return [self.message] if self.pieces is None else self.pieces.unacknowledged()
 
     def send(self, messages: Iterable[HandOverMessage]) -> list[Action]:
-        """Send messages to the successor."""
+        """Return the actions that send messages to the successor."""
         return [SendToPeer(self.successor.name, message) for message in messages]
--- a/endivepick/core/wire.py
+++ b/endivepick/core/wire.py
@@ -1,4 +1,4 @@
-"""Envelope of the messages between instances."""
+"""Envelopes of the messages between instances and their encoding."""
 
 from typing import get_args
 
@@ -31,11 +31,11 @@
 AnyPeerMessage = FlowMessage | MembershipMessage | RecordsMessage
 
 UNKNOWN_KIND = "unknown_kind"
-"""Reason of a message of a kind that this build does not know."""
+"""Reason for rejecting a message whose type this build does not know."""
 
 
 class Envelope(msgspec.Struct, frozen=True, array_like=True):
-    """A message and who sent it.
+    """Message with its sender.
 
     Attributes
     ----------
@@ -44,9 +44,9 @@
     incarnation : int
         Incarnation of the sender.
     clock : int
-        Stamp of the sender's hybrid logical clock.
-    message : FlowMessage or MembershipMessage
-        The message.
+        Timestamp of the sender's hybrid logical clock.
+    message : AnyPeerMessage
+        Enclosed message.
     """
 
     sender: str
@@ -61,13 +61,13 @@
 
 
 class _Tagged(msgspec.Struct, array_like=True):
-    """The first item of a message; the others are passed over."""
+    """First item of a message; the other items are ignored."""
 
     tag: int
 
 
 class _TaggedEnvelope(msgspec.Struct, array_like=True):
-    """An envelope around a message of any kind."""
+    """Envelope of a message of any type, known or not."""
 
     sender: str
     incarnation: int
@@ -89,22 +89,22 @@
     Raises
     ------
     PacketInvalidError
-        If the bytes are no envelope, or hold a message of an unknown kind, which
-        a newer build may send.
+        If the bytes are not an envelope, or if the type of the message is unknown.
+        A newer build may send such messages.
     """
     try:
         return _decoder.decode(data)
     except (msgspec.DecodeError, RecursionError) as error:
-        if _is_of_unknown_kind(data):
-            remedy = "Finish the upgrade: a newer build sends it."
+        if _has_unknown_kind(data):
+            remedy = "Finish the upgrade: a newer build sent the message."
             raise PacketInvalidError(UNKNOWN_KIND, remedy) from error
         raise PacketInvalidError(
             "malformed_peer_message",
-            f"Run builds together that the upgrade page allows: {error}.",
+            f"Run only builds that the upgrade page allows together: {error}.",
         ) from error
 
 
-def _is_of_unknown_kind(data: bytes) -> bool:
+def _has_unknown_kind(data: bytes) -> bool:
     try:
         return _tag_decoder.decode(data).message.tag not in _KNOWN_TAGS
     except (msgspec.DecodeError, RecursionError):
