--- a/endivepick/core/handover.py
+++ b/endivepick/core/handover.py
@@ -182,7 +182,8 @@
         self, flow: OwnedFlow, request: OwnedRequest, now_s: float
     ) -> list[Action]:
         if request.state == "receiving":
-            # Not accepted yet: the caller retransmits it to the successor.
+            # Not claimed in the replay window yet: the caller retransmits it to the
+            # successor.
             del flow.requests[request.seq]
             return []
         if request.state == "running":
--- a/endivepick/core/handover_exchange.py
+++ b/endivepick/core/handover_exchange.py
@@ -107,7 +107,9 @@
         self, sender: Identity, piece: HandOverPiece, now_s: float
     ) -> list[Action]:
         leaving = self._is_leaving()
-        message, actions = self._destination.take_piece(sender, piece, leaving, now_s)
+        message, actions = self._destination.receive_piece(
+            sender, piece, leaving, now_s
+        )
         if message is not None:
             actions += self._on_hand_over(sender, message, now_s)
         return actions
--- a/endivepick/core/handover_taker.py
+++ b/endivepick/core/handover_taker.py
@@ -40,7 +40,7 @@
     _accepted: set[int] = field(default_factory=set)
     _pieces: PieceAssembler = field(default_factory=PieceAssembler)
 
-    def take_piece(
+    def receive_piece(
         self, sender: Identity, piece: HandOverPiece, leaving: bool, now_s: float
     ) -> tuple[HandOver | None, list[Action]]:
         """Receive a piece of a large transfer.
@@ -59,8 +59,8 @@
         Returns
         -------
         HandOver or None, list of Action
-            The message to pass to `take` once all its pieces have arrived, and the
-            actions to carry out.
+            The message to pass to `receive_transfer` once all its pieces have
+            arrived, and the actions to carry out.
         """
         transfer_id = piece.transfer_id
         if piece.successor_incarnation != self.table.me.incarnation:
--- a/endivepick/core/lifecycle.py
+++ b/endivepick/core/lifecycle.py
@@ -124,10 +124,10 @@
         actions += self.source.tick(now_s)
         if self.state == "leaving" and self.source.open_transfers:
             actions.append(self._step("hand_over"))
-        actions += self._announce_finished_services()
+        actions += self._announce_handed_over_services()
         return actions + self._check_end(now_s)
 
-    def _announce_finished_services(self) -> list[LifecycleAction]:
+    def _announce_handed_over_services(self) -> list[LifecycleAction]:
         """Announce the successor of each service whose flows were all handed over."""
         return self._announce_successors(self.source.finished_services())
 
--- a/endivepick/core/tests/test_handover.py
+++ b/endivepick/core/tests/test_handover.py
@@ -261,7 +261,7 @@
             answers = []
             for piece in sent(outgoing, HandOverPiece):
                 if not next(losses):
-                    answers += self.receive_piece(piece, now_s)
+                    answers += self.deliver_piece(piece, now_s)
             outgoing = []
             for answer in sent(answers, HandOverPieceTaken):
                 outgoing += self.handover_source.piece_taken(
@@ -275,8 +275,8 @@
         self.assertEqual(answer.size_bytes, sum(map(len, answer.parts)))
         self.assertGreater(answer.size_bytes, 10_000_000)
 
-    def receive_piece(self, piece, now_s):
-        message, actions = self.handover_destination.take_piece(
+    def deliver_piece(self, piece, now_s):
+        message, actions = self.handover_destination.receive_piece(
             self.source.me, piece, False, now_s
         )
         if message is not None:
