--- a/endivepick/client/tests/fake_owner.py
+++ b/endivepick/client/tests/fake_owner.py
@@ -15,7 +15,7 @@
     RequestCall,
     SendDatagram,
 )
-from endivepick.core.answer import AnswerBuffer
+from endivepick.core.answer_buffer import AnswerBuffer
 from endivepick.core.codec import decode_caller_packet, decode_struct, encode_packet
 from endivepick.core.messages import (
     Accepted,
--- a/endivepick/core/handover.py
+++ b/endivepick/core/handover.py
@@ -110,11 +110,11 @@
     def tick(self, now_s: float) -> list[Action]:
         """Freeze and send idle flows, and retransmit unanswered transfers."""
         self._now_s = now_s
-        self.table.drop_closed()
+        self.table.remove_closed_flows()
         self._drop_lost_transfers()
         return self._send_again(now_s) + self._send_services(now_s)
 
-    def cut(self) -> list[Action]:
+    def abort_running(self) -> list[Action]:
         """Abort the running attempts so that their flows can be handed over."""
         actions: list[Action] = []
         for flow in self.table:
@@ -122,7 +122,7 @@
                 continue
             for request in list(flow.requests.values()):
                 if request.in_progress:
-                    actions += self.executor.cut(flow, request)
+                    actions += self.executor.abort_running(flow, request)
         return actions
 
     def _send_services(self, now_s: float) -> list[Action]:
@@ -187,9 +187,9 @@
             del flow.requests[request.seq]
             return []
         if request.state == "running":
-            return self.executor.suspend(flow, request)
+            return self.executor.suspend_stream(flow, request)
         if request.state == "waiting":
-            return self.executor.withdraw(flow, request, now_s)
+            return self.executor.withdraw_request(flow, request, now_s)
         return []
 
     def _send(
@@ -261,7 +261,7 @@
         for snapshot in transfer.message.flows:
             flow = self.table.get(snapshot.binding)
             if flow is not None:
-                self.executor.flow_removed(flow, self._now_s)
+                self.executor.unregister_flow(flow, self._now_s)
             self.table.release(snapshot.binding, transfer.successor)
 
     def accepted(self, sender: Identity, transfer_id: int) -> list[Action]:
--- a/endivepick/core/handover_exchange.py
+++ b/endivepick/core/handover_exchange.py
@@ -3,10 +3,10 @@
 from collections.abc import Callable
 
 from endivepick.core.actions import Action, SendToPeer
+from endivepick.core.flow_owner import FlowOwner
 from endivepick.core.flow_table import Identity
 from endivepick.core.handover import HandOverGiver
 from endivepick.core.handover_taker import HandOverTaker
-from endivepick.core.owner import FlowOwner
 from endivepick.core.peer_messages import (
     Forwarded,
     HandOver,
@@ -94,7 +94,7 @@
     ) -> list[Action]:
         probes: list[Action] = []
         for service in sorted({flow.service for flow in message.flows}):
-            probes += self._roles.take_up(service, now_s)
+            probes += self._roles.activate_for_takeover(service, now_s)
         flows, actions = self._destination.take(
             sender, message, self._is_leaving(), now_s
         )
--- a/endivepick/core/handover_taker.py
+++ b/endivepick/core/handover_taker.py
@@ -145,7 +145,7 @@
                 continue
             flow = restore_flow(snapshot, self.settings.window_size, now_s)
             if self.table.restore(flow):
-                self.executor.flow_added(flow, now_s)
+                self.executor.register_flow(flow, now_s)
                 flows.append(flow)
         return flows
 
@@ -155,5 +155,5 @@
             if request.state == "waiting":
                 actions += self.executor.submit(flow, request, now_s)
             elif request.state == "suspended":
-                actions += self.executor.resume(flow, request, now_s)
+                actions += self.executor.resume_stream(flow, request, now_s)
         return actions
--- a/endivepick/core/instance.py
+++ b/endivepick/core/instance.py
@@ -27,13 +27,12 @@
     Tick,
 )
 from endivepick.core.executor import RequestExecutor
+from endivepick.core.flow_owner import FlowOwner
 from endivepick.core.flow_table import FlowTable, Identity
 from endivepick.core.handover import HandOverGiver, HandOverTaker
 from endivepick.core.handover_exchange import HandOverExchange
 from endivepick.core.lifecycle import Lifecycle, LifecycleAction
 from endivepick.core.member_actions import MemberActions
-from endivepick.core.open_pings import OpenPings
-from endivepick.core.owner import FlowOwner
 from endivepick.core.peer_messages import (
     Forwarded,
     HandOverMessage,
@@ -42,6 +41,7 @@
     TargetDraining,
 )
 from endivepick.core.peers import MembershipPeers
+from endivepick.core.pending_pings import OpenPings
 from endivepick.core.platform_writers import PlatformWriters
 from endivepick.core.relay import Relay
 from endivepick.core.roles import ServiceRoles
@@ -137,7 +137,7 @@
             new_id,
             self._choose_successor,
             self.relay.is_lost,
-            self.relay.takes_flows,
+            self.relay.is_valid_successor,
             self._somebody_joins,
             self._peers.ready_names,
         )
@@ -324,7 +324,7 @@
         if now_s >= self._next_expiry_s:
             self._next_expiry_s = now_s + EXPIRY_EVERY_S
             for flow in self.table.expire(now_s):
-                self.executor.flow_removed(flow, now_s)
+                self.executor.unregister_flow(flow, now_s)
         return actions
 
     def _missing(self) -> str:
--- a/endivepick/core/intake.py
+++ b/endivepick/core/intake.py
@@ -11,6 +11,7 @@
     RequestHead,
     RequestPart,
 )
+from endivepick.core.replay_window import SeqState
 from endivepick.core.replies import (
     accepted,
     come_back,
@@ -19,7 +20,6 @@
     repeat_state,
 )
 from endivepick.core.settings import FlowSettings
-from endivepick.core.window import SeqState
 from endivepick.errors import PacketInvalidError
 
 __all__ = ["RequestIntake"]
--- a/endivepick/core/lifecycle.py
+++ b/endivepick/core/lifecycle.py
@@ -4,9 +4,9 @@
 
 from endivepick.core.actions import Action, Log, ReadinessChange, StopFinished
 from endivepick.core.chart import load_chart
+from endivepick.core.flow_owner import FlowOwner
 from endivepick.core.flow_table import Identity
 from endivepick.core.handover import HandOverGiver
-from endivepick.core.owner import FlowOwner
 from endivepick.core.settings import FlowSettings
 from endivepick.membership import Action as MembershipAction
 from endivepick.membership import Membership
@@ -120,7 +120,7 @@
             return []
         actions: list[LifecycleAction] = []
         if now_s >= self._abort_at_s:
-            actions += self.source.cut()
+            actions += self.source.abort_running()
         actions += self.source.tick(now_s)
         if self.state == "leaving" and self.source.open_transfers:
             actions.append(self._step("hand_over"))
--- a/endivepick/core/tests/test_closed_flows.py
+++ b/endivepick/core/tests/test_closed_flows.py
@@ -6,7 +6,7 @@
 from endivepick.core.actions import Count, SendToPeer
 from endivepick.core.flow_table import (
     CLOCK_SKEW_MARGIN_S,
-    LOOK_EVERY_S,
+    EXPIRY_SCAN_PERIOD_S,
     FlowTable,
     Identity,
 )
@@ -93,7 +93,7 @@
 
     def expire(self, now_s):
         for flow in self.table.expire(now_s):
-            self.executor.flow_removed(flow, now_s)
+            self.executor.unregister_flow(flow, now_s)
 
     def flows_at_targets(self):
         snapshot = self.executor.dispatchers[SERVICE].snapshot()
@@ -305,7 +305,7 @@
         kept_s = self.node.settings.token_lifetime_s + CLOCK_SKEW_MARGIN_S
         self.node.expire(NOW_S + kept_s)
         self.assertEqual(len(self.node.table), 1)
-        self.node.expire(NOW_S + kept_s + LOOK_EVERY_S)
+        self.node.expire(NOW_S + kept_s + EXPIRY_SCAN_PERIOD_S)
         self.assertEqual(len(self.node.table), 0)
 
     def test_each_flow_is_looked_at_once_an_hour(self):
--- a/endivepick/core/tests/test_handover.py
+++ b/endivepick/core/tests/test_handover.py
@@ -143,7 +143,7 @@
         executor = self.source.executor
         executor.stream_opened(StreamOpened(start.request_id, 1, 200, []))
         executor.stream_data(StreamData(start.request_id, 1, b"id: 9\n\n", "9"), NOW_S)
-        self.destination.forget_probes()
+        self.destination.reset_dispatcher()
         _, actions = self.hand_over()
         self.assertEqual(starts(actions) + packets(actions, Refused), [])
         [resumed] = starts(self.destination.probe_targets())
@@ -299,7 +299,7 @@
         self.source.request(self.token, 1)
         part = request_part(1)
         self.source.send(other, type(part)(b"", 1, 0, 1, True, 10_000, part.data))
-        outcomes = packets(self.handover_source.cut(), Outcome)
+        outcomes = packets(self.handover_source.abort_running(), Outcome)
         self.assertEqual(
             [outcome.binding for outcome in outcomes], [self.token.binding]
         )
@@ -313,7 +313,7 @@
     def test_no_request_is_aborted_without_a_successor(self):
         self.source.request(self.token, 1)
         self.successor = None
-        self.assertEqual(self.handover_source.cut(), [])
+        self.assertEqual(self.handover_source.abort_running(), [])
 
     def test_flows_without_a_successor_wait_for_a_joining_instance(self):
         self.successor = None
--- a/endivepick/model/_flow_mutants.py
+++ b/endivepick/model/_flow_mutants.py
@@ -12,10 +12,10 @@
 from endivepick.core.handover_taker import HandOverTaker
 from endivepick.core.messages import CallerAddress, Refused
 from endivepick.core.peer_messages import HandOver
-from endivepick.core.relay import Holder, Relay, Whereabouts
+from endivepick.core.relay import FlowLocation, Holder, Relay
+from endivepick.core.replay_window import ReplayWindow, WindowSnapshot
 from endivepick.core.router import PacketRouter
 from endivepick.core.token import FlowToken
-from endivepick.core.window import ReplayWindow, WindowSnapshot
 from endivepick.model._forgetful import ForgetfulTable
 
 __all__ = [
@@ -39,7 +39,7 @@
 class RefusingRelay(Relay):
     """A relay that says "not run" when it cannot reach the owner."""
 
-    def say_unreachable(
+    def reply_unreachable(
         self, token: FlowToken, holder: Identity, seq: int, caller: CallerAddress
     ) -> list[Action]:
         """Refuse in the owner's place."""
@@ -50,7 +50,7 @@
 class NameOnlyRelay(Relay):
     """A relay that knows owners by name and not by incarnation."""
 
-    def locate(self, token: FlowToken) -> Whereabouts:
+    def locate(self, token: FlowToken) -> FlowLocation:
         """Take every token with this instance's name for its own."""
         if token.owner == self._me.name:
             return Holder(self._me)
