--- a/endivepick/core/flow_table.py
+++ b/endivepick/core/flow_table.py
@@ -6,7 +6,7 @@
 from itertools import islice
 from math import ceil
 
-from endivepick.core.adopted import AdoptedBindings
+from endivepick.core.adopted_bindings import AdoptedBindings
 from endivepick.core.flow import OwnedFlow
 from endivepick.core.messages import CallerAddress
 from endivepick.core.replay_window import ReplayWindow
--- a/endivepick/core/handover_taker.py
+++ b/endivepick/core/handover_destination.py
@@ -5,7 +5,9 @@
 from endivepick.core.actions import Action, Log, SendToPeer
 from endivepick.core.executor import RequestExecutor
 from endivepick.core.flow import OwnedFlow
+from endivepick.core.flow_snapshot import restore_flow
 from endivepick.core.flow_table import FlowTable, Identity
+from endivepick.core.handover_pieces import PieceAssembler
 from endivepick.core.peer_messages import (
     HandOver,
     HandOverAccepted,
@@ -13,15 +15,13 @@
     HandOverPieceTaken,
     HandOverRefused,
 )
-from endivepick.core.pieces import PieceAssembler
 from endivepick.core.settings import FlowSettings
-from endivepick.core.snapshot import restore_flow
 
-__all__ = ["HandOverTaker"]
+__all__ = ["HandOverDestination"]
 
 
 @dataclass(slots=True)
-class HandOverTaker:
+class HandOverDestination:
     """Restores handed-over flows; a transfer that is repeated has no further effect.
 
     Attributes
@@ -75,7 +75,7 @@
         message = self._pieces.assemble(sender, transfer_id)
         return message, [SendToPeer(sender.name, taken)]
 
-    def take(
+    def receive_transfer(
         self, sender: Identity, message: HandOver, leaving: bool, now_s: float
     ) -> tuple[list[OwnedFlow], list[Action]]:
         """Restore the flows of a transfer, or refuse them permanently.
--- a/endivepick/core/handover_exchange.py
+++ b/endivepick/core/handover_exchange.py
@@ -5,8 +5,8 @@
 from endivepick.core.actions import Action, SendToPeer
 from endivepick.core.flow_owner import FlowOwner
 from endivepick.core.flow_table import Identity
-from endivepick.core.handover import HandOverGiver
-from endivepick.core.handover_taker import HandOverTaker
+from endivepick.core.handover_destination import HandOverDestination
+from endivepick.core.handover_source import HandOverSource
 from endivepick.core.peer_messages import (
     Forwarded,
     HandOver,
@@ -43,8 +43,8 @@
     def __init__(
         self,
         me: Identity,
-        source: HandOverGiver,
-        destination: HandOverTaker,
+        source: HandOverSource,
+        destination: HandOverDestination,
         owner: FlowOwner,
         roles: ServiceRoles,
         is_leaving: Callable[[], bool],
@@ -95,7 +95,7 @@
         probes: list[Action] = []
         for service in sorted({flow.service for flow in message.flows}):
             probes += self._roles.activate_for_takeover(service, now_s)
-        flows, actions = self._destination.take(
+        flows, actions = self._destination.receive_transfer(
             sender, message, self._is_leaving(), now_s
         )
         # New tokens are sent at once, so that callers learn the new owner before they
--- a/endivepick/core/handover.py
+++ b/endivepick/core/handover_source.py
@@ -10,23 +10,23 @@
 from dataclasses import dataclass, field
 
 from endivepick.core.actions import Action, Count, Log, SendToPeer
-from endivepick.core.codec import encode_struct
 from endivepick.core.executor import RequestExecutor
 from endivepick.core.flow import OwnedFlow, OwnedRequest
+from endivepick.core.flow_snapshot import snapshot_flow
 from endivepick.core.flow_table import FlowTable, Identity
-from endivepick.core.handover_taker import HandOverTaker
+from endivepick.core.handover_destination import HandOverDestination
+from endivepick.core.handover_pieces import PieceSender, split_into_pieces
+from endivepick.core.handover_transfer import Transfer
+from endivepick.core.packet_codec import encode_struct
 from endivepick.core.peer_messages import (
     FlowSnapshot,
     Forwarded,
     HandOver,
     HandOverMessage,
 )
-from endivepick.core.pieces import PieceSender, split_into_pieces
 from endivepick.core.settings import FlowSettings
-from endivepick.core.snapshot import snapshot_flow
-from endivepick.core.transfer import Transfer
 
-__all__ = ["HandOverGiver", "HandOverTaker"]
+__all__ = ["HandOverSource", "HandOverDestination"]
 
 FLOWS_PER_MESSAGE_MAX = 256
 INDIRECT_AFTER_S = 0.5
@@ -36,7 +36,7 @@
 
 
 @dataclass(slots=True)
-class HandOverGiver:
+class HandOverSource:
     """Freezes flows, sends them to a successor and retransmits until answered.
 
     Attributes
@@ -98,7 +98,7 @@
         """Number of unanswered transfers."""
         return len(self._transfers)
 
-    def finished_services(self) -> dict[str, Identity]:
+    def handed_over_services(self) -> dict[str, Identity]:
         """Return the successor of each service whose flows were all handed over."""
         remaining = self.table.services
         return {
@@ -112,7 +112,7 @@
         self._now_s = now_s
         self.table.remove_closed_flows()
         self._drop_lost_transfers()
-        return self._send_again(now_s) + self._send_services(now_s)
+        return self._retransmit_unanswered(now_s) + self._send_services(now_s)
 
     def abort_running(self) -> list[Action]:
         """Abort the running attempts so that their flows can be handed over."""
@@ -128,14 +128,14 @@
     def _send_services(self, now_s: float) -> list[Action]:
         actions: list[Action] = []
         for service in sorted(self.table.services):
-            actions += self._give_service(service, now_s)
+            actions += self._send_service_flows(service, now_s)
         return actions
 
     @property
     def _is_full(self) -> bool:
         return len(self._transfers) >= OPEN_TRANSFERS_MAX
 
-    def _give_service(self, service: str, now_s: float) -> list[Action]:
+    def _send_service_flows(self, service: str, now_s: float) -> list[Action]:
         """Freeze and send flows up to the transfer limit; the others keep serving."""
         successor = self._successor(service)
         if successor is None:
@@ -219,7 +219,7 @@
         transfer.pieces = PieceSender(pieces)
         return transfer.send(transfer.pieces.take_unsent())
 
-    def _send_again(self, now_s: float) -> list[Action]:
+    def _retransmit_unanswered(self, now_s: float) -> list[Action]:
         actions: list[Action] = []
         for transfer in self._transfers.values():
             if now_s >= transfer.retry_at_s:
--- a/endivepick/core/intake.py
+++ b/endivepick/core/intake.py
@@ -1,7 +1,6 @@
 """Reassembly and admission of requests."""
 
 from endivepick.core.actions import Action, Count, Log, SendToCaller
-from endivepick.core.codec import decode_struct
 from endivepick.core.executor import RequestExecutor
 from endivepick.core.flow import OwnedFlow, OwnedRequest
 from endivepick.core.flow_table import FlowTable
@@ -11,6 +10,7 @@
     RequestHead,
     RequestPart,
 )
+from endivepick.core.packet_codec import decode_struct
 from endivepick.core.replay_window import SeqState
 from endivepick.core.replies import (
     reply_accepted,
--- a/endivepick/core/lifecycle.py
+++ b/endivepick/core/lifecycle.py
@@ -6,7 +6,7 @@
 from endivepick.core.chart import load_chart
 from endivepick.core.flow_owner import FlowOwner
 from endivepick.core.flow_table import Identity
-from endivepick.core.handover import HandOverGiver
+from endivepick.core.handover_source import HandOverSource
 from endivepick.core.settings import FlowSettings
 from endivepick.membership import Action as MembershipAction
 from endivepick.membership import Membership
@@ -43,7 +43,7 @@
     settings: FlowSettings
     membership: Membership
     owner: FlowOwner
-    source: HandOverGiver
+    source: HandOverSource
     state: str = _CHART.initial
     _abort_at_s: float = 0.0
     _expires_at_s: float = 0.0
@@ -129,7 +129,7 @@
 
     def _announce_handed_over_services(self) -> list[LifecycleAction]:
         """Announce the successor of each service whose flows were all handed over."""
-        return self._announce_successors(self.source.finished_services())
+        return self._announce_successors(self.source.handed_over_services())
 
     def _announce_successors(
         self, successors: dict[str, Identity]
--- a/endivepick/core/relay.py
+++ b/endivepick/core/relay.py
@@ -5,7 +5,7 @@
 from typing import Protocol
 
 from endivepick.core.actions import Action, Count, Log, SendToCaller, SendToPeer
-from endivepick.core.distinct import DistinctCounter
+from endivepick.core.distinct_counter import DistinctCounter
 from endivepick.core.flow_table import Identity
 from endivepick.core.messages import (
     CallerAddress,
--- a/endivepick/core/rendezvous.py
+++ b/endivepick/core/rendezvous.py
@@ -21,7 +21,7 @@
 
 from xxhash import xxh3_64_intdigest
 
-__all__ = ["heavier", "owner", "rank", "top"]
+__all__ = ["find_heavier", "owner", "rank", "top"]
 
 _CACHED_SEEDS_MAX = 16_384
 
@@ -74,7 +74,7 @@
     return max(names, key=lambda name: _weight(encoded, name), default=None)
 
 
-def heavier(key: str, name: str, rivals: Iterable[str]) -> str | None:
+def find_heavier(key: str, name: str, rivals: Iterable[str]) -> str | None:
     """Return the first rival with a higher weight than a name, or None.
 
     If the order of the rivals does not depend on the key, the average number of
@@ -82,7 +82,7 @@
 
     Examples
     --------
-    >>> heavier("notes", "a", ["a"]) is None
+    >>> find_heavier("notes", "a", ["a"]) is None
     True
     """
     encoded = key.encode()
--- a/endivepick/core/service_owners.py
+++ b/endivepick/core/service_owners.py
@@ -4,7 +4,7 @@
 from dataclasses import dataclass
 from typing import Protocol
 
-from endivepick.core.rendezvous import heavier, owner, top
+from endivepick.core.rendezvous import find_heavier, owner, top
 
 __all__ = ["LiveInstances", "ServiceOwners"]
 
@@ -136,7 +136,7 @@
         candidates = self._candidates(zones)
         heavier_name: str | None = next(iter(candidates))
         if self._my_zone in zones or candidates is self._names:
-            heavier_name = heavier(service, self._me, candidates)
+            heavier_name = find_heavier(service, self._me, candidates)
         if heavier_name is None:
             self._cached_owners[service] = _CachedOwner(self._me, zones)
             return True
--- a/endivepick/core/tests/_fixture.py
+++ b/endivepick/core/tests/_fixture.py
@@ -3,7 +3,6 @@
 from itertools import count
 
 from endivepick.core.actions import Action, SendToCaller, StartAttempt
-from endivepick.core.codec import encode_struct
 from endivepick.core.dispatch import (
     DispatchSettings,
     ProbeResult,
@@ -16,6 +15,7 @@
 from endivepick.core.flow_table import FlowTable, Identity
 from endivepick.core.keyring import first_keyring
 from endivepick.core.messages import Opened, RequestHead, RequestPart
+from endivepick.core.packet_codec import encode_struct
 from endivepick.core.settings import FlowSettings
 from endivepick.core.token import FlowToken, TokenCodec
 from endivepick.records.model import Affinity, ServiceRecord, TargetRecord
--- a/endivepick/core/tests/test_handover.py
+++ b/endivepick/core/tests/test_handover.py
@@ -4,11 +4,11 @@
 from endivepick.core.dispatch import TargetHealth
 from endivepick.core.events import StreamData, StreamOpened
 from endivepick.core.flow_table import Identity
-from endivepick.core.handover import (
+from endivepick.core.handover_source import (
     FLOWS_PER_MESSAGE_MAX,
     OPEN_TRANSFERS_MAX,
-    HandOverGiver,
-    HandOverTaker,
+    HandOverDestination,
+    HandOverSource,
 )
 from endivepick.core.messages import (
     Acknowledge,
@@ -48,7 +48,7 @@
         self.destination = OwnerFixture("b", 1000)
         self.successor = self.destination.me
         self.dead = set()
-        self.handover_source = HandOverGiver(
+        self.handover_source = HandOverSource(
             self.source.settings,
             self.source.table,
             self.source.executor,
@@ -56,7 +56,7 @@
             lambda service: self.successor,
             lambda identity: identity in self.dead,
         )
-        self.handover_destination = HandOverTaker(
+        self.handover_destination = HandOverDestination(
             self.destination.settings, self.destination.table, self.destination.executor
         )
         self.token, _ = self.source.open()
@@ -66,7 +66,7 @@
 
     def hand_over(self):
         [message] = sent(self.handover_source.tick(NOW_S), HandOver)
-        _, actions = self.handover_destination.take(
+        _, actions = self.handover_destination.receive_transfer(
             self.source.me, message, False, NOW_S
         )
         [accepted] = sent(actions, HandOverAccepted)
@@ -117,7 +117,7 @@
         self.assertEqual(starts(self.source.request(waiting, 1)), [])
         self.handover_source.tick(NOW_S)
         [transfer] = self.handover_source._transfers.values()
-        _, actions = self.handover_destination.take(
+        _, actions = self.handover_destination.receive_transfer(
             self.source.me, transfer.message, False, NOW_S
         )
         self.assertEqual(len(starts(actions)), 1)
@@ -165,7 +165,7 @@
     def test_repeated_transfer_is_accepted_without_effect(self):
         message, _ = self.hand_over()
         self.destination.request(self.token, 1)
-        flows, actions = self.handover_destination.take(
+        flows, actions = self.handover_destination.receive_transfer(
             self.source.me, message, False, NOW_S
         )
         self.assertEqual(flows, [])
@@ -190,7 +190,7 @@
 
     def test_refused_transfer_is_sent_to_another_successor(self):
         [message] = sent(self.handover_source.tick(NOW_S), HandOver)
-        _, actions = self.handover_destination.take(
+        _, actions = self.handover_destination.receive_transfer(
             self.source.me, message, True, NOW_S
         )
         self.assertEqual(len(sent(actions, HandOverRefused)), 1)
@@ -203,7 +203,7 @@
 
     def test_leaving_successor_still_accepts_an_earlier_transfer(self):
         message, _ = self.hand_over()
-        _, actions = self.handover_destination.take(
+        _, actions = self.handover_destination.receive_transfer(
             self.source.me, message, True, NOW_S
         )
         self.assertEqual(len(sent(actions, HandOverAccepted)), 1)
@@ -220,7 +220,7 @@
     def test_transfer_addressed_to_an_earlier_incarnation_is_ignored(self):
         self.successor = Identity(self.destination.me.name, 4711)
         [message] = sent(self.handover_source.tick(NOW_S), HandOver)
-        flows, actions = self.handover_destination.take(
+        flows, actions = self.handover_destination.receive_transfer(
             self.source.me, message, False, NOW_S
         )
         self.assertEqual((flows, actions), ([], []))
@@ -280,7 +280,7 @@
             self.source.me, piece, False, now_s
         )
         if message is not None:
-            actions += self.handover_destination.take(
+            actions += self.handover_destination.receive_transfer(
                 self.source.me, message, False, now_s
             )[1]
         return actions
@@ -304,7 +304,7 @@
             [outcome.binding for outcome in outcomes], [self.token.binding]
         )
         [message] = sent(self.handover_source.tick(NOW_S), HandOver)
-        _, actions = self.handover_destination.take(
+        _, actions = self.handover_destination.receive_transfer(
             self.source.me, message, False, NOW_S
         )
         [start] = starts(actions)
--- a/endivepick/model/_placement_node.py
+++ b/endivepick/model/_placement_node.py
@@ -4,7 +4,6 @@
 from dataclasses import dataclass
 
 from endivepick.core.actions import Action, RequestId
-from endivepick.core.codec import encode_struct
 from endivepick.core.dispatch import (
     DispatchSettings,
     FinishKind,
@@ -17,6 +16,7 @@
 from endivepick.core.flow_owner import FlowOwner
 from endivepick.core.flow_table import FlowTable, Identity
 from endivepick.core.messages import RequestHead, RequestPart
+from endivepick.core.packet_codec import encode_struct
 from endivepick.core.settings import FlowSettings
 from endivepick.core.token import TokenCodec
 from endivepick.model._freeze import freeze
