--- a/endivepick/core/__init__.py
+++ b/endivepick/core/__init__.py
@@ -1,8 +1,9 @@
-"""Decision core: events in, actions out, without sockets, clock or randomness.
+"""Decision core: maps events to actions without sockets, clock or randomness.
 
-Parts of use by themselves are exported here.  The whole core of an instance is
-``endivepick.core.instance.InstanceCore``; it is not exported, since it imports
-the other subpackages, which use the parts below.
+This package exports the components that can be used on their own.  The complete
+core of an instance is ``endivepick.core.instance.InstanceCore``.  It is not
+exported here because it imports other subpackages that use these components,
+which would make the import circular.
 """
 
 from endivepick.core.chart import Chart, load_chart
--- a/endivepick/core/catalog.py
+++ b/endivepick/core/catalog.py
@@ -1,4 +1,4 @@
-"""Services and keys in force at this instance."""
+"""Service records and token keys in force at this instance."""
 
 from collections.abc import Iterator
 from dataclasses import dataclass
@@ -22,35 +22,38 @@
 
 @dataclass
 class HeldKeys:
-    """Keys in force; replaced whole when the keyring changes.
+    """Token keys in force, replaced as a whole when the keyring changes.
 
     Attributes
     ----------
     keyring : Keyring or None
-        None until the first keyring is here.
+        Current keyring; None until the first one has been received.
     version : int
-        Version of the stored object that it came from; 0 before the first.
+        Version of the stored object that the keyring was read from; 0 before
+        the first keyring.
     """
 
     keyring: Keyring | None = None
     version: int = 0
 
-    def hold(self, keyring: Keyring, version: int) -> None:
-        """Replace the keys."""
+    def set_keyring(self, keyring: Keyring, version: int) -> None:
+        """Replace the keyring and its version."""
         self.keyring = keyring
         self.version = version
 
     def sign(self, data: bytes) -> tuple[int, bytes]:
-        """Return the present key's id and the code of ``data``."""
-        assert self.keyring is not None, "Wait until the instance is ready."
+        """Return the id of the current key and its MAC of ``data``."""
+        assert self.keyring is not None, (
+            "Signing requires a keyring; wait until the instance is ready."
+        )
         return self.keyring.sign(data)
 
     def verify(self, key_id: int, data: bytes, mac: bytes) -> bool:
-        """Tell whether the code is right."""
+        """Return whether the MAC of ``data`` is valid; False without a keyring."""
         return self.keyring is not None and self.keyring.verify(key_id, data, mac)
 
     def holds(self, key_id: int) -> bool:
-        """Tell whether the key is known here."""
+        """Return whether this instance has the key."""
         return self.keyring is not None and self.keyring.holds(key_id)
 
 
@@ -60,9 +63,9 @@
     Attributes
     ----------
     book : ServiceBook
-        Records in force, and refused versions.
-    keys : HeldKeys
-        Keys for flow tokens.
+        Service records in force and rejected record versions.
+    keys : ActiveKeyring
+        Keys that sign and verify flow tokens.
     """
 
     def __init__(self) -> None:
@@ -70,28 +73,36 @@
         self.keys = HeldKeys()
 
     def service(self, name: str) -> ServiceRecord | None:
-        """Return the record in force of a service, or None."""
+        """Return the record in force of a service, or None if it is unknown."""
         return self.book.get(name)
 
     def zones(self, name: str) -> frozenset[str]:
-        """Return the zones of a service's targets, empty if it is unknown."""
+        """Return the zones of a service's targets; empty if it is unknown."""
         record = self.book.get(name)
         if record is None:
             return frozenset()
         return frozenset(target.zone for target in record.targets)
 
     def versions(self) -> Iterator[tuple[str, int]]:
-        """Yield name and version in force of each service."""
+        """Yield the name and the version in force of each service."""
         for record in self.book.records():
             yield record.name, record.version
 
     def apply(self, changes: tuple[Change, ...]) -> tuple[list[str], list[Action]]:
-        """Bring accepted changes into force.
+        """Apply changes of stored objects.
+
+        Valid records and keyrings replace the ones in force; invalid ones are
+        rejected and leave the earlier ones in place.
+
+        Parameters
+        ----------
+        changes : tuple of Change
+            Changes accepted by the record cache.
 
         Returns
         -------
         list of str, list of Action
-            Names of the services whose record in force changed, and log entries.
+            Names of the services whose record in force changed, and log actions.
         """
         actions: list[Action] = []
         for change in changes:
@@ -99,7 +110,7 @@
                 actions += self._apply_keyring(change.after)
         changed: list[str] = []
         for applied in self.book.apply(changes):
-            name, log = _describe(applied)
+            name, log = _describe_change(applied)
             if not isinstance(applied, ServiceRefused):
                 changed.append(name)
             actions.append(log)
@@ -111,17 +122,25 @@
             reason = {**ids, "reason": f"Name the keyring {KEYRING_NAME}."}
             return [Log("keys", "keyring_refused", "keyring refused", reason)]
         if stored.body is None:
-            # Flows live on: the keys held stay valid until a new keyring comes.
-            return [Log("keys", "keyring_deleted", "keyring deleted, kept here", ids)]
+            # Keep the last keyring, so that tokens of existing flows stay valid until
+            # a new keyring arrives.
+            return [
+                Log(
+                    "keys",
+                    "keyring_deleted",
+                    "keyring deleted; keeping the last one",
+                    ids,
+                )
+            ]
         try:
-            self.keys.hold(keyring_from_body(stored.body), stored.version)
+            self.keys.set_keyring(keyring_from_body(stored.body), stored.version)
         except RecordInvalidError as error:
             reason = {**ids, "reason": str(error)}
             return [Log("keys", "keyring_refused", "keyring refused", reason)]
         return [Log("keys", "keyring_in_force", "keyring in force", ids)]
 
 
-def _describe(change: ServiceChange) -> tuple[str, Action]:
+def _describe_change(change: ServiceChange) -> tuple[str, Action]:
     match change:
         case ServiceChanged(record=record):
             ids = {"record": record.name, "version": record.version}
@@ -138,5 +157,5 @@
                 "in_force": refused.in_force,
                 "reason": refused.reason,
             }
-            text = "record refused, earlier version stays"
+            text = "record refused; keeping the earlier version"
             return refused.name, Log("records", "record_refused", text, ids)
--- a/endivepick/core/configuration.py
+++ b/endivepick/core/configuration.py
@@ -1,4 +1,4 @@
-"""Configuration at one instance: how it arrives and what it changes here."""
+"""Receipt of configuration at one instance, and how changes are applied."""
 
 from collections.abc import Callable
 
@@ -12,7 +12,7 @@
 from endivepick.core.catalog import Catalog
 from endivepick.core.relay import Relay
 from endivepick.core.roles import ServiceRoles
-from endivepick.core.stop_wish import StopWish
+from endivepick.core.stop_wish import StopRequestFilter
 from endivepick.membership import Membership
 from endivepick.records.cache import Change, RecordCache
 from endivepick.records.dissemination import Dissemination
@@ -32,41 +32,45 @@
 
 __all__ = ["Configuration"]
 
-MEMBERS_WAIT_S = 250e-6
-"""Least time between two looks at all members, for each of them: at 8,000 two
-seconds, for what takes some 15 ms."""
+UPDATE_INTERVAL_PER_MEMBER_S = 250e-6
+"""Minimum time between two updates of the member list, in seconds per member.
+
+With 8,000 members an update takes about 15 ms and runs at most every 2 s.
+"""
 
 
 class Configuration:
-    """Lets the spreading of records decide, and brings changes into force.
+    """Drives record dissemination and applies the changes that it delivers.
 
     Parameters
     ----------
     settings : DisseminationSettings
-        How records spread.
+        Settings of record dissemination.
     name, zone : str
         Name and availability zone of this instance.
     incarnation : int
-        Random number of this process.
+        Random number that identifies this process.
     membership : Membership
-        Whom records can spread to.
+        Members that records are exchanged with.
     catalog : Catalog
         Records and keys in force.
     relay : Relay
-        Chooses owners by the zones of a record's targets.
+        Selects owners by the zones of a record's targets.
     roles : ServiceRoles
-        Services that a change may concern.
+        Services whose records may change.
     stop : callable
-        Called with the time to begin the planned stop; returns actions.
+        Called with the current time to begin a planned stop; returns actions.
 
     Attributes
     ----------
     cache : RecordCache
-        Newest version seen of each object.
+        Newest known version of each object.
     dissemination : Dissemination
-        Decides who watches the platform and who tells whom.
+        Decides which instances watch the platform and which peers exchange
+        records.
     members_dirty : bool
-        The view of the instances changed since the last tick.
+        Whether the membership view has changed since dissemination last
+        received it.
     """
 
     def __init__(
@@ -87,18 +91,18 @@
         self._relay = relay
         self._roles = roles
         self._stop = stop
-        self._wish = StopWish(name)
+        self._stop_requests = StopRequestFilter(name)
         self.cache = RecordCache()
         self.dissemination = Dissemination(
             settings, name, zone, self.cache, incarnation
         )
         self.members_dirty = True
-        self._next_members_s = float("-inf")
+        self._next_member_update_s = float("-inf")
         self._refused: tuple[RefusedRecord, ...] = ()
 
     @property
     def missing(self) -> str:
-        """What keeps this instance from serving, empty if nothing does."""
+        """Reason why this instance cannot serve yet; empty if it can."""
         if not self.dissemination.ready:
             return "no configuration as new as the peers' yet"
         if self._catalog.keys.keyring is None:
@@ -106,7 +110,7 @@
         return ""
 
     def handle(self, event: DisseminationEvent, now_s: float) -> list[Action]:
-        """Take an event and act on what the spreading of records decides."""
+        """Process an event and carry out the decisions of record dissemination."""
         actions: list[Action] = []
         for decision in self.dissemination.handle(event, now_s):
             match decision:
@@ -117,17 +121,17 @@
                 case StopWatch():
                     actions.append(StopPlatformWatch())
                 case RecordsChanged(changes=changes):
-                    actions += self._bring_into_force(changes, now_s)
+                    actions += self._apply_changes(changes, now_s)
                 case ConfigurationReady(revision=revision):
-                    self._wish.set_known(self.cache.get(INSTANCE_KIND, self._name))
+                    self._stop_requests.set_baseline(
+                        self.cache.get(INSTANCE_KIND, self._name)
+                    )
                     text = "configuration is as new as any reachable source's"
                     ids = {"revision": revision}
                     actions.append(Log("records", "configuration_ready", text, ids))
         return actions
 
-    def _bring_into_force(
-        self, changes: tuple[Change, ...], now_s: float
-    ) -> list[Action]:
+    def _apply_changes(self, changes: tuple[Change, ...], now_s: float) -> list[Action]:
         changed, actions = self._catalog.apply(changes)
         for service in changed:
             self._relay.record_changed(service)
@@ -137,31 +141,31 @@
         if refused != self._refused:
             self._refused = refused
             actions += self.handle(RefusedChanged(refused), now_s)
-        if any(self._wish.is_new(change) for change in changes):
-            text = "an operator asks for the planned stop"
+        if any(self._stop_requests.is_stop_request(change) for change in changes):
+            text = "operator requested a planned stop"
             actions.append(Log("instance", "stop_asked", text))
             actions += self._stop(now_s)
         return actions
 
     def tick(self, random_share: float, now_s: float) -> list[Action]:
-        """Tell the spreading of records about members and time.
+        """Pass membership changes and the time to record dissemination.
 
         Parameters
         ----------
         random_share : float
             Random number from 0 to 1.
         now_s : float
-            Present time, in seconds.
+            Current time, in seconds.
         """
         actions: list[Action] = []
-        if self.members_dirty and now_s >= self._next_members_s:
+        if self.members_dirty and now_s >= self._next_member_update_s:
             self.members_dirty = False
             count = len(self._membership.view())
-            self._next_members_s = now_s + MEMBERS_WAIT_S * count
-            actions += self._members_changed(now_s)
+            self._next_member_update_s = now_s + UPDATE_INTERVAL_PER_MEMBER_S * count
+            actions += self._update_members(now_s)
         return actions + self.handle(Tick(random_share), now_s)
 
-    def _members_changed(self, now_s: float) -> list[Action]:
+    def _update_members(self, now_s: float) -> list[Action]:
         view = self._membership.view()
         peers = tuple(view[name] for name in sorted(view) if name != self._name)
         own_state = view[self._name].state
--- a/endivepick/core/core_settings.py
+++ b/endivepick/core/core_settings.py
@@ -1,4 +1,4 @@
-"""Settings of the whole decision core."""
+"""Settings of the complete decision core."""
 
 from dataclasses import dataclass, field
 
@@ -14,26 +14,26 @@
 
 @dataclass(frozen=True)
 class CoreSettings:
-    """Settings of the decision core.
+    """Settings of the decision core, one group for each component.
 
     Attributes
     ----------
     name, zone : str
         Name and availability zone of this instance.
     flow : FlowSettings
-        How flows are kept.
+        Lifetime, limits and timeouts of flows and requests.
     roles : RoleSettings
-        How services are looked after.
+        Ownership of services and health checks of their targets.
     dispatch : DispatchSettings
-        How requests are placed.
+        Selection of targets and admission of requests.
     membership : MembershipSettings
-        How peers are watched.
+        Failure detection of peers.
     records : DisseminationSettings
-        How records spread.
+        Dissemination of records.
     status : StatusSettings
-        How often the status of the zone is told and written.
+        Reporting and writing of the zone status.
     keys : KeySettings
-        How keys for flow tokens rotate.
+        Rotation of the keys for flow tokens.
     """
 
     name: str
--- a/endivepick/core/key_rotation.py
+++ b/endivepick/core/key_rotation.py
@@ -1,4 +1,4 @@
-"""Rules by which keys of flow tokens come into use and go.
+"""Rules for activating and removing the keys of flow tokens.
 
 Examples
 --------
@@ -35,20 +35,20 @@
 
 
 class KeyActivationRefusedError(EndivepickError):
-    """The pending key can't become the current one yet; names who lacks it."""
+    """The pending key cannot be activated yet; the message gives the reason."""
 
 
 @dataclass(frozen=True)
 class RotationSettings:
-    """How long keys are of use.
+    """Times that determine when a replaced key can be removed.
 
     Attributes
     ----------
     token_lifetime_s : float
-        Longest validity of a token, clock error included, in seconds.
+        Maximum validity of a token including clock error, in seconds.
     cut_off_allowance_s : float
-        How long an instance that missed a rotation may go on signing with the
-        earlier key, in seconds.
+        How long a partitioned instance that missed a rotation may continue to
+        sign with the replaced key, in seconds.
     """
 
     token_lifetime_s: float
@@ -63,51 +63,56 @@
 ) -> Result[TokenKey, KeyActivationRefusedError]:
     """Decide whether the pending key may become the current one.
 
+    The key is activated only when every instance that is not dead has reported
+    it.  Otherwise an instance could receive tokens that it cannot verify.
+
     Parameters
     ----------
     keyring : Keyring
         Keyring with a pending key.
     version : int
-        Version of the platform's object that holds this keyring.
+        Version of the platform object that contains this keyring.
     versions_in_force : mapping of (str, int) to int
-        By instance name and incarnation, the version of the keyring object that
-        the instance reported to hold.
+        Version of the keyring object that each instance reported, by instance
+        name and incarnation.
     view : mapping of str to InstanceView
         All known instances.
 
     Returns
     -------
     Result
-        The pending key, or the error that names the instances without it.
+        The pending key, or an error that names the instances that lack it.
     """
     pending = keyring.pending
     if pending is None:
         return Failure(KeyActivationRefusedError("Add a pending key first."))
-    reachable = [one for one in view.values() if one.state is not PeerState.DEAD]
+    reachable = [
+        instance for instance in view.values() if instance.state is not PeerState.DEAD
+    ]
     if not reachable:
         return Failure(
             KeyActivationRefusedError("Wait until an instance is seen, then retry.")
         )
-    lacking = [
-        one.name
-        for one in reachable
-        if versions_in_force.get((one.name, one.incarnation), 0) < version
+    without_key = [
+        instance.name
+        for instance in reachable
+        if versions_in_force.get((instance.name, instance.incarnation), 0) < version
     ]
-    if lacking:
+    if without_key:
         return Failure(
             KeyActivationRefusedError(
-                f"Wait until key {pending.key_id} reached {', '.join(sorted(lacking))}"
-                " or stop these instances."
+                f"Wait until key {pending.key_id} reached"
+                f" {', '.join(sorted(without_key))} or stop these instances."
             )
         )
     return Success(pending)
 
 
 def activate_pending(keyring: Keyring, now_s: float) -> Keyring:
-    """Return the keyring in which the pending key signs.
+    """Return the keyring with the pending key as the current one.
 
-    Call it only after ``may_activate`` succeeded, and write the result with a
-    conditional update on the version that was decided on.
+    Call this only after ``may_activate`` succeeded.  Write the result with a
+    conditional update on the version that was passed to ``may_activate``.
     """
     pending = keyring.pending
     if pending is None:
@@ -118,16 +123,16 @@
 
 
 def retire_old(keyring: Keyring, settings: RotationSettings, now_s: float) -> Keyring:
-    """Return the keyring without keys of which no token can be valid.
+    """Return the keyring without keys for which no token can still be valid.
 
     Parameters
     ----------
     keyring : Keyring
-        Present keyring.
+        Keyring in force.
     settings : RotationSettings
-        How long keys are of use.
+        Times that determine when a replaced key can be removed.
     now_s : float
-        Present time, in seconds since the epoch.
+        Current time, in seconds since the epoch.
     """
     oldest_s = now_s - settings.token_lifetime_s - settings.cut_off_allowance_s
     keys = {
@@ -146,25 +151,26 @@
     settings: RotationSettings,
     now_s: float,
 ) -> Keyring:
-    """Take the rotation's next step, if one is due.
+    """Return the keyring after the next rotation step, if one is due.
 
-    Call it now and then on one instance that has joined and is ready.  If the
-    result differs, write it on condition that the object still has ``version``;
-    the loser of a race decides anew.
+    Call this periodically on one instance that has joined and is ready.  If the
+    result differs from ``keyring``, write it on condition that the object still
+    has ``version``.  An instance whose conditional write fails starts over with
+    the new version.
 
     Parameters
     ----------
     keyring, version, versions_in_force, view
         As for ``may_activate``.
     settings : RotationSettings
-        How long keys are of use.
+        Times that determine when a replaced key can be removed.
     now_s : float
-        Present time, in seconds since the epoch.
+        Current time, in seconds since the epoch.
 
     Returns
     -------
     Keyring
-        The keyring to write, or an equal one if nothing is due.
+        The keyring to write; equal to ``keyring`` if nothing is due.
     """
     if is_successful(may_activate(keyring, version, versions_in_force, view)):
         keyring = activate_pending(keyring, now_s)
--- a/endivepick/core/key_rotator.py
+++ b/endivepick/core/key_rotator.py
@@ -1,8 +1,9 @@
-"""Carries the rotation of keys out, one instance for all.
+"""Execution of key rotation by one instance on behalf of all.
 
 An operator adds a pending key.  It becomes the current one when every instance
-that may be alive reported to hold it: no instance then gets a token that it cannot
-verify.  Keys of which no token can be valid any more are dropped.
+that may be alive has reported that it has the key, so that no instance receives
+a token that it cannot verify.  Keys for which no token can still be valid are
+removed.
 """
 
 from collections.abc import Iterable, Mapping, Set
@@ -42,24 +43,25 @@
 
 __all__ = ["KeyRotator", "KeySettings", "RotationSources"]
 
-TURN_S = 10.0
-"""How much later each further zone may act than the one before, in seconds."""
+ZONE_DELAY_S = 10.0
+"""Additional delay of each zone after the preceding one, in seconds."""
 
 
 @dataclass(frozen=True)
 class KeySettings:
-    """How keys for flow tokens rotate.
+    """Settings for the rotation of keys for flow tokens.
 
     Attributes
     ----------
     check_every_s : float
-        Time between two looks at what instances hold, in seconds.
+        Interval between checks of the keyring versions that instances report,
+        in seconds.
     pending_min_s : float
-        Shortest age of a pending key that becomes the current one, in seconds; as
-        long as the platform's list of instances may lag.
+        Minimum age of a pending key before it is activated, in seconds.  It must
+        cover the maximum lag of the platform's list of instances.
     cut_off_allowance_s : float
-        How long an instance that missed a rotation may go on signing with the
-        earlier key, in seconds.
+        How long a partitioned instance that missed a rotation may continue to
+        sign with the replaced key, in seconds.
     """
 
     check_every_s: float = 2.0
@@ -68,11 +70,11 @@
 
 
 class RotationSources(Protocol):
-    """What a rotation is decided on."""
+    """Inputs for the decisions of key rotation."""
 
     @property
     def is_status_writer(self) -> bool:
-        """Whether this instance writes the status of its zone."""
+        """Whether this instance is the status writer of its zone."""
 
     @property
     def view(self) -> Mapping[str, InstanceView]:
@@ -80,34 +82,35 @@
 
     @property
     def listed(self) -> Set[str] | None:
-        """Names on the platform's list; None if it was not read yet."""
+        """Names on the platform's list of instances; None until it has been read."""
 
 
 class _InstancePart(msgspec.Struct, frozen=True):
-    """Part of a status that says which keyring an instance holds."""
+    """Fields of an instance's status entry that identify its keyring."""
 
     incarnation: str = ""
     keyring_version: int = 0
 
 
 class KeyRotator:
-    """Activates pending keys and drops old ones.
+    """Activates pending keys and removes expired ones.
 
-    The writers of the zones' statuses take turns, so that a zone that cannot reach
-    the platform holds nothing up; a condition on the version settles races.
+    The status writer of each zone attempts the rotation, each with a longer delay
+    than that of the preceding zone.  A zone that cannot reach the platform thus
+    does not block the rotation.  Conditional writes resolve races.
 
     Parameters
     ----------
     settings : KeySettings
-        Times.
+        Intervals and delays.
     token_lifetime_s : float
         Age at which a flow token expires, in seconds.
     zone : str
         Availability zone of this instance.
-    keys : HeldKeys
-        Keys in force here.
+    keys : ActiveKeyring
+        Keyring in force at this instance.
     sources : RotationSources
-        What a rotation is decided on.
+        Inputs for the decisions.
     """
 
     def __init__(
@@ -119,50 +122,56 @@
         sources: RotationSources,
     ) -> None:
         self._settings = settings
-        self._rules = RotationSettings(
+        self._rotation = RotationSettings(
             token_lifetime_s + CLOCK_SKEW_MARGIN_S, settings.cut_off_allowance_s
         )
         self._zone = zone
         self._keys = keys
         self._sources = sources
         self._backoff = Backoff(BackoffSettings())
-        self._busy = False
-        self._seen_version = 0
-        self._due_since_s = 0.0
+        self._call_pending = False
+        self._observed_version = 0
+        self._observed_at_s = 0.0
         self._next_check_s = float("-inf")
-        self._lacking = ""
+        self._wait_reason = ""
 
     def tick(self, now_s: float) -> list[Action]:
-        """Do what is due at this time, in seconds since the epoch."""
-        if self._busy or now_s < self._next_check_s:
+        """Return the platform calls that are due.
+
+        Parameters
+        ----------
+        now_s : float
+            Current time, in seconds since the epoch.
+        """
+        if self._call_pending or now_s < self._next_check_s:
             return []
         self._next_check_s = now_s + self._settings.check_every_s
         keyring = self._keys.keyring
         if keyring is None or not self._sources.is_status_writer:
-            self._seen_version = 0
+            self._observed_version = 0
             return []
-        retired = retire_old(keyring, self._rules, now_s)
+        retired = retire_old(keyring, self._rotation, now_s)
         if keyring.pending is None and retired == keyring:
-            self._seen_version = 0
+            self._observed_version = 0
             return []
-        if not self._is_my_turn(now_s):
+        if not self._has_zone_delay_passed(now_s):
             return []
-        self._busy = True
+        self._call_pending = True
         if keyring.pending is None:
-            return [self._write(retired)]
+            return [self._write_keyring(retired)]
         return [CallPlatform(CallPurpose.KEYS, ListObjects(STATUS_KIND))]
 
-    def _is_my_turn(self, now_s: float) -> bool:
-        """Tell whether this version has waited long enough for this zone's turn."""
-        if self._seen_version != self._keys.version:
-            self._seen_version = self._keys.version
-            self._due_since_s = now_s
+    def _has_zone_delay_passed(self, now_s: float) -> bool:
+        """Return whether this keyring version is older than this zone's delay."""
+        if self._observed_version != self._keys.version:
+            self._observed_version = self._keys.version
+            self._observed_at_s = now_s
         alive = (v for v in self._sources.view.values() if v.state != PeerState.DEAD)
-        before_mine = {view.zone for view in alive if view.zone < self._zone}
-        wait_s = self._settings.pending_min_s + TURN_S * len(before_mine)
-        return now_s - self._due_since_s >= wait_s
+        preceding_zones = {view.zone for view in alive if view.zone < self._zone}
+        wait_s = self._settings.pending_min_s + ZONE_DELAY_S * len(preceding_zones)
+        return now_s - self._observed_at_s >= wait_s
 
-    def _write(self, keyring: Keyring) -> Action:
+    def _write_keyring(self, keyring: Keyring) -> Action:
         body = keyring_to_body(keyring)
         call = WriteObject(KEYRING_KIND, KEYRING_NAME, body, self._keys.version)
         return CallPlatform(CallPurpose.KEYS, call)
@@ -170,18 +179,18 @@
     def answered(
         self, answer: PlatformAnswer, random_share: float, now_s: float
     ) -> list[Action]:
-        """Take what came of a call.
+        """Process the result of a platform call.
 
         Parameters
         ----------
         answer : PlatformAnswer
-            What came of it.
+            Result of the call.
         random_share : float
-            Random number from 0 to 1 that spreads the wait after a failure.
+            Random number from 0 to 1 that jitters the backoff after a failure.
         now_s : float
-            Present time, in seconds since the epoch.
+            Current time, in seconds since the epoch.
         """
-        self._busy = False
+        self._call_pending = False
         match answer:
             case ObjectsRead(objects=statuses):
                 self._backoff = self._backoff.succeeded()
@@ -193,7 +202,7 @@
                 self._backoff = self._backoff.failed(random_share)
                 wait_s = max(self._settings.check_every_s, self._backoff.wait_s)
                 self._next_check_s = now_s + wait_s
-                text = "keys not rotated"
+                text = "key rotation failed"
                 return [Log("keys", "rotation_failed", text, {"reason": reason})]
         return []
 
@@ -202,52 +211,59 @@
         if keyring is None or keyring.pending is None:
             return []
         if listed is None:
-            return self._wait("Wait until the platform's list was read.")
-        held = _versions_held(statuses)
-        view = _possibly_alive(self._sources.view, listed)
+            return self._report_wait(
+                "Wait until the platform's list of instances has been read."
+            )
+        held = _reported_versions(statuses)
+        view = _include_listed(self._sources.view, listed)
         allowed = may_activate(keyring, self._keys.version, held, view)
         match allowed:
             case Failure(error):
-                return self._wait(str(error))
-        self._busy = True
+                return self._report_wait(str(error))
+        self._call_pending = True
         ids = {"key": keyring.pending.key_id, "version": self._keys.version}
-        text = "all instances hold the pending key, it becomes the current one"
+        text = "all instances have the pending key; activating it"
         log = Log("keys", "key_activated", text, ids)
         counted = Count("key_checks", "activates")
-        return [counted, log, self._write(activate_pending(keyring, now_s))]
+        return [counted, log, self._write_keyring(activate_pending(keyring, now_s))]
 
-    def _wait(self, reason: str) -> list[Action]:
-        """Count the look, and log what the key waits for, once for each reason."""
+    def _report_wait(self, reason: str) -> list[Action]:
+        """Count the check and log why the key waits, once for each reason."""
         counted = Count("key_checks", "waits")
-        if reason == self._lacking:
+        if reason == self._wait_reason:
             return [counted]
-        self._lacking = reason
-        log = Log("keys", "key_waits", "pending key waits", {"reason": reason})
+        self._wait_reason = reason
+        log = Log(
+            "keys", "key_waits", "pending key not activated yet", {"reason": reason}
+        )
         return [counted, log]
 
 
-def _possibly_alive(
+def _include_listed(
     view: Mapping[str, InstanceView], listed: Set[str]
 ) -> dict[str, InstanceView]:
-    """Return the view in which whoever is on the platform's list counts as alive.
+    """Return the view with every listed instance included and none of them dead.
 
-    An instance that is cut off from all others is dead to them, and may still serve
-    callers.
+    An instance that is partitioned from all others is declared dead by them but may
+    still serve callers.
     """
-    unheard = InstanceView("", "", 0, "", PeerState.SUSPECT, ready=False)
-    possible = {name: replace(unheard, name=name) for name in listed}
+    unknown = InstanceView("", "", 0, "", PeerState.SUSPECT, ready=False)
+    possible = {name: replace(unknown, name=name) for name in listed}
     for name, known in view.items():
         is_dead = known.state is PeerState.DEAD
-        revived = is_dead and name in listed
-        possible[name] = replace(known, state=PeerState.SUSPECT) if revived else known
+        possibly_alive = is_dead and name in listed
+        possible[name] = (
+            replace(known, state=PeerState.SUSPECT) if possibly_alive else known
+        )
     return possible
 
 
-def _versions_held(statuses: Iterable[StoredObject]) -> dict[tuple[str, int], int]:
-    """Return the keyring version that each instance holds, by name and incarnation.
+def _reported_versions(statuses: Iterable[StoredObject]) -> dict[tuple[str, int], int]:
+    """Return the keyring version reported by each instance, by name and incarnation.
 
-    An instance can stand in two objects when the groups of its zone have changed. What
-    it held once it holds still, so the highest report counts.
+    An instance can appear in two status objects after the groups of its zone have
+    changed.  An incarnation never goes back to an earlier version, so the highest
+    report is valid.
     """
     held: dict[tuple[str, int], int] = {}
     for stored in statuses:
@@ -255,14 +271,14 @@
         if not isinstance(instances, Mapping):
             continue
         for name, entry in instances.items():
-            part = _read_part(entry)
+            part = _parse_instance(entry)
             if part is not None:
                 key = (name, int(part.incarnation, 16))
                 held[key] = max(held.get(key, 0), part.keyring_version)
     return held
 
 
-def _read_part(entry: Any) -> _InstancePart | None:
+def _parse_instance(entry: Any) -> _InstancePart | None:
     try:
         part = msgspec.convert(entry, _InstancePart)
         int(part.incarnation, 16)
--- a/endivepick/core/keyring.py
+++ b/endivepick/core/keyring.py
@@ -1,8 +1,8 @@
 """Keys for flow tokens.
 
-A key passes through three stages: *pending* (held, verifies, does not sign),
-*current* (signs), *earlier* (verifies until no token of it can be valid);
-see `endivepick.core.key_rotation`.
+A key passes through three stages.  A *pending* key verifies tokens but does not
+sign them.  The *current* key signs.  A *replaced* key verifies until no token
+signed with it can still be valid.  See `endivepick.core.key_rotation`.
 
 Examples
 --------
@@ -41,18 +41,19 @@
 
 @dataclass(frozen=True)
 class TokenKey:
-    """One secret key.
+    """Secret key that signs and verifies flow tokens.
 
     Attributes
     ----------
     key_id : int
-        Number of the key; grows with each key.
+        Number of the key; each new key gets a higher one.
     secret : bytes
-        Secret, ``KEY_SIZE_BYTES`` long; not shown in logs.
+        Secret of ``KEY_SIZE_BYTES``; omitted from ``repr`` and so from logs.
     created_at_s : float
-        When it was made, in seconds since the epoch.
+        Creation time, in seconds since the epoch.
     replaced_at_s : float or None
-        When a later key became current, in seconds since the epoch.
+        Time at which a later key became current, in seconds since the epoch;
+        None before that.
     """
 
     key_id: int
@@ -66,28 +67,28 @@
 
 @dataclass(frozen=True)
 class Keyring:
-    """All keys that an instance holds.
+    """Set of token keys with one current key.
 
     Attributes
     ----------
     current : int
-        Number of the key that signs.
+        Number of the key that signs tokens.
     keys : mapping of int to TokenKey
-        Keys by their number; numbers above ``current`` are pending.
+        Keys by number; keys with numbers above ``current`` are pending.
     """
 
     current: int
     keys: Mapping[int, TokenKey]
 
     def sign(self, data: bytes) -> tuple[int, bytes]:
-        """Return the number of the current key and its MAC of the data."""
+        """Return the number of the current key and its MAC of ``data``."""
         return self.current, _mac(self.keys[self.current].secret, data)
 
     def verify(self, key_id: int, data: bytes, mac: bytes) -> bool:
-        """Tell whether a MAC is genuine, in constant time.
+        """Return whether a MAC is valid, compared in constant time.
 
-        An unknown ``key_id`` gives False; ask ``holds`` first to tell it from a
-        forged token.
+        The result is False for an unknown ``key_id``.  Call ``has_key`` first to
+        distinguish an unknown key from a forged token.
         """
         key = self.keys.get(key_id)
         if key is None:
@@ -95,12 +96,12 @@
         return hmac.compare_digest(_mac(key.secret, data), mac)
 
     def holds(self, key_id: int) -> bool:
-        """Tell whether the key is here; a missing one may exist elsewhere."""
+        """Return whether the keyring has the key; other instances may have it."""
         return key_id in self.keys
 
     @property
     def pending(self) -> TokenKey | None:
-        """Newest key that does not sign yet, or None."""
+        """Newest key that is not yet current, or None."""
         newest = max(self.keys)
         return self.keys[newest] if newest > self.current else None
 
@@ -110,34 +111,36 @@
 
 
 def first_keyring(random_bytes: bytes, now_s: float) -> Keyring:
-    """Make a keyring with one key that signs at once.
+    """Create a keyring with a single key, which is current.
 
     Parameters
     ----------
     random_bytes : bytes
-        ``KEY_SIZE_BYTES`` from a cryptographic source.
+        ``KEY_SIZE_BYTES`` from a cryptographically secure source.
     now_s : float
-        Present time, in seconds since the epoch.
+        Current time, in seconds since the epoch.
     """
-    key = _new_key(1, random_bytes, now_s)
+    key = _create_key(1, random_bytes, now_s)
     return Keyring(current=1, keys={1: key})
 
 
-def _new_key(key_id: int, random_bytes: bytes, now_s: float) -> TokenKey:
+def _create_key(key_id: int, random_bytes: bytes, now_s: float) -> TokenKey:
     if len(random_bytes) != KEY_SIZE_BYTES:
-        raise ValueError(f"Pass {KEY_SIZE_BYTES} random bytes.")
+        raise ValueError(
+            f"A key requires {KEY_SIZE_BYTES} random bytes, not {len(random_bytes)}."
+        )
     return TokenKey(key_id, random_bytes, now_s)
 
 
 def add_pending(keyring: Keyring, random_bytes: bytes, now_s: float) -> Keyring:
-    """Return the keyring with one more key that verifies but does not sign.
+    """Return the keyring with an additional pending key.
 
-    A keyring that has a pending key already is returned unchanged, so that two
-    racing rotations make one key.
+    A keyring that already has a pending key is returned unchanged, so that two
+    concurrent rotations create only one key.
     """
     if keyring.pending is not None:
         return keyring
-    key = _new_key(max(keyring.keys) + 1, random_bytes, now_s)
+    key = _create_key(max(keyring.keys) + 1, random_bytes, now_s)
     return replace(keyring, keys={**keyring.keys, key.key_id: key})
 
 
@@ -160,12 +163,13 @@
 
 
 def keyring_from_body(body: Mapping[str, Any]) -> Keyring:
-    """Convert the body of the platform's keyring object.
+    """Parse the body of the platform's keyring object.
 
     Raises
     ------
     RecordInvalidError
-        If a field is missing, unknown or of a bad value.
+        If a field is missing, unknown or invalid.  The message does not contain
+        the value, which may be a secret.
     """
     try:
         model = _KeyringBody.model_validate(body)
@@ -192,7 +196,7 @@
 
 
 def keyring_to_body(keyring: Keyring) -> dict[str, Any]:
-    """Convert a keyring to the body of the platform's object."""
+    """Return the body of the platform's object for a keyring."""
     return {
         "schema_version": SCHEMA_VERSION,
         "current": keyring.current,
--- a/endivepick/core/measure.py
+++ b/endivepick/core/measure.py
@@ -1,10 +1,10 @@
-"""Measures what flows and requests cost their owner; prints JSON lines.
+"""Benchmark of the owner's time and memory for flows and requests.
 
-Run ``python -m endivepick.core.measure``.  The whole decision core of one instance
-is driven directly: a packet is decoded, its token verified and the action built,
-while sockets, the encoding of answers and the target are left out.  Times are
-processor time and hold for the given number of flows; sizes of memory are those
-of the Python objects, as ``tracemalloc`` counts them.
+Run ``python -m endivepick.core.measure``; it prints JSON lines.  The benchmark
+drives the complete decision core of one instance directly: packets are decoded,
+tokens verified and actions built.  Sockets, the encoding of answers and the target
+are left out.  Times are processor times at the given number of flows.  Memory
+sizes are those of the Python objects, as counted by ``tracemalloc``.
 """
 
 import gc
@@ -51,25 +51,25 @@
 
 __all__ = ["OwnerUnderTest", "measure_memory", "measure_times", "run"]
 
-SIZES = (1_000, 4_000, 16_000, 64_000)
-CALLS = 2_000
-MEMORY_FLOWS = 1_000
-REQUESTS = 16
-WIDEST_GAP = 512
-"""Claimed numbers of a window whose first request never came."""
+FLOW_COUNTS = (1_000, 4_000, 16_000, 64_000)
+CALL_COUNT = 2_000
+MEMORY_FLOW_COUNT = 1_000
+REQUESTS_PER_FLOW = 16
+CLAIMED_BEYOND_GAP = 512
+"""Request numbers claimed in a window whose first request never arrived."""
 ANSWER_BYTES = 300
-_HEAD = encode_struct(RequestHead("POST", "/notes", [], bytes(200)))
+_REQUEST_HEAD = encode_struct(RequestHead("POST", "/notes", [], bytes(200)))
 _SERVICE, _PEER, _PEER_INCARNATION = "notes", "entry-2", 2
 _NOW_S = 1_700_000_000.0
 _MICROSECONDS = 1e6
 
 
 class OwnerUnderTest:
-    """One instance that owns a service with one target; it knows one peer."""
+    """Instance that owns a service with one target and knows one peer."""
 
     def __init__(self) -> None:
         self._random = Random(1)
-        self._numbers = count(1)
+        self._flow_numbers = count(1)
         self.core = InstanceCore(
             CoreSettings("entry-1", "thamel"),
             1,
@@ -79,9 +79,9 @@
         )
         self.core.start()
         keyring = keyring_to_body(first_keyring(bytes(32), 0.0))
-        self._list(KEYRING_KIND, "tokens", keyring)
-        self._list(SERVICE_KIND, _SERVICE, _record_body())
-        # Leaving, so that it holds flows but takes no role.
+        self._add_object(KEYRING_KIND, "tokens", keyring)
+        self._add_object(SERVICE_KIND, _SERVICE, _service_body())
+        # The peer is leaving, so that it owns flows but takes no role.
         peer = MemberUpdate(
             _PEER,
             "thamel",
@@ -99,13 +99,13 @@
         ready = ProbeResult(TargetHealth.READY, _SERVICE, 7, slots=1000)
         self.core.handle(Probed(_SERVICE, "target-1", ready), _NOW_S)
 
-    def _list(self, kind: str, name: str, body: dict[str, object]) -> None:
+    def _add_object(self, kind: str, name: str, body: dict[str, object]) -> None:
         stored = StoredObject(kind, name, 1, body)
         self.core.handle(ObjectsListed(ObjectList(kind, 1, (stored,))), _NOW_S)
 
     def open(self) -> bytes:
-        """Open a flow from an address of its own and return its token."""
-        number = next(self._numbers)
+        """Open a flow from a new caller address and return its token."""
+        number = next(self._flow_numbers)
         caller = (f"10.{number >> 16}.{number >> 8 & 255}.{number & 255}", 40_000)
         datagram = encode_packet(Open(number, _SERVICE))
         for action in self.core.handle(CallerDatagram(caller, datagram), _NOW_S):
@@ -123,14 +123,17 @@
 
     def relay(self, token: bytes) -> None:
         """Relay a request of a flow that the peer owns."""
-        event = CallerDatagram(("10.0.0.1", 40_000), _request_datagram(token, 1))
+        event = CallerDatagram(("10.0.0.1", 40_000), _encode_request(token, 1))
         actions = self.core.handle(event, _NOW_S)
         assert isinstance(actions[0], SendToPeer)
 
     def request(self, token: bytes, seq: int, acknowledge: bool = True) -> None:
-        """Run a request up to its answer, which the caller may acknowledge."""
+        """Run a request until it is answered.
+
+        With ``acknowledge``, the caller then acknowledges the whole answer.
+        """
         caller = (f"10.0.{seq >> 8 & 255}.{seq & 255}", 40_000)
-        event = CallerDatagram(caller, _request_datagram(token, seq))
+        event = CallerDatagram(caller, _encode_request(token, seq))
         for action in self.core.handle(event, _NOW_S):
             match action:
                 case StartAttempt(request_id=request_id, attempt=attempt):
@@ -143,11 +146,11 @@
             self.core.handle(CallerDatagram(caller, done), _NOW_S)
 
 
-def _request_datagram(token: bytes, seq: int) -> bytes:
-    return encode_packet(RequestPart(token, seq, 0, 1, False, 10_000, _HEAD))
+def _encode_request(token: bytes, seq: int) -> bytes:
+    return encode_packet(RequestPart(token, seq, 0, 1, False, 10_000, _REQUEST_HEAD))
 
 
-def _record_body() -> dict[str, object]:
+def _service_body() -> dict[str, object]:
     target = {
         "name": "target-1",
         "zone": "thamel",
@@ -167,7 +170,7 @@
 
 
 @contextmanager
-def _collector_off() -> Iterator[None]:
+def _gc_disabled() -> Iterator[None]:
     gc.collect()
     gc.disable()
     try:
@@ -176,43 +179,46 @@
         gc.enable()
 
 
-def _time_us(call: Callable[[int], object], calls: int) -> float:
-    with _collector_off():
+def _mean_time_us(call: Callable[[int], object], calls: int) -> float:
+    with _gc_disabled():
         started_s = time.process_time()
         for number in range(calls):
             call(number)
         return (time.process_time() - started_s) / calls * _MICROSECONDS
 
 
-def measure_times(flows: int, calls: int = CALLS) -> dict[str, float]:
-    """Measure the time of one open, one relayed packet and one request.
+def measure_times(flows: int, calls: int = CALL_COUNT) -> dict[str, float]:
+    """Measure the time to relay a packet, run a request and open a flow.
 
     Parameters
     ----------
     flows : int
-        Flows that the owner holds meanwhile.
+        Number of flows that the owner holds during the measurement.
     calls : int
-        Calls of each kind that are averaged.
+        Number of calls of each kind over which the time is averaged.
 
     Returns
     -------
     dict
-        Processor times in microseconds, by name.
+        Processor time of each operation in microseconds, by name.
     """
     owner = OwnerUnderTest()
     tokens = [owner.open() for _ in range(flows)]
-    foreign = owner.foreign_token()
-    requested = tokens[:calls]
+    peer_token = owner.foreign_token()
+    measured_tokens = tokens[:calls]
     return {
-        "relayed_packet_us": _time_us(lambda _: owner.relay(foreign), calls),
-        "request_us": _time_us(
-            lambda number: owner.request(requested[number], 1), len(requested)
+        "relayed_packet_us": _mean_time_us(lambda _: owner.relay(peer_token), calls),
+        "request_us": _mean_time_us(
+            lambda number: owner.request(measured_tokens[number], 1),
+            len(measured_tokens),
         ),
-        "open_us": _time_us(lambda _: owner.open(), calls),
+        "open_us": _mean_time_us(lambda _: owner.open(), calls),
     }
 
 
-def _bytes_per_flow(build: Callable[[OwnerUnderTest], object], flows: int) -> float:
+def _measure_bytes_per_flow(
+    build: Callable[[OwnerUnderTest], object], flows: int
+) -> float:
     owner = OwnerUnderTest()
     owner.request(owner.open(), 1)
     gc.collect()
@@ -227,7 +233,7 @@
     return held_bytes / flows
 
 
-def _flow_with(
+def _flow_builder(
     seqs: Iterable[int], acknowledge: bool = True
 ) -> Callable[[OwnerUnderTest], None]:
     numbers = list(seqs)
@@ -240,59 +246,65 @@
     return build
 
 
-def measure_memory(flows: int = MEMORY_FLOWS) -> dict[str, float]:
-    """Measure what a flow and its requests hold at their owner.
+def measure_memory(flows: int = MEMORY_FLOW_COUNT) -> dict[str, float]:
+    """Measure the memory of a flow and its requests at their owner.
 
     Parameters
     ----------
     flows : int
-        Flows over which the memory is averaged.
+        Number of flows over which the memory is averaged.
 
     Returns
     -------
     dict
-        Bytes by name: a flow without a request; one after acknowledged requests
-        in order; each further number claimed beyond a gap in the window; each
-        answer that its caller has not acknowledged, and the part of it that is
-        not the body.
+        Bytes by name: a flow without requests; a flow after acknowledged requests
+        in order; each additional request number claimed beyond a gap in the
+        window; each answer that its caller has not acknowledged; and the overhead
+        of such an answer beyond its body.
     """
-    in_order = range(1, REQUESTS + 1)
-    idle = _bytes_per_flow(_flow_with(()), flows)
-    few = -(-flows // 50)
-    beyond_gap = _bytes_per_flow(_flow_with(range(2, 2 + WIDEST_GAP)), few)
-    unanswered = _bytes_per_flow(_flow_with(in_order, acknowledge=False), few)
-    per_answer = (unanswered - idle) / REQUESTS
+    in_order = range(1, REQUESTS_PER_FLOW + 1)
+    idle = _measure_bytes_per_flow(_flow_builder(()), flows)
+    sampled_flows = -(-flows // 50)
+    beyond_gap = _measure_bytes_per_flow(
+        _flow_builder(range(2, 2 + CLAIMED_BEYOND_GAP)), sampled_flows
+    )
+    unacknowledged = _measure_bytes_per_flow(
+        _flow_builder(in_order, acknowledge=False), sampled_flows
+    )
+    per_answer = (unacknowledged - idle) / REQUESTS_PER_FLOW
     return {
         "idle_flow_bytes": idle,
-        f"flow_after_{REQUESTS}_requests_bytes": _bytes_per_flow(
-            _flow_with(in_order), flows
+        f"flow_after_{REQUESTS_PER_FLOW}_requests_bytes": _measure_bytes_per_flow(
+            _flow_builder(in_order), flows
         ),
-        "claimed_beyond_gap_bytes": (beyond_gap - idle) / WIDEST_GAP,
+        "claimed_beyond_gap_bytes": (beyond_gap - idle) / CLAIMED_BEYOND_GAP,
         "unacknowledged_answer_bytes": per_answer,
         "unacknowledged_overhead_bytes": per_answer - ANSWER_BYTES,
     }
 
 
 def run(
-    flows: Iterable[int] = SIZES, calls: int = CALLS, memory_flows: int = MEMORY_FLOWS
+    flows: Iterable[int] = FLOW_COUNTS,
+    calls: int = CALL_COUNT,
+    memory_flows: int = MEMORY_FLOW_COUNT,
 ) -> None:
-    """Measure all and print one JSON line for each case.
+    """Run all measurements and print one JSON line for each case.
 
     Parameters
     ----------
     flows : iterable of int
-        Numbers of flows at which times are measured.
+        Flow counts at which times are measured.
     calls : int
-        Calls of each kind that are averaged.
+        Number of calls of each kind over which a time is averaged.
     memory_flows : int
-        Flows over which memory is averaged.
+        Number of flows over which memory is averaged.
     """
-    _print({"case": "memory", **measure_memory(memory_flows)})
+    _print_json({"case": "memory", **measure_memory(memory_flows)})
     for size in flows:
-        _print({"case": "times", "flows": size, **measure_times(size, calls)})
+        _print_json({"case": "times", "flows": size, **measure_times(size, calls)})
 
 
-def _print(line: dict[str, object]) -> None:
+def _print_json(line: dict[str, object]) -> None:
     rounded = {
         name: round(value, 1) if isinstance(value, float) else value
         for name, value in line.items()
--- a/endivepick/core/member_actions.py
+++ b/endivepick/core/member_actions.py
@@ -1,4 +1,4 @@
-"""Translation of the membership's actions into those of the core."""
+"""Translation of membership actions into core actions."""
 
 from collections.abc import Callable, Iterable
 from math import isinf
@@ -22,17 +22,18 @@
 
 
 class MemberActions:
-    """Turns what the membership wants into actions of the core.
+    """Translates the actions of the membership into actions of the core.
 
     Parameters
     ----------
     on_changed : callable
-        Called with the time when the belief about a peer changed; returns actions.
+        Called with the current time when the state of a peer changes; returns
+        actions.
     on_lost : callable
         Called with the name of a peer whose incarnation has ended.
     on_leave : callable
-        Called with the time when this instance has to stop; returns actions, those
-        of the membership among them.
+        Called with the current time when this instance must stop; returns actions
+        of the core and of the membership.
     """
 
     def __init__(
@@ -48,7 +49,7 @@
     def translate(
         self, actions: Iterable[Action | MembershipAction], now_s: float
     ) -> list[Action]:
-        """Translate the membership's actions; those of the core pass through."""
+        """Translate membership actions; core actions are returned unchanged."""
         translated: list[Action] = []
         for action in actions:
             translated += self._translate_one(action, now_s)
@@ -65,14 +66,14 @@
             case PeerChanged(old=old, new=new):
                 if old is not None and _has_ended(old, new):
                     self._on_lost(old.name)
-                return [_describe(old, new), *self._on_changed(now_s)]
+                return [_create_peer_change_log(old, new), *self._on_changed(now_s)]
             case LeaveRequested() | Superseded():
                 return self.translate(self._on_leave(now_s), now_s)
             case PeerProbeFailed():
-                return [_describe_failure(action)]
+                return [_create_probe_failure_log(action)]
             case PeerProbeAnsweredLate(name=name, waited_s=waited_s):
                 ids = {"peer": name, "waited_s": round(waited_s, 3)}
-                text = "answer to a failed probe came"
+                text = "late answer to a failed probe"
                 return [Log("membership", "probe_answered_late", text, ids)]
             case MembershipLog(text=text, peer=peer):
                 return [Log("membership", "membership", text, {"peer": peer})]
@@ -86,7 +87,7 @@
     return new.incarnation != old.incarnation
 
 
-def _describe_failure(failure: PeerProbeFailed) -> Action:
+def _create_probe_failure_log(failure: PeerProbeFailed) -> Action:
     ids = {
         "peer": failure.name,
         "waited_s": round(failure.waited_s, 3),
@@ -95,15 +96,17 @@
         "helpers": failure.helpers,
         "reports": failure.reports,
     }
-    return Log("membership", "probe_failed", "probe got no answer in time", ids)
+    return Log("membership", "probe_failed", "probe timed out", ids)
 
 
 def _rounded_or_none(time_s: float) -> float | None:
-    """Round a time for the log, which has no infinite numbers."""
+    """Round a time for the log, whose JSON cannot represent infinity."""
     return None if isinf(time_s) else round(time_s, 3)
 
 
-def _describe(old: InstanceView | None, new: InstanceView | None) -> Action:
+def _create_peer_change_log(
+    old: InstanceView | None, new: InstanceView | None
+) -> Action:
     view = new or old
     assert view is not None
     state = new.state.value if new else "forgotten"
--- a/endivepick/core/platform_calls.py
+++ b/endivepick/core/platform_calls.py
@@ -1,4 +1,4 @@
-"""Single calls of the platform's object API, and what comes of them."""
+"""Calls to the platform's object API and their results."""
 
 from collections.abc import Mapping
 from dataclasses import dataclass
@@ -22,12 +22,12 @@
 
 
 class CallPurpose(Enum):
-    """Part of the core that the answer goes to."""
+    """Component of the core that receives the result of a call."""
 
     STATUS = "status"
-    """Status of the zone."""
+    """Writer of the zone status."""
     KEYS = "keys"
-    """Rotation of the keys for flow tokens."""
+    """Rotation of keys for flow tokens."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -40,23 +40,23 @@
 
 @dataclass(frozen=True, slots=True)
 class ListObjects:
-    """Read all objects of a kind."""
+    """Read all objects of one kind."""
 
     kind: str
 
 
 @dataclass(frozen=True, slots=True)
 class WriteObject:
-    """Write an object if its version is still the one that was read.
+    """Write an object on condition that its version is unchanged.
 
     Attributes
     ----------
     kind, name : str
-        The object.
+        Kind and name of the object.
     body : mapping
-        Content without a write id; whoever makes the call adds a unique one.
+        Content without a write id; the client adds a unique one to each call.
     if_version : int
-        Version that must stand; 0 if there must be no object.
+        Version that the stored object must have; 0 if no object may exist.
     """
 
     kind: str
@@ -70,28 +70,31 @@
 
 @dataclass(frozen=True, slots=True)
 class ObjectRead:
-    """What stands; None if there is no such object."""
+    """Result of reading one object; None if it does not exist."""
 
     stored: StoredObject | None
 
 
 @dataclass(frozen=True, slots=True)
 class ObjectsRead:
-    """All objects of the kind."""
+    """Result of reading all objects of one kind."""
 
     objects: tuple[StoredObject, ...]
 
 
 @dataclass(frozen=True, slots=True)
 class ObjectWritten:
-    """The version that the write made."""
+    """Result of a successful write, with the new version."""
 
     stored: StoredObject
 
 
 @dataclass(frozen=True, slots=True)
 class CallFailed:
-    """The call failed, or its outcome is unknown: read before the next write."""
+    """Failure of a call.
+
+    The outcome of a write may be unknown, so read the object before the next write.
+    """
 
     reason: str
 
--- a/endivepick/core/platform_writers.py
+++ b/endivepick/core/platform_writers.py
@@ -1,4 +1,4 @@
-"""What an instance writes into the platform: status of its zone, and keys."""
+"""Components that write to the platform: zone status and key rotation."""
 
 from collections.abc import Callable
 
@@ -16,20 +16,20 @@
 
 
 class PlatformWriters:
-    """Hands time, answers and news to the parts that write.
+    """Passes time, call results and updates to the components that write.
 
     Parameters
     ----------
     settings : CoreSettings
-        Settings of all parts.
+        Settings of the decision core.
     membership : Membership
-        States of the instances.
+        State of each instance.
     catalog : Catalog
-        Keys in force.
+        Keyring in force.
     sources : InstanceSources
-        What the status is made from.
+        Inputs for the zone status and key rotation.
     random_number : callable
-        Returns a float from 0 up to 1.
+        Returns a float from 0 (inclusive) to 1 (exclusive).
     """
 
     def __init__(
@@ -54,22 +54,28 @@
         )
 
     def tick(self, now_s: float) -> list[Action]:
-        """Do what is due at this time, in seconds since the epoch."""
+        """Return the actions that are due.
+
+        Parameters
+        ----------
+        now_s : float
+            Current time, in seconds since the epoch.
+        """
         actions = self._status.tick(self._random_number(), now_s)
         return actions + self._keys.tick(now_s)
 
     def note_part(self, sender: str, part: InstanceStatus, now_s: float) -> None:
-        """Take what another instance of the zone tells about itself."""
+        """Record the status that another instance of the zone reported."""
         self._status.note(sender, part, now_s)
 
     def note_listed(self, names: frozenset[str]) -> None:
-        """Take the names on the platform's list of instances."""
+        """Set the names on the platform's list of instances."""
         self._rotation_view.listed = names
 
     def answered(
         self, purpose: CallPurpose, answer: PlatformAnswer, now_s: float
     ) -> list[Action]:
-        """Take what came of a call."""
+        """Pass the result of a platform call to the component that made it."""
         random_share = self._random_number()
         match purpose:
             case CallPurpose.STATUS:
--- a/endivepick/core/settings.py
+++ b/endivepick/core/settings.py
@@ -1,4 +1,4 @@
-"""Settings of the decision core's flow handling."""
+"""Settings of flow handling in the decision core."""
 
 from dataclasses import dataclass
 
@@ -9,37 +9,40 @@
 
 @dataclass(frozen=True)
 class FlowSettings:
-    """How flows and their requests are kept.
+    """Lifetime, limits and timeouts of flows and their requests.
 
     Attributes
     ----------
     token_lifetime_s : float
         Age at which a flow token expires, in seconds.
     renew_share : float
-        Share of the lifetime after which the caller asks for a new token.
+        Fraction of the lifetime after which the caller requests a new token.
     window_size : int
-        Request numbers above the floor that a replay window tracks.
+        Number of request numbers above its floor that a replay window tracks.
     outstanding_requests_max : int
-        Requests of one flow that are not done.
+        Maximum number of unfinished requests of one flow.
     request_bytes_max : int
-        Largest request, in bytes.
+        Maximum size of a request, in bytes.
     answer_bytes_max : int
-        Largest answer, in bytes.
+        Maximum size of an answer, in bytes.
     stream_buffer_bytes : int
-        Bytes of a stream that wait for the caller before the stream is cut off
-        and resumed later.
+        Maximum unacknowledged bytes of a stream.  Beyond that, the connection to
+        the target is closed and the stream is resumed later.
     unacknowledged_s : float
-        How long a finished answer waits for its caller, in seconds.
+        How long a complete answer is kept for its caller, in seconds.
     caller_silence_s : float
-        Silence after which a request is cancelled at its target, in seconds.
+        Time without a packet from the caller after which its request is
+        cancelled at the target, in seconds.
     sweep_every_s : float
-        Time between two searches for requests that nobody awaits, in seconds.
+        Interval between scans for requests without an active caller, in
+        seconds.
     hand_over_retry_s : float
-        Time between two sendings of one hand-over, in seconds.
+        Retransmission interval of a hand-over, in seconds.
     hand_over_bytes : int
-        Size of one hand-over message, in bytes, but for a single larger flow.
+        Maximum size of one hand-over message, in bytes; exceeded only by a
+        single larger flow.
     drain_timeout_s : float
-        Bound on a planned stop, in seconds.
+        Maximum duration of a planned stop, in seconds.
     """
 
     token_lifetime_s: float = 86400.0
--- a/endivepick/core/status_sources.py
+++ b/endivepick/core/status_sources.py
@@ -1,4 +1,4 @@
-"""What an instance tells about itself, its targets and its zone."""
+"""Inputs for the status of an instance, its targets and its zone."""
 
 from collections.abc import Iterable, Mapping, Set
 
@@ -17,35 +17,38 @@
 
 __all__ = ["InstanceSources", "RotationView"]
 
-TARGETS_TOLD = 64
-"""Targets in one part, first those not ready; the others are counted."""
+MAX_REPORTED_TARGETS = 64
+"""Maximum number of targets in the status of one instance.
+
+Targets that are not ready come first; the remaining targets are only counted.
+"""
 
 
 class InstanceSources:
-    """Collects the status from the parts of the core.
+    """Collects status information from the components of the core.
 
     Parameters
     ----------
     settings : StatusSettings
-        Size of groups.
+        Settings of the zone status, including the group size.
     name, zone : str
         Name and availability zone of this instance.
     incarnation : int
-        Incarnation of this instance.
+        Random number that identifies this process.
     started_at_s : float
-        Its start, in seconds since the epoch.
+        Start time of this instance, in seconds since the epoch.
     membership : Membership
-        States of the instances.
+        State of each instance.
     dissemination : Dissemination
-        Role of this instance, and what the zone reports.
+        Roles in the zone and its configuration report.
     catalog : Catalog
-        Records in force.
+        Records and keys in force.
     roles : ServiceRoles
-        Services whose owner this instance is.
+        Services that this instance owns.
     executor : RequestExecutor
-        Their dispatchers.
+        Dispatchers of these services.
     lifecycle : Lifecycle
-        State of this instance.
+        Lifecycle state of this instance.
     """
 
     def __init__(
@@ -73,35 +76,37 @@
         self._roles = roles
         self._executor = executor
         self._lifecycle = lifecycle
-        self._grouped: tuple[ZoneRoles | None, StatusGroup | None] = (None, None)
+        self._cached_group: tuple[ZoneRoles | None, StatusGroup | None] = (None, None)
 
     @property
     def status_writer(self) -> str | None:
-        """Instance that writes the status of the zone.
+        """Name of the instance that writes the status of the zone.
 
-        None until this instance holds a whole configuration: written by one that
-        does not, the status would lose records.
+        None until this instance has the complete configuration.  A writer with an
+        incomplete configuration would omit records from the status.
         """
         if not self._dissemination.ready:
             return None
         return self._dissemination.roles.status_writer
 
     def own_part(self) -> InstanceStatus:
-        """Return the state of this instance and of the targets that it owns."""
-        targets = [t for name in self._roles.owned for t in self._targets(name)]
-        if len(targets) > TARGETS_TOLD:
+        """Return the status of this instance and the targets of its services."""
+        targets = [
+            t for name in self._roles.owned for t in self._build_target_statuses(name)
+        ]
+        if len(targets) > MAX_REPORTED_TARGETS:
             targets.sort(key=lambda target: target.state == READY_STATE)
         return InstanceStatus(
             state=self._lifecycle.state,
             started_at_s=self._started_at_s,
             schema_versions=SCHEMA_VERSIONS,
-            targets=tuple(targets[:TARGETS_TOLD]),
+            targets=tuple(targets[:MAX_REPORTED_TARGETS]),
             incarnation=self._incarnation,
             keyring_version=self._catalog.keys.version,
-            more_targets=max(0, len(targets) - TARGETS_TOLD),
+            more_targets=max(0, len(targets) - MAX_REPORTED_TARGETS),
         )
 
-    def _targets(self, service: str) -> list[TargetStatus]:
+    def _build_target_statuses(self, service: str) -> list[TargetStatus]:
         snapshot = self._executor.dispatchers[service].snapshot()
         return [
             TargetStatus(
@@ -117,24 +122,24 @@
 
     @property
     def group(self) -> StatusGroup | None:
-        """Group of this instance; None in a zone that needs no groups."""
+        """Status group of this instance; None if the zone is not split into groups."""
         roles = self._dissemination.roles
-        if self._grouped[0] is not roles:
+        if self._cached_group[0] is not roles:
             size = self._settings.group_instances
             group = status_group(self._name, self._zone, roles, size)
-            self._grouped = (roles, group)
-        return self._grouped[1]
+            self._cached_group = (roles, group)
+        return self._cached_group[1]
 
     def view(self) -> StatusView:
-        """Return what is in force and who is there, in the own zone."""
-        return self._view(of_group=False)
+        """Return the records in force and the members of this instance's zone."""
+        return self._build_view(of_group=False)
 
     def group_view(self) -> StatusView:
-        """Return who is there, for the rows of the own group."""
-        return self._view(of_group=True)
+        """Return the members for the status rows of this instance's group."""
+        return self._build_view(of_group=True)
 
-    def _view(self, of_group: bool) -> StatusView:
-        states = self._states(self._dissemination.zone_members())
+    def _build_view(self, of_group: bool) -> StatusView:
+        states = self._member_states(self._dissemination.zone_members())
         writes_zone = self.status_writer == self._name
         return StatusView(
             records=() if of_group else self._catalog.book.records(),
@@ -145,27 +150,27 @@
             all_refusals=self._dissemination.names_all_refusals,
         )
 
-    def _states(self, names: Iterable[str]) -> dict[str, str]:
+    def _member_states(self, names: Iterable[str]) -> dict[str, str]:
         known = self._membership.view()
         return {name: known[name].state.value for name in names if name in known}
 
 
 class RotationView:
-    """What the rotation of keys is decided on.
+    """Inputs for the decisions of key rotation.
 
     Parameters
     ----------
     name : str
         Name of this instance.
     membership : Membership
-        States of the instances.
-    sources : InstanceSources
-        Role of this instance.
+        State of each instance.
+    sources : InstanceStatusSources
+        Identifies the status writer of the zone.
 
     Attributes
     ----------
     listed : set of str or None
-        Names on the platform's list; None if it was not read yet.
+        Names on the platform's list of instances; None until it has been read.
     """
 
     def __init__(
@@ -178,7 +183,7 @@
 
     @property
     def is_status_writer(self) -> bool:
-        """Whether this instance writes the status of its zone."""
+        """Whether this instance is the status writer of its zone."""
         return self._sources.status_writer == self._name
 
     @property
--- a/endivepick/core/stop_wish.py
+++ b/endivepick/core/stop_wish.py
@@ -1,4 +1,4 @@
-"""An operator's wish, read from the platform, that this instance stops."""
+"""Detection of operator requests to stop this instance."""
 
 from typing import Literal
 
@@ -7,11 +7,11 @@
 from endivepick.records.cache import Change
 from endivepick.records.objects import INSTANCE_KIND, StoredObject
 
-__all__ = ["StopWish"]
+__all__ = ["StopRequestFilter"]
 
 
 class _WishBody(pydantic.BaseModel):
-    """Body of an object of the kind ``instance``."""
+    """Body of a stored object of kind ``instance``."""
 
     model_config = pydantic.ConfigDict(extra="forbid", strict=True)
 
@@ -20,11 +20,13 @@
     draining: bool
 
 
-class StopWish:
-    """Tells a wish to this process from one to an earlier process of its name.
+class StopRequestFilter:
+    """Accepts stop requests that are meant for this process.
 
-    The object outlives the process that it was written for.  What stood when this
-    process had its first whole configuration was not meant for it.
+    An operator requests a stop by writing the instance's object on the platform.
+    The object outlives the process that it was written for.  Therefore a version
+    that already exists when this process first has the complete configuration is
+    ignored: it was meant for an earlier process of the same name.
 
     Parameters
     ----------
@@ -35,31 +37,32 @@
     --------
     >>> body = {"schema_version": 1, "draining": True}
     >>> old, new = (StoredObject("instance", "entry-1", v, body) for v in (4, 9))
-    >>> wish = StopWish("entry-1")
-    >>> wish.set_known(old)
-    >>> wish.is_new(Change(None, old)), wish.is_new(Change(old, new))
-    (False, True)
+    >>> stop_requests = StopRequestFilter("entry-1")
+    >>> stop_requests.set_baseline(old)
+    >>> changes = Change(None, old), Change(old, new)
+    >>> [stop_requests.is_stop_request(change) for change in changes]
+    [False, True]
     """
 
     def __init__(self, name: str) -> None:
         self._name = name
-        self._known_version: int | None = None
+        self._baseline_version: int | None = None
 
-    def set_known(self, stored: StoredObject | None) -> None:
-        """Take what stands when the first whole configuration is here."""
-        self._known_version = 0 if stored is None else stored.version
+    def set_baseline(self, stored: StoredObject | None) -> None:
+        """Set the object that exists when the configuration is first complete."""
+        self._baseline_version = 0 if stored is None else stored.version
 
-    def is_new(self, change: Change) -> bool:
-        """Tell whether a change asks this process to stop."""
+    def is_stop_request(self, change: Change) -> bool:
+        """Return whether a change requests a stop of this process."""
         stored = change.after
         if (stored.kind, stored.name) != (INSTANCE_KIND, self._name):
             return False
-        if self._known_version is None or stored.version <= self._known_version:
+        if self._baseline_version is None or stored.version <= self._baseline_version:
             return False
-        return _asks_to_stop(stored)
+        return _requests_stop(stored)
 
 
-def _asks_to_stop(stored: StoredObject) -> bool:
+def _requests_stop(stored: StoredObject) -> bool:
     if stored.body is None:
         return False
     try:
--- a/endivepick/core/tests/test_key_rotator.py
+++ b/endivepick/core/tests/test_key_rotator.py
@@ -34,12 +34,13 @@
 
 
 class FixedSources:
-    """What an instance knows, set by the test."""
+    """Inputs of the rotation that the test sets."""
 
     def __init__(self):
         self.is_status_writer = True
         self.view = {
-            one.name: one for one in (member("a", "east", 1), member("b", "west", 2))
+            instance.name: instance
+            for instance in (member("a", "east", 1), member("b", "west", 2))
         }
         self.listed = {"a", "b"}
 
@@ -50,39 +51,39 @@
         self.version = 7
         self.keys = HeldKeys()
         self.sources = FixedSources()
-        self.rotation = self.rotation_in("east")
-        self.hold(first_keyring(secret(1), 0.0))
+        self.rotator = self.create_rotator("east")
+        self.set_keyring(first_keyring(secret(1), 0.0))
 
-    def rotation_in(self, zone):
+    def create_rotator(self, zone):
         return KeyRotator(SETTINGS, LIFETIME_S, zone, self.keys, self.sources)
 
-    def hold(self, keyring):
+    def set_keyring(self, keyring):
         self.version += 1
-        self.keys.hold(keyring, self.version)
+        self.keys.set_keyring(keyring, self.version)
 
     def add_key(self, number):
-        self.hold(add_pending(self.keys.keyring, secret(number), self.now_s))
+        self.set_keyring(add_pending(self.keys.keyring, secret(number), self.now_s))
 
-    def calls(self, duration_s):
+    def collect_calls(self, duration_s):
         calls = []
         for _ in range(round(duration_s / STEP_S)):
             self.now_s += STEP_S
-            for action in self.rotation.tick(self.now_s):
+            for action in self.rotator.tick(self.now_s):
                 if isinstance(action, CallPlatform):
                     calls.append(action.call)
         return calls
 
     def next_call(self):
         for _ in range(200):
-            for call in self.calls(STEP_S):
+            for call in self.collect_calls(STEP_S):
                 return call
         raise AssertionError("no call")
 
     def answer(self, answer):
-        return self.rotation.answered(answer, 0.0, self.now_s)
+        return self.rotator.answered(answer, 0.0, self.now_s)
 
-    def reports(self, **versions):
-        """Answer a list of statuses; returns the write that it leads to, if any."""
+    def report_versions(self, **versions):
+        """Answer the read of statuses with these versions; return the writes."""
         self.assertEqual(self.next_call(), ListObjects("status"))
         instances = {
             name: {
@@ -98,19 +99,19 @@
 
     def rotate(self, number):
         self.add_key(number)
-        [write] = self.reports(a=self.version, b=self.version)
+        [write] = self.report_versions(a=self.version, b=self.version)
         self.assertEqual(write.if_version, self.version)
-        self.hold(keyring_from_body(write.body))
+        self.set_keyring(keyring_from_body(write.body))
         self.answer(ObjectWritten(StoredObject("keyring", "tokens", self.version, {})))
 
-    def test_nothing_is_called_without_a_pending_key(self):
-        self.assertEqual(self.calls(60.0), [])
+    def test_no_platform_call_without_pending_key(self):
+        self.assertEqual(self.collect_calls(60.0), [])
 
-    def test_key_is_activated_once_all_hold_it(self):
+    def test_key_is_activated_once_all_instances_have_it(self):
         self.add_key(2)
         before = self.version - 1
-        self.assertEqual(self.reports(a=self.version, b=before), [])
-        [write] = self.reports(a=self.version, b=self.version)
+        self.assertEqual(self.report_versions(a=self.version, b=before), [])
+        [write] = self.report_versions(a=self.version, b=self.version)
         self.assertEqual(write.if_version, self.version)
         self.assertEqual(keyring_from_body(write.body).current, 2)
 
@@ -128,7 +129,7 @@
         actions = self.answer(ObjectsRead((status,)))
         self.assertFalse([a for a in actions if isinstance(a, CallPlatform)])
 
-    def test_highest_report_counts_if_an_instance_stands_in_two_statuses(self):
+    def test_highest_report_counts_if_instance_is_in_two_statuses(self):
         self.add_key(2)
         self.next_call()
         statuses = tuple(
@@ -154,44 +155,44 @@
         actions = self.answer(ObjectsRead(statuses))
         self.assertTrue([a for a in actions if isinstance(a, CallPlatform)])
 
-    def test_dead_instance_blocks_as_long_as_the_platform_lists_it(self):
+    def test_dead_instance_blocks_activation_while_listed(self):
         self.add_key(2)
         self.sources.view["b"] = member("b", "west", 2, PeerState.DEAD)
-        self.assertEqual(self.reports(a=self.version), [])
+        self.assertEqual(self.report_versions(a=self.version), [])
         self.sources.listed.remove("b")
-        self.assertEqual(len(self.reports(a=self.version)), 1)
+        self.assertEqual(len(self.report_versions(a=self.version)), 1)
 
-    def test_listed_instance_that_nobody_heard_of_blocks(self):
+    def test_unknown_listed_instance_blocks_activation(self):
         self.add_key(2)
         self.sources.listed.add("c")
-        self.assertEqual(self.reports(a=self.version, b=self.version), [])
+        self.assertEqual(self.report_versions(a=self.version, b=self.version), [])
 
-    def test_no_list_yet_blocks(self):
+    def test_missing_instance_list_blocks_activation(self):
         self.add_key(2)
         self.sources.listed = None
-        self.assertEqual(self.reports(a=self.version, b=self.version), [])
+        self.assertEqual(self.report_versions(a=self.version, b=self.version), [])
 
-    def test_new_key_waits_for_the_list_to_catch_up(self):
+    def test_pending_key_waits_for_minimum_age(self):
         self.add_key(2)
-        early = self.calls(SETTINGS.pending_min_s - STEP_S)
+        early = self.collect_calls(SETTINGS.pending_min_s - STEP_S)
         self.assertEqual(early, [])
         self.assertEqual(self.next_call(), ListObjects("status"))
 
-    def test_zones_take_turns(self):
-        self.rotation = self.rotation_in("west")
+    def test_later_zone_waits_longer(self):
+        self.rotator = self.create_rotator("west")
         self.add_key(2)
-        self.assertEqual(self.calls(SETTINGS.pending_min_s + STEP_S), [])
+        self.assertEqual(self.collect_calls(SETTINGS.pending_min_s + STEP_S), [])
         self.assertEqual(self.next_call(), ListObjects("status"))
 
-    def test_only_writers_of_a_status_rotate(self):
+    def test_only_status_writers_rotate_keys(self):
         self.sources.is_status_writer = False
         self.add_key(2)
-        self.assertEqual(self.calls(300.0), [])
+        self.assertEqual(self.collect_calls(300.0), [])
 
-    def test_failed_call_is_made_again_later(self):
+    def test_failed_call_is_retried_later(self):
         self.add_key(2)
         self.next_call()
-        self.assertEqual(self.calls(60.0), [])
+        self.assertEqual(self.collect_calls(60.0), [])
         self.answer(CallFailed("outage"))
         self.assertEqual(self.next_call(), ListObjects("status"))
 
@@ -202,7 +203,7 @@
         actions = self.answer(ObjectsRead((status,)))
         self.assertFalse([a for a in actions if isinstance(a, CallPlatform)])
 
-    def test_tokens_survive_two_rotations_and_old_keys_go_later(self):
+    def test_tokens_survive_two_rotations_and_expired_keys_are_removed(self):
         codec = TokenCodec(self.keys, LIFETIME_S)
         token = FlowToken("notes", 1, 2, "a", 1, "", int(self.now_s))
         sealed = codec.seal(token)
@@ -212,14 +213,14 @@
         self.assertEqual(codec.unseal(sealed, self.now_s), token)
         self.now_s += LIFETIME_S - 100.0
         self.assertEqual(codec.unseal(sealed, self.now_s), token)
-        self.assertEqual(self.calls(200.0), [])
+        self.assertEqual(self.collect_calls(200.0), [])
         self.now_s += SETTINGS.cut_off_allowance_s + 600.0
         write = self.next_call()
         self.assertIsInstance(write, WriteObject)
         self.assertEqual(sorted(keyring_from_body(write.body).keys), [3])
         self.assertEqual(write.if_version, self.version)
 
-    def test_body_that_is_written_can_be_read(self):
+    def test_written_body_can_be_parsed(self):
         self.add_key(2)
-        [write] = self.reports(a=self.version, b=self.version)
+        [write] = self.report_versions(a=self.version, b=self.version)
         self.assertEqual(keyring_to_body(keyring_from_body(write.body)), write.body)
--- a/endivepick/core/tests/test_keyring.py
+++ b/endivepick/core/tests/test_keyring.py
@@ -29,14 +29,14 @@
     return bytes([number]) * 32
 
 
-def view_of(**states):
+def create_view(**states):
     return {
         name: InstanceView(name, "thamel", index + 1, "127.0.0.1:1", state)
         for index, (name, state) in enumerate(states.items())
     }
 
 
-def rotated(keyring, number, now_s):
+def rotate_keyring(keyring, number, now_s):
     return activate_pending(add_pending(keyring, secret(number), now_s), now_s)
 
 
@@ -55,24 +55,24 @@
         self.assertFalse(keyring.verify(1, b"x", mac))
         self.assertFalse(keyring.verify(key_id, b"x", mac[:15]))
 
-    def test_token_survives_two_rotations_within_its_lifetime(self):
+    def test_token_stays_valid_over_two_rotations_within_its_lifetime(self):
         first = first_keyring(secret(1), 0.0)
         key_id, mac = first.sign(b"x")
-        twice = rotated(rotated(first, 2, 100.0), 3, 200.0)
+        twice = rotate_keyring(rotate_keyring(first, 2, 100.0), 3, 200.0)
         kept = retire_old(twice, ROTATION, 160.0 + LIFETIME_S)
         self.assertTrue(kept.verify(key_id, b"x", mac))
-        gone = retire_old(twice, ROTATION, 161.0 + LIFETIME_S)
-        self.assertEqual(sorted(gone.keys), [2, 3])
-        self.assertFalse(gone.holds(key_id))
-        self.assertFalse(gone.verify(key_id, b"x", mac))
+        without_expired = retire_old(twice, ROTATION, 161.0 + LIFETIME_S)
+        self.assertEqual(sorted(without_expired.keys), [2, 3])
+        self.assertFalse(without_expired.holds(key_id))
+        self.assertFalse(without_expired.verify(key_id, b"x", mac))
 
-    def test_racing_rotations_add_one_key(self):
+    def test_concurrent_rotations_add_one_key(self):
         once = add_pending(first_keyring(secret(1), 0.0), secret(2), 1.0)
         self.assertIs(add_pending(once, secret(3), 2.0), once)
 
     def test_activation_waits_for_every_reachable_instance(self):
         keyring = add_pending(first_keyring(secret(1), 0.0), secret(2), 1.0)
-        view = view_of(
+        view = create_view(
             a=PeerState.ALIVE,
             b=PeerState.SUSPECT,
             c=PeerState.LEAVING,
@@ -85,9 +85,9 @@
             is_successful(may_activate(keyring, 9, {**held, ("b", 2): 9}, view))
         )
 
-    def test_steps_of_a_rotation_and_none_between(self):
+    def test_next_keyring_changes_only_when_a_step_is_due(self):
         pending = add_pending(first_keyring(secret(1), 0.0), secret(2), 1.0)
-        view = view_of(a=PeerState.ALIVE)
+        view = create_view(a=PeerState.ALIVE)
         held = {("a", 1): 9}
 
         def step(keyring, version, now_s):
@@ -101,20 +101,20 @@
 
     def test_report_of_an_earlier_incarnation_does_not_count(self):
         keyring = add_pending(first_keyring(secret(1), 0.0), secret(2), 1.0)
-        view = view_of(a=PeerState.ALIVE)
+        view = create_view(a=PeerState.ALIVE)
         self.assertFalse(is_successful(may_activate(keyring, 9, {("a", 77): 9}, view)))
 
     def test_activation_needs_a_pending_key_and_a_view(self):
         keyring = first_keyring(secret(1), 0.0)
-        self.assertFalse(is_successful(may_activate(keyring, 1, {}, view_of())))
+        self.assertFalse(is_successful(may_activate(keyring, 1, {}, create_view())))
         keyring = add_pending(keyring, secret(2), 1.0)
-        self.assertFalse(is_successful(may_activate(keyring, 1, {}, view_of())))
+        self.assertFalse(is_successful(may_activate(keyring, 1, {}, create_view())))
 
     def test_body_round_trip(self):
-        keyring = rotated(first_keyring(secret(1), 0.0), 2, 100.0)
+        keyring = rotate_keyring(first_keyring(secret(1), 0.0), 2, 100.0)
         self.assertEqual(keyring_from_body(keyring_to_body(keyring)), keyring)
 
-    def test_bad_bodies_are_refused_without_showing_a_secret(self):
+    def test_invalid_bodies_are_rejected_without_showing_a_secret(self):
         good = keyring_to_body(first_keyring(secret(0xAB), 0.0))
         key = good["keys"][0]
         bad = [
@@ -131,6 +131,6 @@
                 keyring_from_body(body)
             self.assertNotIn("abab", str(caught.exception))
 
-    def test_key_does_not_show_its_secret(self):
+    def test_repr_does_not_show_the_secret(self):
         self.assertNotIn(secret(1).hex(), repr(first_keyring(secret(1), 0.0)))
         self.assertNotIn(repr(secret(1)), repr(first_keyring(secret(1), 0.0)))
--- a/endivepick/core/tests/test_member_news.py
+++ b/endivepick/core/tests/test_member_news.py
@@ -5,40 +5,40 @@
 
 from endivepick.bench._fleet import TWO_YEARS
 from endivepick.bench._node import DrivenNode
-from endivepick.core.configuration import MEMBERS_WAIT_S, Configuration
+from endivepick.core.configuration import UPDATE_INTERVAL_PER_MEMBER_S, Configuration
 from endivepick.membership.peer_messages import Phase, Ping
 
 
-class TestMemberNews(unittest.TestCase):
+class TestMemberUpdates(unittest.TestCase):
     def setUp(self):
         self.node = DrivenNode(TWO_YEARS.scaled(800))
         self.node.join()
         self.node.run(1.0)
 
-    def leave(self, number):
+    def announce_leaving(self, number):
         update = self.node.update_of(number)
         news = msgspec.structs.replace(update, phase=Phase.LEAVING)
         self.node.tell(Ping(1, 1, 0, [news], []))
 
-    def test_first_counts_at_once_and_more_are_taken_together(self):
-        looks = []
-        look = Configuration._members_changed
+    def test_first_change_is_applied_at_once_and_later_ones_are_batched(self):
+        updated_at_s = []
+        update_members = Configuration._update_members
 
-        def counted(configuration, now_s):
-            looks.append(now_s)
-            return look(configuration, now_s)
+        def record_update(configuration, now_s):
+            updated_at_s.append(now_s)
+            return update_members(configuration, now_s)
 
-        with patch.object(Configuration, "_members_changed", counted):
-            began_s = self.node.now_s
+        with patch.object(Configuration, "_update_members", record_update):
+            start_s = self.node.now_s
             for number in range(1, 41):
-                self.leave(number)
+                self.announce_leaving(number)
                 self.node.run(0.05)
-            ended_s = self.node.now_s
+            end_s = self.node.now_s
             self.node.run(1.0)
-        self.assertLess(looks[0] - began_s, 0.06)
-        wait_s = MEMBERS_WAIT_S * 800
-        self.assertLessEqual(len(looks), 2 + (ended_s - began_s) / wait_s)
-        self.assertGreaterEqual(looks[-1], ended_s)
+        self.assertLess(updated_at_s[0] - start_s, 0.06)
+        interval_s = UPDATE_INTERVAL_PER_MEMBER_S * 800
+        self.assertLessEqual(len(updated_at_s), 2 + (end_s - start_s) / interval_s)
+        self.assertGreaterEqual(updated_at_s[-1], end_s)
 
 
 if __name__ == "__main__":
--- a/endivepick/core/tests/test_quiescent.py
+++ b/endivepick/core/tests/test_quiescent.py
@@ -1,4 +1,4 @@
-"""Ticks that come less often must not make the loss of a peer go unseen."""
+"""Tests that less frequent ticks do not prevent the detection of a lost peer."""
 
 import unittest
 from itertools import count
@@ -18,12 +18,15 @@
 NOW_S = 1_000_000.0
 IDLE_TICK_S = 0.1
 QUIESCENT_TICK_S = 0.25
-SETTLE_S = 10.0
+STABLE_PERIOD_S = 10.0
 NAMES = ("a", "b", "c")
 
 
 class Fleet:
-    """Cores that exchange messages at once; only ``a`` ticks as rarely as it may."""
+    """Cores that exchange messages without delay.
+
+    Only ``a`` uses the long tick interval while it is quiescent.
+    """
 
     def __init__(self):
         self.now_s = NOW_S
@@ -45,7 +48,7 @@
         )
         for name in NAMES:
             self.handle(name, InstancesListed(entries, 0.0))
-            # Only instances that are ready are asked to probe others.
+            # Only ready instances are asked for indirect probes.
             self.cores[name].membership.set_ready(NOW_S)
 
     def handle(self, name, event):
@@ -78,19 +81,19 @@
 class TestQuiescent(unittest.TestCase):
     def setUp(self):
         self.fleet = Fleet()
-        self.fleet.run(SETTLE_S)
+        self.fleet.run(STABLE_PERIOD_S)
         self.core = self.fleet.cores["a"]
 
     def test_quiescent_while_all_peers_answer(self):
         self.assertTrue(self.core.quiescent)
         before_s = self.fleet.now_s
-        self.fleet.run(SETTLE_S)
+        self.fleet.run(STABLE_PERIOD_S)
         self.assertTrue(self.core.quiescent)
         pings = len(self.fleet.sent_since(before_s, Ping))
         period_s = MembershipSettings().probe_period_s
-        self.assertGreaterEqual(pings, SETTLE_S / period_s - 2)
+        self.assertGreaterEqual(pings, STABLE_PERIOD_S / period_s - 2)
 
-    def test_others_are_asked_before_a_silent_peer_counts_as_failed(self):
+    def test_indirect_probes_precede_the_failure_of_a_silent_peer(self):
         self.fleet.silent = {"c"}
         silent_s = self.fleet.now_s
         self.fleet.run(4 * MembershipSettings().probe_deadline_s)
@@ -103,13 +106,13 @@
         ]
         self.assertLess(asked_s - pinged_s, MembershipSettings().probe_deadline_s)
 
-    def test_silent_peer_is_declared_dead_in_its_time(self):
+    def test_silent_peer_is_declared_dead_within_the_suspicion_time(self):
         self.fleet.silent = {"c"}
         self.fleet.run(MembershipSettings().suspect_max_s + 2.0)
         view = self.core.membership.view()
         self.assertIs(view["c"].state, PeerState.DEAD)
 
-    def test_not_quiescent_until_a_probe_is_answered(self):
+    def test_not_quiescent_while_a_probe_is_unanswered(self):
         self.fleet.silent = {"b", "c"}
         self.fleet.now_s += QUIESCENT_TICK_S
         self.fleet.handle("a", Tick())
@@ -122,21 +125,21 @@
             self.fleet.handle("a", PeerMessage(action.name, incarnation, ack))
             self.assertIs(self.core.quiescent, quiescent)
 
-    def test_quiescent_again_after_a_probe_that_nobody_answers(self):
+    def test_quiescent_again_after_unanswered_probes(self):
         self.fleet.silent = {"b", "c"}
         self.fleet.run(60.0)
         self.fleet.silent = set()
         self.fleet.run(60.0)
         self.assertTrue(self.core.quiescent)
 
-    def test_failed_send_is_followed_up_soon(self):
+    def test_failed_send_prevents_quiescence_until_the_next_tick(self):
         self.fleet.handle("a", PeerSendFailed("b"))
         self.assertFalse(self.core.quiescent)
         self.fleet.now_s += IDLE_TICK_S
         self.fleet.handle("a", Tick())
         self.assertTrue(self.core.quiescent)
 
-    def test_change_among_the_instances_is_followed_up_soon(self):
+    def test_member_change_prevents_quiescence(self):
         entry = ListedInstance("d", "z1", "127.0.0.1:9009", False)
         self.fleet.handle("a", InstancesListed((entry,), 0.0))
         self.assertFalse(self.core.quiescent)
--- a/endivepick/core/tests/test_zone_status.py
+++ b/endivepick/core/tests/test_zone_status.py
@@ -26,7 +26,7 @@
 
 
 class FixedSources:
-    """What an instance knows, set by the test."""
+    """Inputs of the zone status that the test sets."""
 
     def __init__(self, writer):
         self.status_writer = writer
@@ -51,7 +51,7 @@
     def setUp(self):
         self.now_s = 100.0
 
-    def status(self, writer):
+    def create_status(self, writer):
         self.sources = FixedSources(writer)
         return ZoneStatus(SETTINGS, "a", "north", self.sources)
 
@@ -59,97 +59,97 @@
         self.now_s += after_s
         return status.tick(0.0, self.now_s)
 
-    def call(self, status):
-        """Let time pass until the platform is called."""
+    def next_call(self, status):
+        """Advance time until the platform is called and return the call."""
         for _ in range(1000):
             for action in self.tick(status):
                 if isinstance(action, CallPlatform):
                     return action.call
         raise AssertionError("no call")
 
-    def sent(self, status, duration_s):
+    def collect_sent(self, status, duration_s):
         actions = []
         for _ in range(round(duration_s / 0.05)):
             actions += self.tick(status)
         return [action for action in actions if isinstance(action, SendToPeer)]
 
-    def test_part_goes_to_the_writer_again_before_it_expires(self):
-        status = self.status("b")
-        sent = self.sent(status, SETTINGS.part_expiry_s)
+    def test_status_is_sent_again_before_it_expires(self):
+        status = self.create_status("b")
+        sent = self.collect_sent(status, SETTINGS.part_expiry_s)
         self.assertEqual({action.name for action in sent}, {"b"})
         self.assertGreaterEqual(len(sent), 2)
         self.assertLessEqual(len(sent), 5)
 
-    def test_change_of_state_is_told_soon_and_load_with_the_next_part(self):
-        status = self.status("b")
-        self.sent(status, 1.0)
+    def test_state_change_is_sent_soon_and_load_with_the_next_status(self):
+        status = self.create_status("b")
+        self.collect_sent(status, 1.0)
         target = TargetStatus("leave", "t1", "ready", 0, 0, 2)
         self.sources.part = InstanceStatus("ready", 1.0, (2,), (target,))
-        self.assertEqual(len(self.sent(status, SETTINGS.write_interval_s)), 1)
+        self.assertEqual(len(self.collect_sent(status, SETTINGS.write_interval_s)), 1)
         target = TargetStatus("leave", "t1", "ready", 1, 4, 2)
         self.sources.part = InstanceStatus("ready", 1.0, (2,), (target,))
-        self.assertEqual(self.sent(status, SETTINGS.write_interval_s), [])
-        [action] = self.sent(status, SETTINGS.part_expiry_s / 3)
+        self.assertEqual(self.collect_sent(status, SETTINGS.write_interval_s), [])
+        [action] = self.collect_sent(status, SETTINGS.part_expiry_s / 3)
         self.assertEqual(action.message.targets, (target,))
 
-    def test_new_writer_gets_the_part_at_once(self):
-        status = self.status("b")
-        self.sent(status, 1.0)
+    def test_new_writer_receives_the_status_at_once(self):
+        status = self.create_status("b")
+        self.collect_sent(status, 1.0)
         self.sources.status_writer = "c"
-        [action] = self.sent(status, SETTINGS.write_interval_s)
+        [action] = self.collect_sent(status, SETTINGS.write_interval_s)
         self.assertEqual(action.name, "c")
 
-    def test_writer_reads_and_writes_with_all_parts(self):
-        status = self.status("a")
-        self.assertEqual(self.call(status), ReadObject("status", "north"))
+    def test_writer_reads_and_writes_all_statuses(self):
+        status = self.create_status("a")
+        self.assertEqual(self.next_call(status), ReadObject("status", "north"))
         status.note("b", InstanceStatus("leaving", 2.0, (2,), ()), self.now_s)
         status.answered(ObjectRead(None), 0.0, self.now_s)
-        call = self.call(status)
+        call = self.next_call(status)
         self.assertIsInstance(call, WriteObject)
         self.assertEqual(call.if_version, 0)
         self.assertEqual(call.body["instances"]["a"]["state"], "ready")
         self.assertEqual(call.body["instances"]["b"]["state"], "leaving")
         stored = StoredObject("status", "north", 9, call.body)
         status.answered(ObjectWritten(stored), 0.0, self.now_s)
-        self.assertEqual(self.sent(status, 1.0), [])
+        self.assertEqual(self.collect_sent(status, 1.0), [])
 
-    def test_failed_call_is_followed_by_a_read_after_a_wait(self):
-        status = self.status("a")
-        self.call(status)
+    def test_failed_call_is_followed_by_a_read_after_backoff(self):
+        status = self.create_status("a")
+        self.next_call(status)
         status.answered(CallFailed("outage"), 1.0, self.now_s)
         failed_s = self.now_s
-        self.assertEqual(self.call(status), ReadObject("status", "north"))
+        self.assertEqual(self.next_call(status), ReadObject("status", "north"))
         first_wait_s = self.now_s - failed_s
         status.answered(CallFailed("outage"), 1.0, self.now_s)
         failed_s = self.now_s
-        self.call(status)
+        self.next_call(status)
         self.assertGreater(self.now_s - failed_s, first_wait_s)
 
-    def test_who_no_longer_writes_reads_before_it_writes_again(self):
-        status = self.status("a")
-        self.call(status)
+    def test_former_zone_writer_reads_before_it_writes_again(self):
+        status = self.create_status("a")
+        self.next_call(status)
         status.answered(ObjectRead(None), 0.0, self.now_s)
         self.sources.status_writer = "b"
         self.tick(status)
         self.sources.status_writer = "a"
-        self.assertIsInstance(self.call(status), ReadObject)
+        self.assertIsInstance(self.next_call(status), ReadObject)
 
-    def grouped(self, writer):
-        status = self.status("a")
+    def create_grouped_status(self, writer):
+        status = self.create_status("a")
         self.sources.group = StatusGroup("north", 2, 3, frozenset(MEMBERS), writer)
         return status
 
-    def test_part_goes_to_the_writer_of_the_group(self):
-        status = self.grouped("b")
-        [action] = self.sent(status, SETTINGS.write_interval_s)
+    def test_status_is_sent_to_the_group_writer(self):
+        status = self.create_grouped_status("b")
+        [action] = self.collect_sent(status, SETTINGS.write_interval_s)
         self.assertEqual(action.name, "b")
 
     def test_writer_of_zone_and_group_makes_one_call_at_a_time(self):
-        status = self.grouped("a")
+        status = self.create_grouped_status("a")
         status.note("b", InstanceStatus("ready", 2.0, (2,), ()), self.now_s)
         names, written = [], {}
         for _ in range(4):
-            call = self.call(status)
+            call = self.next_call(status)
             self.assertEqual(
                 [a for a in self.tick(status) if isinstance(a, CallPlatform)], []
             )
@@ -165,17 +165,17 @@
         self.assertEqual(written["north"]["instances"], {})
         self.assertEqual(sorted(written["north.2"]["instances"]), ["a", "b"])
 
-    def test_who_no_longer_writes_for_the_group_reads_before_it_writes_again(self):
-        status = self.grouped("a")
+    def test_former_group_writer_reads_before_it_writes_again(self):
+        status = self.create_grouped_status("a")
         self.sources.status_writer = "c"
-        self.assertEqual(self.call(status), ReadObject("status", "north.2"))
+        self.assertEqual(self.next_call(status), ReadObject("status", "north.2"))
         status.answered(ObjectRead(None), 0.0, self.now_s)
         known, self.sources.group = self.sources.group, None
         self.tick(status)
         self.sources.group = known
-        self.assertEqual(self.call(status), ReadObject("status", "north.2"))
+        self.assertEqual(self.next_call(status), ReadObject("status", "north.2"))
 
     def test_nothing_is_written_without_a_configuration(self):
-        status = self.status(None)
+        status = self.create_status(None)
         actions = [action for _ in range(100) for action in self.tick(status)]
         self.assertEqual(actions, [])
--- a/endivepick/core/zone_status.py
+++ b/endivepick/core/zone_status.py
@@ -1,7 +1,8 @@
-"""Status of a zone: each instance's part, and the instances that write them.
+"""Reporting of instance status to the writer of a zone or group.
 
-In a large zone each group of instances has a writer of its own, and the zone's writer
-keeps the records.  An instance can be both; it makes one call at a time.
+In a large zone each group of instances has its own writer, and the zone's writer
+writes the records.  One instance can be both writers; it makes one platform
+call at a time.
 """
 
 from typing import Protocol
@@ -31,48 +32,48 @@
 )
 from endivepick.records.status_groups import StatusGroup
 
-__all__ = ["StatusSources", "ZoneStatus"]
+__all__ = ["ZoneStatusSources", "ZoneStatus"]
 
 PARTS_PER_EXPIRY = 3
-"""How often a part is sent while it would not expire."""
+"""Number of times that a status is sent within its expiry time."""
 
 
-class StatusSources(Protocol):
-    """What the status is made from."""
+class ZoneStatusSources(Protocol):
+    """Inputs for the status of the zone."""
 
     @property
     def status_writer(self) -> str | None:
-        """Instance that writes the status of the zone; None if none may yet."""
+        """Name of the instance that writes the zone status; None if not known yet."""
 
     @property
     def group(self) -> StatusGroup | None:
-        """Group of this instance; None in a zone that needs no groups."""
+        """Status group of this instance; None if the zone is not split into groups."""
 
     def own_part(self) -> InstanceStatus:
-        """Return what this instance tells about itself and its targets."""
+        """Return the status of this instance and the targets of its services."""
 
     def view(self) -> StatusView:
-        """Return what this instance knows about the zone."""
+        """Return the records in force and the members of the zone."""
 
     def group_view(self) -> StatusView:
-        """Return what this instance knows about its group."""
+        """Return the members for the status rows of the group."""
 
 
 class ZoneStatus:
-    """Sends this instance's part to the writer, or writes for the zone.
+    """Sends this instance's status to a writer, or acts as a writer itself.
 
     Parameters
     ----------
     settings : StatusSettings
-        Rates.
+        Intervals and expiry times.
     name, zone : str
         Name and availability zone of this instance.
-    sources : StatusSources
-        What the status is made from.
+    sources : ZoneStatusSources
+        Inputs for the status.
     """
 
     def __init__(
-        self, settings: StatusSettings, name: str, zone: str, sources: StatusSources
+        self, settings: StatusSettings, name: str, zone: str, sources: ZoneStatusSources
     ) -> None:
         self._settings = settings
         self._name = name
@@ -80,47 +81,48 @@
         self._sources = sources
         self._zone_writer = StatusWriter(settings, zone)
         self._group_writer: StatusWriter | None = None
-        self._calling = self._zone_writer
-        self._busy = False
+        self._calling_writer = self._zone_writer
+        self._call_pending = False
         self._backoff = Backoff(BackoffSettings())
-        self._writing = False
-        self._sent: tuple[str, InstanceStatus] | None = None
-        self._sent_at_s = float("-inf")
-        self._next_look_s = float("-inf")
+        self._is_zone_writer = False
+        self._last_sent: tuple[str, InstanceStatus] | None = None
+        self._last_sent_at_s = float("-inf")
+        self._next_check_s = float("-inf")
 
     def note(self, sender: str, part: InstanceStatus, now_s: float) -> None:
-        """Take the part of another instance."""
-        # Roles may change before the part is sent again: both writers keep it.
+        """Record the status of an instance."""
+        # The roles may change before the status is sent again, so both writers
+        # keep it.
         self._zone_writer.note(sender, part, now_s)
         if self._group_writer is not None:
             self._group_writer.note(sender, part, now_s)
 
     def tick(self, random_share: float, now_s: float) -> list[Action]:
-        """Do what is due.
+        """Return the messages and platform calls that are due.
 
         Parameters
         ----------
         random_share : float
-            Random number from 0 to 1 that spreads the writes.
+            Random number from 0 to 1 that spreads the writes over time.
         now_s : float
-            Present time, in seconds.
+            Current time, in seconds.
         """
         writer = self._sources.status_writer
-        if self._writing and writer != self._name:
+        if self._is_zone_writer and writer != self._name:
             self._zone_writer.resign()
-        self._writing = writer == self._name
+        self._is_zone_writer = writer == self._name
         if writer is None:
             return []
         group = self._sources.group
-        self._take_group(group)
+        self._update_group_writer(group)
         actions: list[Action] = []
-        if now_s >= self._next_look_s:
-            self._next_look_s = now_s + self._settings.write_interval_s
-            actions += self._tell(writer, group, now_s)
-        return actions + self._write(random_share, now_s)
+        if now_s >= self._next_check_s:
+            self._next_check_s = now_s + self._settings.write_interval_s
+            actions += self._send_status(writer, group, now_s)
+        return actions + self._step_writers(random_share, now_s)
 
-    def _take_group(self, group: StatusGroup | None) -> None:
-        """Begin or end to write for the group."""
+    def _update_group_writer(self, group: StatusGroup | None) -> None:
+        """Create or discard the group's writer as the role changes."""
         if group is None or group.writer != self._name:
             self._group_writer = None
             return
@@ -131,10 +133,10 @@
                 self._settings, self._zone, group.object_name, group.slowdown
             )
 
-    def _tell(
+    def _send_status(
         self, zone_writer: str, group: StatusGroup | None, now_s: float
     ) -> list[Action]:
-        """Send the part if it changed, or before the last one expires."""
+        """Send the status if it changed or if the last one would soon expire."""
         writer = group.writer if group else zone_writer
         if writer is None:
             return []
@@ -142,64 +144,64 @@
         if writer == self._name:
             self.note(writer, part, now_s)
             return []
-        news = (writer, _without_load(part))
+        content = (writer, _strip_load(part))
         slowdown = group.slowdown if group else 1.0
-        repeat_s = self._settings.part_expiry_s * slowdown / PARTS_PER_EXPIRY
-        if news == self._sent and now_s - self._sent_at_s < repeat_s:
+        resend_s = self._settings.part_expiry_s * slowdown / PARTS_PER_EXPIRY
+        if content == self._last_sent and now_s - self._last_sent_at_s < resend_s:
             return []
-        self._sent = news
-        self._sent_at_s = now_s
+        self._last_sent = content
+        self._last_sent_at_s = now_s
         return [SendToPeer(writer, part)]
 
-    def _write(self, random_share: float, now_s: float) -> list[Action]:
-        if self._busy:
+    def _step_writers(self, random_share: float, now_s: float) -> list[Action]:
+        if self._call_pending:
             return []
         action = None
-        if self._writing and self._zone_writer.due(now_s):
-            self._calling = self._zone_writer
+        if self._is_zone_writer and self._zone_writer.due(now_s):
+            self._calling_writer = self._zone_writer
             view = self._sources.view()
             action = self._zone_writer.step(view, now_s, random_share)
         writer = self._group_writer
         if action is None and writer and writer.due(now_s):
-            self._calling = writer
+            self._calling_writer = writer
             action = writer.step(self._sources.group_view(), now_s, random_share)
         if action is None:
             return []
-        self._busy = True
-        return [CallPlatform(CallPurpose.STATUS, _call(action))]
+        self._call_pending = True
+        return [CallPlatform(CallPurpose.STATUS, _build_platform_call(action))]
 
     def answered(
         self, answer: PlatformAnswer, random_share: float, now_s: float
     ) -> list[Action]:
-        """Take what came of a call.
+        """Process the result of a platform call.
 
         Parameters
         ----------
         answer : PlatformAnswer
-            What came of it.
+            Result of the call.
         random_share : float
-            Random number from 0 to 1 that spreads the wait after a failure.
+            Random number from 0 to 1 that jitters the backoff after a failure.
         now_s : float
-            Present time, in seconds.
+            Current time, in seconds.
         """
-        self._busy = False
+        self._call_pending = False
         match answer:
             case ObjectRead(stored=stored):
-                self._calling.was_read(stored)
+                self._calling_writer.was_read(stored)
             case ObjectWritten(stored=stored):
                 self._backoff = self._backoff.succeeded()
-                self._calling.was_written(stored)
+                self._calling_writer.was_written(stored)
                 ids = {"record": stored.name, "version": stored.version}
                 return [Log("status", "status_written", "status written", ids)]
             case CallFailed(reason=reason):
                 self._backoff = self._backoff.failed(random_share)
-                self._calling.failed(now_s, self._backoff.wait_s)
-                text = "status not written"
+                self._calling_writer.failed(now_s, self._backoff.wait_s)
+                text = "status write failed"
                 return [Log("status", "status_failed", text, {"reason": reason})]
         return []
 
 
-def _call(action: StatusAction) -> ReadObject | WriteObject:
+def _build_platform_call(action: StatusAction) -> ReadObject | WriteObject:
     match action:
         case ReadStatus(name=name):
             return ReadObject(STATUS_KIND, name)
@@ -207,7 +209,7 @@
             return WriteObject(STATUS_KIND, name, body, if_version)
 
 
-def _without_load(part: InstanceStatus) -> InstanceStatus:
-    """Return the part without what changes with each request."""
+def _strip_load(part: InstanceStatus) -> InstanceStatus:
+    """Return the status without the counts that change with each request."""
     targets = (replace(t, in_progress=0, waiting=0) for t in part.targets)
     return replace(part, targets=tuple(targets))
