--- a/endivepick/core/platform_writers.py
+++ b/endivepick/core/platform_writers.py
@@ -26,7 +26,7 @@
         State of each instance.
     catalog : Catalog
         Keyring in force.
-    sources : InstanceSources
+    sources : InstanceStatusSources
         Inputs for the zone status and key rotation.
     random_number : callable
         Returns a float from 0 (inclusive) to 1 (exclusive).
