--- a/endivepick/bench/_control_slopes.py
+++ b/endivepick/bench/_control_slopes.py
@@ -19,7 +19,7 @@
 )
 from endivepick.bench._slopes import Measured, measure, traced
 from endivepick.core.events import InstancesListed, ObjectsChanged
-from endivepick.core.wire import Envelope, encode_envelope
+from endivepick.core.peer_envelope import Envelope, encode_envelope
 from endivepick.core.zone_status import PARTS_PER_EXPIRY
 from endivepick.daemon.metrics import DaemonMetrics
 from endivepick.daemon.status import instance_status, role_gauges
--- a/endivepick/core/instance.py
+++ b/endivepick/core/instance.py
@@ -4,7 +4,6 @@
 
 from endivepick.core.actions import Action, Count
 from endivepick.core.catalog import Catalog
-from endivepick.core.codec import decode_caller_packet
 from endivepick.core.configuration import Configuration
 from endivepick.core.core_settings import CoreSettings
 from endivepick.core.events import (
@@ -27,13 +26,14 @@
     Tick,
 )
 from endivepick.core.executor import RequestExecutor
+from endivepick.core.flow_owner import FlowOwner
 from endivepick.core.flow_table import FlowTable, Identity
-from endivepick.core.handover import HandOverGiver, HandOverTaker
 from endivepick.core.handover_exchange import HandOverExchange
+from endivepick.core.handover_source import HandOverDestination, HandOverSource
 from endivepick.core.lifecycle import Lifecycle, LifecycleAction
 from endivepick.core.member_actions import MemberActions
-from endivepick.core.open_pings import OpenPings
-from endivepick.core.owner import FlowOwner
+from endivepick.core.membership_peers import MembershipPeers
+from endivepick.core.packet_codec import decode_caller_packet
 from endivepick.core.peer_messages import (
     Forwarded,
     HandOverMessage,
@@ -41,7 +41,7 @@
     RelayedPacket,
     TargetDraining,
 )
-from endivepick.core.peers import MembershipPeers
+from endivepick.core.pending_pings import OpenPings
 from endivepick.core.platform_writers import PlatformWriters
 from endivepick.core.relay import Relay
 from endivepick.core.roles import ServiceRoles
@@ -130,14 +130,14 @@
         self._router = PacketRouter(
             self.me, self._codec, self.table, self.owner, self.relay, self.roles
         )
-        self._giver = HandOverGiver(
+        self._giver = HandOverSource(
             settings.flow,
             self.table,
             self.executor,
             new_id,
             self._choose_successor,
             self.relay.is_lost,
-            self.relay.takes_flows,
+            self.relay.is_valid_successor,
             self._somebody_joins,
             self._peers.ready_names,
         )
@@ -177,7 +177,7 @@
         self._exchange = HandOverExchange(
             self.me,
             self._giver,
-            HandOverTaker(settings.flow, self.table, self.executor),
+            HandOverDestination(settings.flow, self.table, self.executor),
             self.owner,
             self.roles,
             lambda: self.lifecycle.stopping,
@@ -324,7 +324,7 @@
         if now_s >= self._next_expiry_s:
             self._next_expiry_s = now_s + EXPIRY_EVERY_S
             for flow in self.table.expire(now_s):
-                self.executor.flow_removed(flow, now_s)
+                self.executor.unregister_flow(flow, now_s)
         return actions
 
     def _missing(self) -> str:
--- a/endivepick/core/tests/test_roles.py
+++ b/endivepick/core/tests/test_roles.py
@@ -30,14 +30,14 @@
         self.unsettled = set()
         self.asked = 0
 
-    def take_unsettled(self):
+    def pop_ownership_candidates(self):
         unsettled, self.unsettled = self.unsettled, set()
         return unsettled
 
     def owner_name(self, service):
         return "a" if service in self.mine else "b"
 
-    def is_mine(self, service):
+    def is_owned_here(self, service):
         self.asked += 1
         return service in self.mine
 
--- a/endivepick/forwarding/evidence.py
+++ b/endivepick/forwarding/evidence.py
@@ -10,8 +10,8 @@
 from collections.abc import Sequence
 
 from endivepick.forwarding.actions import (
+    DecisionRecord,
     Effect,
-    Note,
     ProbeOutcome,
     ProbeTarget,
     Reset,
@@ -107,8 +107,10 @@
         event, reason = ReachabilityEvent.CALLERS_REPEAT, "callers repeat"
         age_s = now_s - since_s
         return [
-            Note("flow_repeats", flow, belief.name, "no progress", age_s=age_s),
-            *self._registry.reach(belief, event, reason, now_s),
+            DecisionRecord(
+                "flow_repeats", flow, belief.name, "no progress", age_s=age_s
+            ),
+            *self._registry.record_reachability(belief, event, reason, now_s),
             *probe,
         ]
 
@@ -141,7 +143,9 @@
             return []
         age_s = now_s - since_s
         return [
-            Note("opening_unanswered", flow, belief.name, "probed", age_s=age_s),
+            DecisionRecord(
+                "opening_unanswered", flow, belief.name, "probed", age_s=age_s
+            ),
             *probe,
         ]
 
@@ -162,7 +166,7 @@
         if belief.reachability is Reachability.REACHABLE:
             return []
         event = ReachabilityEvent.PROGRESS
-        return [*self._registry.reach(belief, event, "progress", now_s)]
+        return [*self._registry.record_reachability(belief, event, "progress", now_s)]
 
     def on_probe(
         self, belief: TargetBelief, outcome: ProbeOutcome, now_s: float
@@ -170,7 +174,9 @@
         """Take in the outcome of a probe."""
         reason = f"probe: {outcome.value}"
         belief.replaced = outcome is ProbeOutcome.REPLACED
-        changes = self._registry.reach(belief, _PROBE_EVENTS[outcome], reason, now_s)
+        changes = self._registry.record_reachability(
+            belief, _PROBE_EVENTS[outcome], reason, now_s
+        )
         effects: list[Effect] = [*changes, *self.resets(belief)]
         if changes and belief.reachability is Reachability.SILENT:
             effects += self._probe_zone(belief, now_s)
@@ -372,7 +378,7 @@
 
     def _control_of(self, belief: TargetBelief, now_s: float) -> Target | None:
         """Return a target that surely lives, to compare a silent one with."""
-        control = self._flows.progressed_beside(belief)
+        control = self._flows.other_progressing_target(belief)
         if control is None or now_s - control.progress_s > CONTROL_PROGRESS_S:
             return None
         if control.reachability is not Reachability.REACHABLE:
--- a/endivepick/forwarding/fitness.py
+++ b/endivepick/forwarding/fitness.py
@@ -195,13 +195,13 @@
             case Fitness.RETURNING if _is_proved(belief, now_s):
                 self._rests_s.pop(belief.name, None)
                 event = FitnessEvent.PROVED
-                return [*self._registry.judge(belief, event, "tried", now_s)]
+                return [*self._registry.record_fitness(belief, event, "tried", now_s)]
             case Fitness.IMPAIRED if self._has_rested(belief, now_s):
                 counts.good = counts.failed = counts.poor = counts.late = 0.0
                 self.requests.forget_callers(belief.name)
                 self._noted_faults.pop(belief.name, None)
                 event = FitnessEvent.RESTED
-                return [*self._registry.judge(belief, event, "rested", now_s)]
+                return [*self._registry.record_fitness(belief, event, "rested", now_s)]
             case Fitness.IMPAIRED:
                 return self._reset_flows(belief, now_s)
             case Fitness.SOUND if counts.bad < LEAST_TOLD and told is None:
@@ -264,7 +264,7 @@
             return []
         reason = f"evidence {against:.1f}: {_describe(counts, told)}"
         event = FitnessEvent.CONDEMNED
-        changes = self._registry.judge(belief, event, reason, now_s)
+        changes = self._registry.record_fitness(belief, event, reason, now_s)
         return [*changes, *self._reset_flows(belief, now_s)]
 
     def _may_pass_over(self, belief: TargetBelief) -> bool:
