--- a/endivepick/core/catalog.py
+++ b/endivepick/core/catalog.py
@@ -17,11 +17,11 @@
 from endivepick.records.model import ServiceRecord
 from endivepick.records.objects import KEYRING_KIND, KEYRING_NAME, StoredObject
 
-__all__ = ["Catalog", "HeldKeys"]
+__all__ = ["Catalog", "ActiveKeyring"]
 
 
 @dataclass
-class HeldKeys:
+class ActiveKeyring:
     """Token keys in force, replaced as a whole when the keyring changes.
 
     Attributes
@@ -52,9 +52,9 @@
         """Return whether the MAC of ``data`` is valid; False without a keyring."""
         return self.keyring is not None and self.keyring.verify(key_id, data, mac)
 
-    def holds(self, key_id: int) -> bool:
+    def has_key(self, key_id: int) -> bool:
         """Return whether this instance has the key."""
-        return self.keyring is not None and self.keyring.holds(key_id)
+        return self.keyring is not None and self.keyring.has_key(key_id)
 
 
 class Catalog:
@@ -70,7 +70,7 @@
 
     def __init__(self) -> None:
         self.book = ServiceBook()
-        self.keys = HeldKeys()
+        self.keys = ActiveKeyring()
 
     def service(self, name: str) -> ServiceRecord | None:
         """Return the record in force of a service, or None if it is unknown."""
--- a/endivepick/core/configuration.py
+++ b/endivepick/core/configuration.py
@@ -12,7 +12,7 @@
 from endivepick.core.catalog import Catalog
 from endivepick.core.relay import Relay
 from endivepick.core.roles import ServiceRoles
-from endivepick.core.stop_wish import StopRequestFilter
+from endivepick.core.stop_request_filter import StopRequestFilter
 from endivepick.membership import Membership
 from endivepick.records.cache import Change, RecordCache
 from endivepick.records.dissemination import Dissemination
@@ -101,7 +101,7 @@
         self._refused: tuple[RefusedRecord, ...] = ()
 
     @property
-    def missing(self) -> str:
+    def not_ready_reason(self) -> str:
         """Reason why this instance cannot serve yet; empty if it can."""
         if not self.dissemination.ready:
             return "no configuration as new as the peers' yet"
--- a/endivepick/core/instance.py
+++ b/endivepick/core/instance.py
@@ -31,8 +31,8 @@
 from endivepick.core.handover_exchange import HandOverExchange
 from endivepick.core.handover_source import HandOverDestination, HandOverSource
 from endivepick.core.lifecycle import Lifecycle, LifecycleAction
-from endivepick.core.member_actions import MemberActions
 from endivepick.core.membership_peers import MembershipPeers
+from endivepick.core.membership_translator import MembershipActionTranslator
 from endivepick.core.packet_codec import decode_caller_packet
 from endivepick.core.peer_messages import (
     Forwarded,
@@ -46,7 +46,7 @@
 from endivepick.core.relay import Relay
 from endivepick.core.roles import ServiceRoles
 from endivepick.core.router import PacketRouter
-from endivepick.core.status_sources import InstanceSources
+from endivepick.core.status_sources import InstanceStatusSources
 from endivepick.core.token import TokenCodec
 from endivepick.errors import PacketInvalidError, TokenInvalidError
 from endivepick.membership import InstanceView, Membership, PeerState
@@ -155,7 +155,7 @@
             self.roles,
             self._begin_stop,
         )
-        sources = InstanceSources(
+        sources = InstanceStatusSources(
             settings.status,
             settings.name,
             settings.zone,
@@ -171,7 +171,7 @@
         self._writers = PlatformWriters(
             settings, self.membership, self.catalog, sources, self._random_number
         )
-        self._members = MemberActions(
+        self._members = MembershipActionTranslator(
             self._member_changed, self.roles.on_peer_ended, self._begin_leaving
         )
         self._exchange = HandOverExchange(
@@ -239,7 +239,9 @@
                     self.membership.direct_failure(now_s, name), now_s
                 )
             case InstancesListed(entries=entries, age_s=age_s):
-                self._writers.note_listed(frozenset(entry.name for entry in entries))
+                self._writers.set_listed_instances(
+                    frozenset(entry.name for entry in entries)
+                )
                 news = self.membership.on_list(now_s, entries, age_s)
                 return self._members.translate(news, now_s)
             case ObjectsListed(listed=listed):
@@ -276,7 +278,7 @@
             case TargetDraining():
                 return self.roles.on_draining_note(sender.name, event.message, now_s)
             case InstanceStatus():
-                self._writers.note_part(sender.name, event.message, now_s)
+                self._writers.record_instance_status(sender.name, event.message, now_s)
                 return []
             case message if isinstance(message, HandOverMessage | Forwarded):
                 return self._exchange.on_message(sender, message, now_s)
@@ -331,6 +333,6 @@
 
     def _describe_missing(self) -> str:
         """Return why this instance is not ready; empty if nothing is missing."""
-        if self.configuration.missing:
-            return self.configuration.missing
+        if self.configuration.not_ready_reason:
+            return self.configuration.not_ready_reason
         return "" if self.membership.joined else "no peer has answered yet"
--- a/endivepick/core/keyring.py
+++ b/endivepick/core/keyring.py
@@ -95,7 +95,7 @@
             return False
         return hmac.compare_digest(_mac(key.secret, data), mac)
 
-    def holds(self, key_id: int) -> bool:
+    def has_key(self, key_id: int) -> bool:
         """Return whether the keyring has the key; other instances may have it."""
         return key_id in self.keys
 
--- a/endivepick/core/member_actions.py
+++ b/endivepick/core/membership_translator.py
@@ -18,10 +18,10 @@
 )
 from endivepick.membership import Log as MembershipLog
 
-__all__ = ["MemberActions"]
+__all__ = ["MembershipActionTranslator"]
 
 
-class MemberActions:
+class MembershipActionTranslator:
     """Translates the actions of the membership into actions of the core.
 
     Parameters
--- a/endivepick/core/status_sources.py
+++ b/endivepick/core/status_sources.py
@@ -15,7 +15,7 @@
 from endivepick.records.status import READY_STATE, StatusView
 from endivepick.records.status_groups import StatusGroup, shown_rows, status_group
 
-__all__ = ["InstanceSources", "RotationView"]
+__all__ = ["InstanceStatusSources", "RotationView"]
 
 MAX_REPORTED_TARGETS = 64
 """Maximum number of targets in the status of one instance.
@@ -24,7 +24,7 @@
 """
 
 
-class InstanceSources:
+class InstanceStatusSources:
     """Collects status information from the components of the core.
 
     Parameters
@@ -89,7 +89,7 @@
             return None
         return self._dissemination.roles.status_writer
 
-    def own_part(self) -> InstanceStatus:
+    def build_own_status(self) -> InstanceStatus:
         """Return the status of this instance and the targets of its services."""
         targets = [
             t for name in self._roles.owned for t in self._build_target_statuses(name)
@@ -174,7 +174,7 @@
     """
 
     def __init__(
-        self, name: str, membership: Membership, sources: InstanceSources
+        self, name: str, membership: Membership, sources: InstanceStatusSources
     ) -> None:
         self._name = name
         self._membership = membership
--- a/endivepick/core/tests/test_keyring.py
+++ b/endivepick/core/tests/test_keyring.py
@@ -63,7 +63,7 @@
         self.assertTrue(kept.verify(key_id, b"x", mac))
         without_expired = retire_old(twice, ROTATION, 161.0 + LIFETIME_S)
         self.assertEqual(sorted(without_expired.keys), [2, 3])
-        self.assertFalse(without_expired.holds(key_id))
+        self.assertFalse(without_expired.has_key(key_id))
         self.assertFalse(without_expired.verify(key_id, b"x", mac))
 
     def test_concurrent_rotations_add_one_key(self):
--- a/endivepick/core/zone_status.py
+++ b/endivepick/core/zone_status.py
@@ -32,9 +32,9 @@
 )
 from endivepick.records.status_groups import StatusGroup
 
-__all__ = ["ZoneStatusSources", "ZoneStatus"]
+__all__ = ["ZoneStatusSources", "ZoneStatusReporter"]
 
-PARTS_PER_EXPIRY = 3
+STATUS_SENDS_PER_EXPIRY = 3
 """Number of times that a status is sent within its expiry time."""
 
 
@@ -49,7 +49,7 @@
     def group(self) -> StatusGroup | None:
         """Status group of this instance; None if the zone is not split into groups."""
 
-    def own_part(self) -> InstanceStatus:
+    def build_own_status(self) -> InstanceStatus:
         """Return the status of this instance and the targets of its services."""
 
     def view(self) -> StatusView:
@@ -59,7 +59,7 @@
         """Return the members for the status rows of the group."""
 
 
-class ZoneStatus:
+class ZoneStatusReporter:
     """Sends this instance's status to a writer, or acts as a writer itself.
 
     Parameters
@@ -140,13 +140,13 @@
         writer = group.writer if group else zone_writer
         if writer is None:
             return []
-        part = self._sources.own_part()
+        part = self._sources.build_own_status()
         if writer == self._name:
             self.note(writer, part, now_s)
             return []
         content = (writer, _strip_load(part))
         slowdown = group.slowdown if group else 1.0
-        resend_s = self._settings.part_expiry_s * slowdown / PARTS_PER_EXPIRY
+        resend_s = self._settings.part_expiry_s * slowdown / STATUS_SENDS_PER_EXPIRY
         if content == self._last_sent and now_s - self._last_sent_at_s < resend_s:
             return []
         self._last_sent = content
--- a/endivepick/tests/compatibility/_kinds.py
+++ b/endivepick/tests/compatibility/_kinds.py
@@ -41,7 +41,7 @@
     def verify(self, key_id, data, mac):
         return True
 
-    def holds(self, key_id):
+    def has_key(self, key_id):
         return True
 
 
