--- a/endivepick/forwarding/awaited.py
+++ b/endivepick/forwarding/awaited.py
@@ -1,4 +1,4 @@
-"""Requests whose answers have to begin by some time."""
+"""Deadlines for the answers to requests in progress."""
 
 from collections import deque
 
@@ -7,49 +7,50 @@
 from endivepick.forwarding.flows import FlowTable, ObservedFlow
 from endivepick.forwarding.model import FlowKey
 
-__all__ = ["AwaitedAnswers"]
+__all__ = ["AnswerDeadlines"]
 
 
-class _Awaited(Struct, frozen=True):
+class _Deadline(Struct, frozen=True):
     flow: FlowKey
     since_s: float
     due_s: float
 
 
-class AwaitedAnswers:
-    """Requests in progress, with the time by which their answers are usually there."""
+class AnswerDeadlines:
+    """Requests in progress with the times from which they are overdue."""
 
     def __init__(self) -> None:
-        self._awaited: deque[_Awaited] = deque()
+        self._pending: deque[_Deadline] = deque()
 
-    def expect(self, flow: FlowKey, since_s: float, due_s: float) -> None:
-        """Await the answer to a request.
+    def add_deadline(self, flow: FlowKey, since_s: float, due_s: float) -> None:
+        """Add the deadline of a request.
 
         Parameters
         ----------
         flow : FlowKey
-            Its flow.
+            Flow of the request.
         since_s : float
-            When it began, in seconds.
+            Start of the request, in seconds.
         due_s : float
-            From when on it is overdue, in seconds.
+            Time from which it is overdue, in seconds.
         """
-        self._awaited.append(_Awaited(flow, since_s, due_s))
+        self._pending.append(_Deadline(flow, since_s, due_s))
 
     def clear(self) -> None:
-        """Await nothing any more."""
-        self._awaited.clear()
+        """Remove all deadlines."""
+        self._pending.clear()
 
-    def take_overdue(self, flows: FlowTable, now_s: float) -> list[ObservedFlow]:
-        """Return flows whose requests are overdue by now, each once."""
+    def pop_overdue(self, flows: FlowTable, now_s: float) -> list[ObservedFlow]:
+        """Remove and return flows whose requests are overdue, each once."""
         overdue = []
-        # Services differ in what is overdue, so the order is nearly that of time.
-        waiting, self._awaited = self._awaited, deque()
-        for awaited in waiting:
-            if awaited.due_s > now_s:
-                self._awaited.append(awaited)
+        # The time until a request is overdue differs by service, so the queue is only
+        # nearly sorted and all entries are checked.
+        waiting, self._pending = self._pending, deque()
+        for deadline in waiting:
+            if deadline.due_s > now_s:
+                self._pending.append(deadline)
                 continue
-            flow = flows.get(awaited.flow)
-            if flow is not None and flow.busy_since_s == awaited.since_s:
+            flow = flows.get(deadline.flow)
+            if flow is not None and flow.busy_since_s == deadline.since_s:
                 overdue.append(flow)
         return overdue
--- a/endivepick/forwarding/belief.py
+++ b/endivepick/forwarding/belief.py
@@ -1,4 +1,4 @@
-"""What an instance believes of one target, and since when."""
+"""Belief of an instance about one target: registry state, reachability and fitness."""
 
 from enum import Enum
 
@@ -23,19 +23,20 @@
 
 
 class TargetState(Enum):
-    """What the registry says of a target, with the doubt that an outage adds.
+    """State of a target by its registry entry.
 
     Attributes
     ----------
     READY, DRAINING
-        As the entry says.
+        Phase in the entry.
     UNREADABLE
-        The entry cannot be read any more.  It names no target to use, so no new flow
-        goes there; the target may live, so open flows go on.
+        The entry cannot be decoded any more.  It names no usable target, so new flows
+        avoid it; the target may be alive, so open flows are kept.
     LAPSED
-        The entry vanished while the target was ready; it may return.
+        The entry was removed while the target was ready; it may return, as after an
+        outage of the store.
     GONE
-        It left, or did not return in time.
+        The target left, or its entry did not return in time.
     """
 
     READY = "ready"
@@ -50,7 +51,7 @@
 
 
 class TargetEvent(Enum):
-    """What changes what the registry says of a target."""
+    """Event that changes the state of a target."""
 
     ENTRY_READY = "entry_ready"
     ENTRY_DRAINING = "entry_draining"
@@ -62,16 +63,16 @@
 
 
 class Reachability(Enum):
-    """What packets and probes say of a target.
+    """Reachability of a target by packets and probes.
 
     Attributes
     ----------
     REACHABLE
-        Nothing speaks against it.
+        No sign of a failure.
     SUSPECT
-        Callers repeat what it should have acknowledged; a probe is under way.
+        Callers retransmit data that it should have acknowledged; a probe is running.
     SILENT
-        It accepts no connection, nor refuses any: lost power or a partition.
+        It neither accepts nor refuses connections: power loss or a partition.
     DEAD
         Its address refuses connections or belongs to another incarnation.
     """
@@ -87,7 +88,7 @@
 
 
 class ReachabilityEvent(Enum):
-    """What speaks for or against a target."""
+    """Event that changes the reachability of a target."""
 
     CALLERS_REPEAT = "callers_repeat"
     PROGRESS = "progress"
@@ -97,16 +98,17 @@
 
 
 class Fitness(Enum):
-    """Whether a target serves the requests that reach it.
+    """Result of outlier detection for a target.
 
     Attributes
     ----------
     SOUND
-        As well as the others of its service.
+        It serves requests as well as the others of its service.
     IMPAIRED
-        It fails far more of its requests than the others; new flows pass it over.
+        It fails far more of its requests than the others and is ejected: new flows
+        avoid it.
     RETURNING
-        It may have recovered; a trickle of new flows shows whether it has.
+        It may have recovered and is on probation: a small share of new flows tests it.
     """
 
     SOUND = "sound"
@@ -119,7 +121,7 @@
 
 
 class FitnessEvent(Enum):
-    """What speaks for or against the fitness of a target."""
+    """Event that changes the fitness of a target."""
 
     CONDEMNED = "condemned"
     RESTED = "rested"
@@ -141,16 +143,16 @@
 
 
 class RequestCounts(RequestSums, Struct):
-    """What became of requests of late, fading with time.
+    """Outcomes of recent requests, with exponential decay.
 
     Attributes
     ----------
     good, failed, poor, late : float
         As in `RequestSums`.
     at_s : float
-        Up to when they have faded, in seconds.
-    failed_s, poor_s : float
-        When the last one of the kind was noted, in seconds.
+        Time up to which the decay was applied, in seconds.
+    last_failed_s, last_poor_s : float
+        When the last request of the kind was counted, in seconds.
     """
 
     good: float = 0.0
@@ -158,35 +160,35 @@
     poor: float = 0.0
     late: float = 0.0
     at_s: float = 0.0
-    failed_s: float = float("-inf")
-    poor_s: float = float("-inf")
+    last_failed_s: float = float("-inf")
+    last_poor_s: float = float("-inf")
 
     @property
-    def bad_s(self) -> float:
-        """When the last one failed or was answered poorly, in seconds.
+    def last_bad_s(self) -> float:
+        """When the last request failed or had a short answer, in seconds.
 
-        One that was late had failed before.
+        A late request was counted as failed before.
         """
-        return max(self.failed_s, self.poor_s)
+        return max(self.last_failed_s, self.last_poor_s)
 
 
 class TargetBelief(Struct):
-    """What is believed of one incarnation of a target.
+    """Belief about one incarnation of a target.
 
     Attributes
     ----------
     target : Target
-        Its newest entry.
+        Its newest registry entry.
     cookie : int
         Cookie of its flows.
     state : TargetState
-        What the registry says.
+        State by its registry entry.
     state_since_s : float
-        When that began, in seconds of this process.
+        Start of that state, in seconds of this process's clock.
     reachability : Reachability
-        What packets and probes say.
+        Reachability by packets and probes.
     reachability_since_s : float
-        When that began, in seconds.
+        Start of that reachability, in seconds.
     replaced : bool
         Another incarnation answered at its address, so it has ended.
     revision : int
@@ -194,21 +196,21 @@
     cold_until_s : float
         End of its cold start, in seconds.
     flows : int
-        Flows that this instance sees there.
+        Flows to it that this instance observes.
     busy_flows : int
         Those of them with a request in progress.
     progress_s : float
-        When a caller last acknowledged something new of it, in seconds.
+        When a caller last acknowledged new data from it, in seconds.
     probed_s : float
-        When the last probe began, in seconds.
+        Start of the last probe, in seconds.
     hinted_s : float
-        When a peer last said that it does not answer, in seconds.
+        When a peer last reported that it does not answer, in seconds.
     fitness : Fitness
-        Whether it serves the requests that reach it.
+        Result of outlier detection.
     fitness_since_s : float
-        When that began, in seconds.
+        Start of that fitness, in seconds.
     requests : RequestCounts
-        What became of its requests, as seen here.
+        Outcomes of its requests as observed here.
     """
 
     target: Target
@@ -236,7 +238,7 @@
 
     @property
     def doubt(self) -> str:
-        """What speaks against sending packets there, "" if nothing does."""
+        """State, reachability or fitness that degrades the target, "" if none does."""
         if self.state is not TargetState.READY:
             return self.state.value
         if self.reachability is not Reachability.REACHABLE:
@@ -247,7 +249,7 @@
 
     @property
     def doubt_since_s(self) -> float:
-        """When the belief behind the doubt began, in seconds."""
+        """Start of the degrading state, reachability or fitness, in seconds."""
         if self.state is not TargetState.READY:
             return self.state_since_s
         if self.reachability is not Reachability.REACHABLE:
@@ -256,17 +258,17 @@
 
     @property
     def takes_flows(self) -> bool:
-        """Whether the registry lets it take new flows."""
+        """Whether its registry state allows new flows."""
         return self.state in (TargetState.READY, TargetState.LAPSED)
 
 
 class TargetRestart(Struct, frozen=True):
-    """A target has started again under its name.
+    """Restart of a target under the same name.
 
     Attributes
     ----------
     before, after : TargetBelief
-        What is believed of the incarnation that has ended, and of the new one.
+        Beliefs about the previous and the new incarnation.
     """
 
     before: TargetBelief
@@ -274,22 +276,22 @@
 
 
 class BeliefChange(Struct, frozen=True):
-    """A change of what is believed of a target, for logs and the time line.
+    """Change of a belief about a target, for logs and the timeline.
 
     Attributes
     ----------
     target : str
-        Its name.
+        Name of the target.
     service : str
-        Its service.
+        Service of the target.
     before, after : str
-        State or reachability before and after; "" before the first entry.
+        State, reachability or fitness before and after; "" before the first entry.
     reason : str
-        What changed it.
+        Cause of the change.
     age_s : float
         How long the former belief held, in seconds.
     revision : int
-        Revision of the entry that it rests on.
+        Revision of the entry on which the change is based.
     """
 
     target: str
--- a/endivepick/forwarding/comparison.py
+++ b/endivepick/forwarding/comparison.py
@@ -1,4 +1,4 @@
-"""Compares what became of a target's requests with those of the others."""
+"""Compares the request outcomes of a target with those of the other targets."""
 
 from collections.abc import Iterable
 from math import log
@@ -9,85 +9,98 @@
 from endivepick.forwarding.fitness_reports import ServiceCounts
 from endivepick.forwarding.request_sums import RequestSums
 
-__all__ = ["LEAST_SHARE", "ServiceSample", "TargetSums", "evidence_against"]
-
-LEAST_SHARE = 0.2
-"""A target that fails less of its requests is better than a crowd at the others."""
-COMPARED_REQUESTS = 5.0
-"""Requests of other targets without which nothing can be compared."""
-MOST_LEFT_OUT = 0.4
-"""Share of the others' requests that may be left out as those of slow targets."""
-SERVING_WELL = 0.05
-"""Share of overdue requests of those that are left, if the bad ones were left out.
-With more, something befalls all, and the worst of them are so by chance."""
-CHOSEN_COUNT = 0.5
-"""What evidence counts against a rest that was chosen: when something begins to befall
-all, those that it has met first stand out from the rest for a moment."""
+__all__ = ["MIN_BAD_SHARE", "ServiceSample", "TargetSums", "log_likelihood_ratio"]
+
+MIN_BAD_SHARE = 0.2
+"""Share of bad requests below which a target is no outlier: it is still better than
+more load on the others."""
+MIN_BASELINE_REQUESTS = 5.0
+"""Fewest requests of the other targets with which a target is compared."""
+MAX_EXCLUDED_SHARE = 0.4
+"""Largest share of the others' requests that may be excluded as outliers."""
+MAX_HEALTHY_OVERDUE_SHARE = 0.05
+"""Largest share of overdue requests in the baseline that remains after exclusion.
+
+With more, all targets are affected, and the worst of them are so by chance."""
+SELECTED_BASELINE_WEIGHT = 0.5
+"""Weight of a score against a baseline from which outliers were excluded.
+
+When a fault begins to affect all targets, those affected first stand out briefly."""
 PRIOR_FAILED, PRIOR_TOTAL = 0.2, 10.0
-"""Requests that are added to those of the others: some fail anywhere, so few that were
-all good do not mean that none ever fails."""
+"""Pseudo-counts added to the requests of the others.
+
+Some requests fail at any target, so a small sample without failures does not show that
+none ever fail."""
 
 
-def evidence_against(
+def log_likelihood_ratio(
     bad: float, total: float, others_bad: float, others_total: float
 ) -> float:
-    """Return how much speaks against a target, compared with others.
+    """Return the log-likelihood ratio of a target's bad requests.
 
-    It is the logarithm of the likelihood ratio between the target's own share of bad
-    requests and that of the others (a G-test); 0 if it does no worse.
+    It compares the target's own share of bad requests with that of the others (a
+    G-test); 0 if the target does no worse.
+
+    Parameters
+    ----------
+    bad, total : float
+        Bad requests and all requests of the target.
+    others_bad, others_total : float
+        The same for the other targets.
 
     Examples
     --------
-    >>> round(evidence_against(4, 4, 0, 100), 1)
+    >>> round(log_likelihood_ratio(4, 4, 0, 100), 1)
     25.2
-    >>> evidence_against(4, 8, 60, 100)
+    >>> log_likelihood_ratio(4, 8, 60, 100)
     0.0
     """
-    return _evidence(((bad, others_bad),), total, others_total)
+    return _sum_log_likelihood_ratios(((bad, others_bad),), total, others_total)
 
 
-def _evidence(
+def _sum_log_likelihood_ratios(
     kinds: Iterable[tuple[float, float]], total: float, others_total: float
 ) -> float:
-    """Compare several kinds of bad requests at once, each with those of the others.
+    """Return the log-likelihood ratio over several kinds of bad requests.
 
-    Where short answers are usual, a late one still tells as much.
+    Each kind is compared separately, so that a frequent kind, such as short answers,
+    does not hide another, such as late ones.
 
     Parameters
     ----------
     kinds : iterable of tuple of float
-        Requests of each kind, those of the target and of the others.
+        Requests of each kind at the target and at the others.
     total, others_total : float
         All requests of the target and of the others.
     """
-    against, rest, usual_rest = 0.0, 1.0, 1.0
+    ratio, rest, expected_rest = 0.0, 1.0, 1.0
     for bad, others_bad in kinds:
-        usual = (others_bad + PRIOR_FAILED) / (others_total + PRIOR_TOTAL)
+        expected = (others_bad + PRIOR_FAILED) / (others_total + PRIOR_TOTAL)
         share = bad / total if total else 0.0
-        if share > usual:
-            against += bad * log(share / usual)
+        if share > expected:
+            ratio += bad * log(share / expected)
             rest -= share
-            usual_rest -= usual
-    if usual_rest <= 0.0:
+            expected_rest -= expected
+    if expected_rest <= 0.0:
         return 0.0
-    if against and rest > 0.0:
-        against += rest * total * log(rest / usual_rest)
-    return against
+    if ratio and rest > 0.0:
+        ratio += rest * total * log(rest / expected_rest)
+    return ratio
 
 
 class TargetSums(Struct, frozen=True):
-    """Requests of one target, or of several.
+    """Summed requests of one target, or of several.
 
     Attributes
     ----------
     name : str
-        The target; "" of several.
+        Name of the target; "" for several.
     overdue : float
         Requests that failed or were answered late.
     poor : float
-        Those that were answered poorly.
+        Requests with short answers.
     total : float
-        All of them.
+        All requests.
     """
 
     name: str
@@ -97,62 +110,67 @@
 
     @classmethod
     def of(cls, name: str, requests: RequestSums) -> Self:
-        """Return the sums of a target, from wherever its requests were counted."""
+        """Return the sums of a target from any class of request counts."""
         return cls(name, requests.overdue, requests.poor, requests.total)
 
     @property
     def share(self) -> float:
-        """Share of the requests that went badly."""
+        """Share of bad requests."""
         return (self.overdue + self.poor) / self.total if self.total else 0.0
 
     @property
     def overdue_share(self) -> float:
-        """Share of the requests that were overdue."""
+        """Share of overdue requests."""
         return self.overdue / self.total if self.total else 0.0
 
 
 class ServiceSample:
     """Requests of the targets of a service, to compare each with the others.
 
-    The worst of the others are left out if the rest serve in time: where a seventh of
-    the targets turn slow together, each would look usual beside the others.
+    The worst of the others are excluded if the rest answer in time.  Otherwise, where a
+    seventh of the targets become slow together, none would stand out.
 
     Parameters
     ----------
     counts : ServiceCounts
         Requests of all targets.
-    doubted : iterable of TargetSums
-        Targets that something speaks against.
+    suspects : iterable of TargetSums
+        Targets with bad requests.
 
     Examples
     --------
     >>> slow = [TargetSums("i-1", 9, 0, 10), TargetSums("i-2", 8, 0, 10)]
     >>> sample = ServiceSample(ServiceCounts("notes", 100, 18, 18), slow)
-    >>> round(sample.against(slow[0])), sample.against(TargetSums("i-3", 1, 0, 10))
-    (18, 0.0)
+    >>> round(sample.score_target(slow[0]))
+    18
+    >>> sample.score_target(TargetSums("i-3", 1, 0, 10))
+    0.0
     """
 
-    def __init__(self, counts: ServiceCounts, doubted: Iterable[TargetSums]) -> None:
+    def __init__(self, counts: ServiceCounts, suspects: Iterable[TargetSums]) -> None:
         self.counts = counts
-        worst = [each for each in doubted if each.overdue_share >= LEAST_SHARE]
-        self._worst = sorted(worst, key=lambda each: -each.overdue_share)
+        outliers = [each for each in suspects if each.overdue_share >= MIN_BAD_SHARE]
+        self._outliers = sorted(outliers, key=lambda each: -each.overdue_share)
 
-    def against(self, target: TargetSums, least_share: float = LEAST_SHARE) -> float:
-        """Return what speaks against a target; 0 without enough to compare.
+    def score_target(
+        self, target: TargetSums, min_bad_share: float = MIN_BAD_SHARE
+    ) -> float:
+        """Return the log-likelihood ratio of a target; 0 with too few requests.
 
         Parameters
         ----------
         target : TargetSums
-            The target, which the sample counts as well.
-        least_share : float
-            Share of bad requests below which nothing speaks against it.
+            The target, whose requests are part of the sample.
+        min_bad_share : float
+            Share of bad requests below which the score is 0.
         """
         others = self._others(target)
-        if others.total < COMPARED_REQUESTS or target.share < least_share:
+        if others.total < MIN_BASELINE_REQUESTS or target.share < min_bad_share:
             return 0.0
         return max(
-            _compared(target, others),
-            CHOSEN_COUNT * _compared(target, self._without_worst(target, others)),
+            _compare_sums(target, others),
+            SELECTED_BASELINE_WEIGHT
+            * _compare_sums(target, self._without_outliers(target, others)),
         )
 
     def _others(self, target: TargetSums) -> TargetSums:
@@ -164,23 +182,23 @@
             self.counts.total - target.total,
         )
 
-    def _without_worst(self, target: TargetSums, others: TargetSums) -> TargetSums:
-        """Leave out the worst of the others if the rest serve in time."""
+    def _without_outliers(self, target: TargetSums, others: TargetSums) -> TargetSums:
+        """Exclude the worst of the others if the rest answer in time."""
         overdue, poor, total = others.overdue, others.poor, others.total
-        left_out_most = MOST_LEFT_OUT * total
-        for other in self._worst:
+        excludable = MAX_EXCLUDED_SHARE * total
+        for other in self._outliers:
             if other.name == target.name:
                 continue
-            left_out_most -= other.total
-            if left_out_most < 0.0:
+            excludable -= other.total
+            if excludable < 0.0:
                 break
             total -= other.total
             overdue -= other.overdue
             poor -= other.poor
         rest = TargetSums("", max(0.0, overdue), max(0.0, poor), total)
-        return rest if rest.overdue_share <= SERVING_WELL else others
+        return rest if rest.overdue_share <= MAX_HEALTHY_OVERDUE_SHARE else others
 
 
-def _compared(target: TargetSums, others: TargetSums) -> float:
+def _compare_sums(target: TargetSums, others: TargetSums) -> float:
     kinds = ((target.overdue, others.overdue), (target.poor, others.poor))
-    return _evidence(kinds, target.total, others.total)
+    return _sum_log_likelihood_ratios(kinds, target.total, others.total)
--- a/endivepick/forwarding/confirmation.py
+++ b/endivepick/forwarding/confirmation.py
@@ -1,9 +1,9 @@
-"""Whether a target's failures are confirmed well enough to reset its flows.
+"""Confirmation of a target's failures before its flows are reset.
 
-Load pattern: a reset of a flow whose target serves it breaks the caller's connection,
-and a few requests that one instance saw fail may be chance.  So flows are reset only
-for failures that are recent, that several instances or callers have seen, and of which
-most instances of the zone have reported.
+Load pattern: resetting a flow whose target serves it breaks the caller's connection,
+and a few failures seen by one instance may be chance.  Flows are therefore reset only
+for failures that are recent, that several instances or callers have observed, and on
+whose target most instances of the zone have reported.
 """
 
 from enum import Enum
@@ -11,47 +11,54 @@
 from msgspec import Struct
 
 from endivepick.forwarding.belief import RequestCounts, TargetBelief
-from endivepick.forwarding.comparison import LEAST_SHARE
-from endivepick.forwarding.fitness_reports import RESET_FAILED, TargetCounts
+from endivepick.forwarding.comparison import MIN_BAD_SHARE
+from endivepick.forwarding.fitness_reports import MIN_RESET_FAILURES, TargetCounts
 
 __all__ = [
-    "SETTLED_S",
-    "SURE_CALLERS",
+    "MIN_READY_S",
+    "MIN_CONFIRMING_CALLERS",
     "TOLD_S",
     "ConfirmedFault",
     "ZoneEvidence",
     "confirmed_fault",
-    "is_fresh",
-    "is_settled",
+    "has_recent_failure",
+    "is_past_startup",
 ]
 
-FRESH_S = 1.2
-"""Flows are reset while failures are that fresh: with the age of words on them, some
-three seconds after a target has recovered at the latest."""
-FRESH_WORD_S = 1.2
-"""The same for what the zone has told, a little longer than a question is held."""
+RECENT_FAILURE_S = 1.2
+"""Age up to which a failure is recent.
+
+Flows are reset only while failures are recent.  With the age of reports added, resets
+stop about three seconds after a target has recovered at the latest."""
+RECENT_REPORT_S = 1.2
+"""Age up to which a report of the zone is recent; a little longer than the feeder holds
+a long poll."""
 TOLD_S = 2.0
-"""What instances have told counts for so long: one that stands still tells nothing."""
-SETTLED_S = 5.0
-"""How long a target has to be ready before its flows are reset: all instances open
-flows at one that has just started, and its queue grows long."""
-SURE_INSTANCES = 2
-SURE_CALLERS = 3
-"""Instances, or callers of a single one, that have to agree before flows are reset."""
-MOSTLY_OVERDUE = 0.6
-"""Share of requests that are overdue at a slow target.  One that is overrun answers
-those in time that find its queue short, and sheds others at once."""
+"""How long a report is valid; a paused instance sends no new ones."""
+MIN_READY_S = 5.0
+"""How long a target must have been ready before its flows are reset.
+
+All instances open flows at a target that has just started, so its queue grows long."""
+MIN_CONFIRMING_INSTANCES = 2
+MIN_CONFIRMING_CALLERS = 3
+"""Instances, or callers of a single instance, that must observe failures before flows
+are reset."""
+SLOW_OVERDUE_SHARE = 0.6
+"""Share of overdue requests from which a target is slow.
+
+An overloaded target answers requests in time that find its queue short, and sheds
+others at once."""
 
 
 class ConfirmedFault(Enum):
-    """What is confirmed of a target that new flows pass over.
+    """Confirmed fault of an ejected target.
 
     Attributes
     ----------
     NONE
-        Nothing; its flows are left to it.
+        No confirmed fault; its flows are kept.
     SLOW
-        It answers, but most requests far later than others of its service do.
+        It answers most requests far later than the other targets of its service.
     FAILING
         It leaves requests unanswered.
     """
@@ -62,81 +69,94 @@
 
 
 class ZoneEvidence(Struct, frozen=True):
-    """What others than this instance have seen of a target.
+    """Observations of a target beyond this instance's own counts.
 
     Attributes
     ----------
-    told : TargetCounts or None
-        What the zone has seen; None if nothing is heard of it.
-    told_before_s : float
-        How old that is, in seconds.
-    heard_instances : int
-        Instances that the word adds up.
+    target_counts : TargetCounts or None
+        Counts reported by the zone; None without a report of the target.
+    report_age_s : float
+        Age of the report, in seconds.
+    reporting_instances : int
+        Instances that the report sums.
     callers : int
-        Callers of this instance whose requests went badly, up to ``SURE_CALLERS``.
+        Callers of this instance with bad requests there, up to
+        `MIN_CONFIRMING_CALLERS`.
     """
 
-    told: TargetCounts | None
-    told_before_s: float
-    heard_instances: int
+    target_counts: TargetCounts | None
+    report_age_s: float
+    reporting_instances: int
     callers: int
 
 
 def confirmed_fault(
     counts: RequestCounts, evidence: ZoneEvidence, now_s: float
 ) -> ConfirmedFault:
-    """Return what is confirmed of a target that new flows pass over.
+    """Return the confirmed fault of an ejected target.
 
     Parameters
     ----------
     counts : RequestCounts
-        What this instance has seen, faded.
+        Decayed counts of this instance.
     evidence : ZoneEvidence
-        What others have seen.
+        Observations of the zone and of this instance's callers.
     now_s : float
         Present time, in seconds.
     """
-    told = evidence.told
-    if told is not None and _agree(told, evidence):
-        failing, slow = told.sure, told.sure_overdue
-        seen: RequestCounts | TargetCounts = told
-    elif _is_sure_alone(counts, evidence, now_s):
+    reported = evidence.target_counts
+    if reported is not None and _is_confirmed_by_zone(reported, evidence):
+        failing, slow = reported.capped_failed, reported.capped_overdue
+        observed: RequestCounts | TargetCounts = reported
+    elif _is_confirmed_locally(counts, evidence, now_s):
         failing, slow = counts.failed, counts.overdue
-        seen = counts
+        observed = counts
     else:
         return ConfirmedFault.NONE
-    if failing >= RESET_FAILED and seen.failed >= LEAST_SHARE * seen.total:
+    if (
+        failing >= MIN_RESET_FAILURES
+        and observed.failed >= MIN_BAD_SHARE * observed.total
+    ):
         return ConfirmedFault.FAILING
-    if slow >= RESET_FAILED and seen.overdue >= MOSTLY_OVERDUE * seen.total:
+    if (
+        slow >= MIN_RESET_FAILURES
+        and observed.overdue >= SLOW_OVERDUE_SHARE * observed.total
+    ):
         return ConfirmedFault.SLOW
     return ConfirmedFault.NONE
 
 
-def is_settled(belief: TargetBelief, now_s: float) -> bool:
-    """Whether a target has long been there, and is not slow after its start."""
+def is_past_startup(belief: TargetBelief, now_s: float) -> bool:
+    """Whether a target has been ready long enough and its cold start is over."""
     known_s = now_s - belief.state_since_s
-    return known_s >= SETTLED_S and now_s >= belief.cold_until_s
+    return known_s >= MIN_READY_S and now_s >= belief.cold_until_s
 
 
-def is_fresh(counts: RequestCounts, now_s: float) -> bool:
-    """Whether requests have gone badly just now."""
-    return now_s - counts.bad_s <= FRESH_S
+def has_recent_failure(counts: RequestCounts, now_s: float) -> bool:
+    """Whether a request failed or had a short answer recently."""
+    return now_s - counts.last_bad_s <= RECENT_FAILURE_S
 
 
-def _agree(told: TargetCounts, evidence: ZoneEvidence) -> bool:
-    """Whether several instances see requests fail now, and most were heard.
+def _is_confirmed_by_zone(reported: TargetCounts, evidence: ZoneEvidence) -> bool:
+    """Whether several instances observe failures now, and most instances reported.
 
-    Those that happened to see failures would condemn a target by themselves of
-    which most saw nothing but good.
+    Otherwise a few instances that happened to observe failures could confirm a fault of
+    a target that serves most of the zone well.
     """
     return (
-        evidence.told_before_s <= FRESH_WORD_S
-        and told.fresh >= SURE_INSTANCES
-        and 2 * told.reporting >= evidence.heard_instances
+        evidence.report_age_s <= RECENT_REPORT_S
+        and reported.fresh >= MIN_CONFIRMING_INSTANCES
+        and 2 * reported.reporting >= evidence.reporting_instances
     )
 
 
-def _is_sure_alone(counts: RequestCounts, evidence: ZoneEvidence, now_s: float) -> bool:
-    """Whether what is seen here is enough where no other instance is heard."""
-    heard = evidence.told_before_s <= TOLD_S and evidence.heard_instances > 1
-    return not heard and evidence.callers >= SURE_CALLERS and is_fresh(counts, now_s)
+def _is_confirmed_locally(
+    counts: RequestCounts, evidence: ZoneEvidence, now_s: float
+) -> bool:
+    """Whether local observations suffice while no other instance reports."""
+    others_report = evidence.report_age_s <= TOLD_S and evidence.reporting_instances > 1
+    return (
+        not others_report
+        and evidence.callers >= MIN_CONFIRMING_CALLERS
+        and has_recent_failure(counts, now_s)
+    )
--- a/endivepick/forwarding/evidence.py
+++ b/endivepick/forwarding/evidence.py
@@ -1,10 +1,11 @@
-"""Whether a target still lives, judged from callers' packets and from probes.
-
-Load pattern: a target ends without a word while callers hold open flows to it.  Each
-instance sees only some of these flows.  A caller repeats its data after 0.2 s; the
-registry drops the entry after three missed heartbeats, which is seconds later.  One
-repetition is enough to probe, since a probe costs a target about a millisecond of a
-slot; only a probe is enough to reset flows, since packets are lost now and then.
+"""Failure detection of targets from callers' retransmissions and from probes.
+
+Load pattern: a target crashes while callers hold open flows to it.  Each instance
+observes only some of these flows.  A caller retransmits its data after 0.2 s; the
+registry removes the entry after three missed heartbeats, which is seconds later.  One
+retransmission is enough to start a probe, since a probe costs a target about a
+millisecond of a slot.  Only a probe is enough to reset flows, since packets are lost
+occasionally.
 """
 
 from collections.abc import Sequence
@@ -34,16 +35,21 @@
 
 __all__ = ["EvidenceJudge"]
 
-LONGEST_REFUSED_GAP_S = 2.0
-"""Longest time between probes of a target that refuses them.  A partition that resets
-connections looks like that, and flows of live targets are reset until it is noticed."""
-LONGEST_REPLACED_GAP_S = 8.0
-"""The same where another target answers, in whose queue the probes wait."""
-DEAD_SHARE = 0.5
-"""Time between probes of a dead target, as a share of how long it has been dead."""
+MAX_REFUSED_PROBE_GAP_S = 2.0
+"""Longest time between probes of a target that refuses connections.
+
+A partition that resets connections looks the same, and flows of live targets are reset
+until a probe succeeds again."""
+MAX_REPLACED_PROBE_GAP_S = 8.0
+"""Longest time between probes if another incarnation answers at the address, since the
+probes wait in its queue."""
+PROBE_GAP_SHARE = 0.5
+"""Time between probes of a dead target as a share of the time since it was found
+dead."""
 CONTROL_PROGRESS_S = 2.0
-"""A target that made progress so long ago, at the most, is expected to accept
-connections; one that has ended since only lets the probe wait as without it."""
+"""Largest time since the last progress of a target that serves as control of a probe.
+
+If the control has ended since, the probe waits as long as without a control."""
 _DEFAULT_HEALTH_PATH = "/health"
 _PROBE_EVENTS = {
     ProbeOutcome.ALIVE: ReachabilityEvent.PROBE_ALIVE,
@@ -54,16 +60,16 @@
 
 
 class EvidenceJudge:
-    """Turns signs into suspicion, and probes into verdicts.
+    """Suspects targets on missing progress and settles suspicions by probes.
 
     Parameters
     ----------
     settings : ForwardingSettings
-        Gaps between probes.
+        Gaps between probes, and enabled mechanisms.
     registry : TargetRegistry
-        Beliefs that it changes.
+        Beliefs to update.
     flows : FlowTable
-        Flows to reset with a target.
+        Flows to reset when a target fails.
     routes : RouteTable
         Health paths of the services.
     """
@@ -79,21 +85,21 @@
         self._registry = registry
         self._flows = flows
         self._routes = routes
-        self._told_silent: frozenset[SilentTarget] = frozenset()
+        self._reported_silent: frozenset[SilentTarget] = frozenset()
 
     def suspect(
         self, belief: TargetBelief, flow: FlowKey, since_s: float, now_s: float
     ) -> list[Effect]:
-        """Take in that a target owes an answer.
+        """Suspect and probe a target after a caller's retransmission.
 
         Parameters
         ----------
         belief : TargetBelief
             The target.
         flow : FlowKey
-            The flow whose caller repeats itself.
+            The flow whose caller retransmits.
         since_s : float
-            When the data that it has not acknowledged came first, in seconds.
+            When the unacknowledged data was first received, in seconds.
         now_s : float
             Present time, in seconds.
         """
@@ -101,7 +107,7 @@
             return []
         if now_s - since_s < self._settings.repeat_after_s:
             return []
-        probe = self._probe_in_question(belief, since_s, now_s)
+        probe = self._probe_unless_progressed(belief, since_s, now_s)
         if not probe:
             return []
         event, reason = ReachabilityEvent.CALLERS_REPEAT, "callers repeat"
@@ -115,13 +121,13 @@
     def unanswered(
         self, belief: TargetBelief, flow: FlowKey, since_s: float, now_s: float
     ) -> list[Effect]:
-        """Take in that nothing followed an opening: neither a copy nor data.
+        """Probe a target after an opening packet that neither a copy nor data followed.
 
-        Load pattern: a target's process ends while its machine goes on, which resets
-        openings itself.  Callers then try anew on another flow, and no packet tells
-        that until the registry drops the entry some two seconds later.  Where the
-        rest of a flow goes to another instance, the probe finds a live target; one
-        for an opening at most is little beside the flow's requests.
+        Load pattern: a target's process ends while its host keeps running and resets
+        openings itself.  Callers then retry on another flow, and no packet shows the
+        failure until the registry removes the entry about two seconds later.  If the
+        rest of the flow goes to another instance, the probe finds a live target; at
+        most one probe per opening costs little compared with the flow's requests.
 
         Parameters
         ----------
@@ -130,13 +136,13 @@
         flow : FlowKey
             The flow that was opened there.
         since_s : float
-            When its opening packet was passed on, in seconds.
+            When its opening packet was forwarded, in seconds.
         now_s : float
             Present time, in seconds.
         """
         if not self._settings.mechanisms.probe_silent_openings:
             return []
-        probe = self._probe_in_question(belief, since_s, now_s)
+        probe = self._probe_unless_progressed(belief, since_s, now_s)
         if not probe:
             return []
         age_s = now_s - since_s
@@ -146,19 +152,20 @@
         ]
 
     def vanished(self, belief: TargetBelief, now_s: float) -> list[Effect]:
-        """Take in that a target's entry is no longer there.
+        """Probe a target whose registry entry was removed if it has flows here.
 
         Load pattern: after an outage of the store all entries are missing for seconds,
-        and hundreds of instances know them.  Were each to probe all, a target would get
-        hundreds of probes at once, which wait in its queue before requests.  So only
-        flows that are seen here are looked after; new ones find out by themselves.
+        and hundreds of instances know them.  If each probed all targets, a target would
+        get hundreds of probes at once, which wait in its queue ahead of requests.  So
+        only targets with flows at this instance are probed; new flows detect a failure
+        by themselves.
         """
         if belief.reachability is Reachability.DEAD or not belief.flows:
             return []
         return list(self._probe(belief, now_s))
 
     def progress(self, belief: TargetBelief, now_s: float) -> list[Effect]:
-        """Take in that a caller acknowledged something new of a target."""
+        """Mark a target as reachable after a caller acknowledged new data from it."""
         if belief.reachability is Reachability.REACHABLE:
             return []
         event = ReachabilityEvent.PROGRESS
@@ -167,7 +174,7 @@
     def on_probe(
         self, belief: TargetBelief, outcome: ProbeOutcome, now_s: float
     ) -> list[Effect]:
-        """Take in the outcome of a probe."""
+        """Update reachability from the outcome of a probe, and reset flows."""
         reason = f"probe: {outcome.value}"
         belief.replaced = outcome is ProbeOutcome.REPLACED
         changes = self._registry.reach(belief, _PROBE_EVENTS[outcome], reason, now_s)
@@ -177,15 +184,15 @@
         return effects
 
     def resets(self, belief: TargetBelief) -> list[Effect]:
-        """Reset the flows of a target that cannot serve them, and forget them."""
+        """Reset and remove the flows of a target that cannot serve them."""
         effects: list[Effect] = []
-        if not self._resets_now(belief):
+        if not self._may_reset(belief):
             return effects
-        elsewhere = self.has_alternative(belief)
+        alternative_exists = self.has_alternative(belief)
         for flow in self._flows.of_target(belief):
             busy = flow.busy_since_s is not None
-            reason = reset_reason(belief, flow.kind, busy, elsewhere)
-            # The next copy of an opening packet goes to another target by itself.
+            reason = reset_reason(belief, flow.kind, busy, alternative_exists)
+            # The next copy of an opening packet is placed on another target anyway.
             if reason is None or not flow.opened:
                 continue
             reset = Reset(flow.key, flow.acknowledged, reason, belief.name)
@@ -194,38 +201,40 @@
         return effects
 
     def reset_reason(self, belief: TargetBelief, kind: RouteKind) -> ResetReason | None:
-        """Return why a flow with a packet under way is to be reset, None if it is not.
+        """Return why a flow with a packet in transit has to be reset, or None.
 
         Parameters
         ----------
         belief : TargetBelief
             The flow's target.
         kind : RouteKind
-            Whether the flow's requests may be repeated.
+            Whether the flow's requests are idempotent.
         """
-        if not self._resets_now(belief):
+        if not self._may_reset(belief):
             return None
         return reset_reason(belief, kind, True, self.has_alternative(belief))
 
-    def _resets_now(self, belief: TargetBelief) -> bool:
-        """Whether flows of a target may be reset, whatever its state says."""
+    def _may_reset(self, belief: TargetBelief) -> bool:
+        """Whether resets of flows of a target are enabled."""
         if belief.state is TargetState.GONE:
             return True
         return self._settings.mechanisms.reset_unreachable
 
     def restarted(self, restart: TargetRestart, began_s: float) -> list[Effect]:
-        """Reset the flows of an incarnation that has ended.
+        """Reset the flows of the previous incarnation of a restarted target.
 
-        The new one knows none of them and resets each itself when a packet of it
-        comes, but an idle flow whose next request may run once only has lost that
-        request by then.  Flows that may be open at the new one already are left to it.
+        The new incarnation does not know these flows and resets each one when it
+        receives a packet of it, but then the next request of an idle flow is lost if it
+        must not run twice.  Flows that may already be open at the new incarnation are
+        kept.
 
         Parameters
         ----------
         restart : TargetRestart
-            What is believed of the two incarnations.
+            Beliefs about the two incarnations.
         began_s : float
-            No clock allows an earlier start of the new one, in seconds.
+            Earliest possible start of the new incarnation under the allowed clock
+            differences, in seconds.
         """
         effects: list[Effect] = []
         reason = ResetReason.TARGET_RESTARTED
@@ -238,17 +247,17 @@
         return effects
 
     def has_alternative(self, belief: TargetBelief) -> bool:
-        """Whether another target of the service may take flows and is reachable."""
+        """Whether the service has another reachable target that may take flows."""
         candidates = self._registry.candidates(belief.target.service)
         reachable = (*candidates.own, *candidates.others)
         return any(other is not belief for other in reachable)
 
     def hinted(self, belief: TargetBelief, now_s: float) -> list[Effect]:
-        """Take in a peer's word that a target does not answer: see for oneself.
+        """Probe a target that a peer reported as not answering.
 
-        Load pattern: some dozen targets end at once, hundreds of instances are told of
-        each, and another target may have its address by then.  Only those look that
-        have flows there, or whose new flows would go there first.
+        Load pattern: some dozen targets end at once, hundreds of instances receive a
+        hint for each, and another target may use the address by then.  Only instances
+        probe that have flows there or whose new flows would go there first.
         """
         belief.hinted_s = now_s
         if belief.reachability is not Reachability.REACHABLE:
@@ -258,15 +267,16 @@
         return list(self._probe(belief, now_s))
 
     def _is_first_choice(self, belief: TargetBelief) -> bool:
-        """Whether new flows go to targets like this one before others."""
+        """Whether placement prefers targets of this target's zone."""
         if belief.target.zone == self._settings.zone:
             return True
         return not self._registry.candidates(belief.target.service).own
 
     def fell_silent(self, now_s: float) -> list[SilentTarget]:
-        """Return targets of the zone that have just been found silent here.
+        """Return targets of the own zone that were recently found silent here.
 
-        Those of other zones are left out: in a partition they all are.
+        Targets of other zones are left out, since in a partition all of them are
+        silent.
         """
         if not self._settings.mechanisms.tell_silence:
             return []
@@ -279,40 +289,41 @@
         ]
 
     def told_silent(self, silent: Sequence[SilentTarget], now_s: float) -> list[Effect]:
-        """Take in which targets others of the zone have just found silent.
+        """Probe targets that other instances of the zone recently found silent.
 
         Load pattern: many targets lose power at once, and each has flows at a dozen
-        instances.  Each would lose a request of its own before it looks.  Only those
-        with flows there probe, once for each word, so that it costs little if it was
-        the link of the one that told.
+        instances.  Without the report, each instance would lose a request before it
+        probes.  Only instances with flows there probe, once per report, so that the
+        cost is low if the fault was the link of the reporting instance.
 
         Parameters
         ----------
         silent : sequence of SilentTarget
-            The targets.
+            Silent targets of the zone's report.
         now_s : float
             Present time, in seconds.
         """
-        before, self._told_silent = self._told_silent, frozenset(silent)
-        new = [told for told in silent if told not in before]
+        before, self._reported_silent = self._reported_silent, frozenset(silent)
+        new = [reported for reported in silent if reported not in before]
         effects: list[Effect] = []
         if not self._settings.mechanisms.tell_silence:
             return effects
-        for told in new:
-            belief = self._registry.get(told.name)
-            if belief is None or belief.target.born_ms != told.born_ms:
+        for reported in new:
+            belief = self._registry.get(reported.name)
+            if belief is None or belief.target.born_ms != reported.born_ms:
                 continue
             if belief.flows and belief.reachability is Reachability.REACHABLE:
                 effects += self._probe(belief, now_s)
         return effects
 
     def retry_probes(self, now_s: float) -> list[Effect]:
-        """Probe doubtful targets again, as long as they are not gone.
+        """Probe unreachable targets again as long as they are not gone.
 
-        A dead one as well, while its entry is there: a partition that resets
-        connections looks like a process that has ended, and once it was over, flows
-        of live targets were reset for as long as they lasted.  The longer it is dead,
-        the more seldom it is probed, since hundreds of instances do it.
+        A dead target is probed as well while its entry exists: a partition that resets
+        connections looks like a process that has ended, and without probes, flows of
+        live targets would still be reset after the partition.  The gap between probes
+        grows with the time since the target was found dead, since hundreds of instances
+        probe it.
         """
         effects: list[Effect] = []
         for belief in self._registry.unsettled:
@@ -325,21 +336,21 @@
         return effects
 
     def _retry_gap_s(self, belief: TargetBelief, now_s: float) -> float:
-        """Return the time between two probes: half of how long a target is dead."""
+        """Return the time between two probes, which grows while a target is dead."""
         gap_s = self._settings.probe_gap_s
         if belief.reachability is not Reachability.DEAD:
             return gap_s
-        longest_s = LONGEST_REFUSED_GAP_S
+        longest_s = MAX_REFUSED_PROBE_GAP_S
         if belief.replaced:
-            longest_s = LONGEST_REPLACED_GAP_S
+            longest_s = MAX_REPLACED_PROBE_GAP_S
         dead_for_s = now_s - belief.reachability_since_s
-        return max(gap_s, min(DEAD_SHARE * dead_for_s, longest_s))
+        return max(gap_s, min(PROBE_GAP_SHARE * dead_for_s, longest_s))
 
     def _probe_zone(self, silent: TargetBelief, now_s: float) -> list[Effect]:
-        """Probe the other targets of a zone from which one fell silent.
+        """Probe the other targets of a zone after one of them became silent.
 
-        A partition silences a whole zone at once; without this each of its targets
-        is found out only after a request to it was lost.
+        A partition cuts off a whole zone at once; without these probes each of its
+        targets is detected only after a request to it was lost.
         """
         effects: list[Effect] = []
         if not self._settings.mechanisms.probe_silent_zone:
@@ -351,10 +362,10 @@
                 effects += self._probe(belief, now_s)
         return effects
 
-    def _probe_in_question(
+    def _probe_unless_progressed(
         self, belief: TargetBelief, since_s: float, now_s: float
     ) -> list[ProbeTarget]:
-        """Probe a target that counts as reachable but has not shown it since a time."""
+        """Probe a reachable target without progress since a time."""
         if belief.reachability is not Reachability.REACHABLE:
             return []
         if belief.progress_s > since_s:
@@ -368,10 +379,10 @@
         configuration = self._routes.configuration
         paths = {} if configuration is None else configuration.health_paths
         path = paths.get(belief.target.service, _DEFAULT_HEALTH_PATH)
-        return [ProbeTarget(belief.target, path, self._control_of(belief, now_s))]
+        return [ProbeTarget(belief.target, path, self._find_control(belief, now_s))]
 
-    def _control_of(self, belief: TargetBelief, now_s: float) -> Target | None:
-        """Return a target that surely lives, to compare a silent one with."""
+    def _find_control(self, belief: TargetBelief, now_s: float) -> Target | None:
+        """Return a target with recent progress as control of a probe, or None."""
         control = self._flows.progressed_beside(belief)
         if control is None or now_s - control.progress_s > CONTROL_PROGRESS_S:
             return None
@@ -383,37 +394,38 @@
 def _may_finish(belief: TargetBelief) -> bool:
     """Whether a target that refuses connections may have requests in progress.
 
-    One that drains has; one whose entry cannot be read may drain unseen.
+    A draining target may; one whose entry cannot be read may be draining.
     """
     planned = (TargetState.DRAINING, TargetState.UNREADABLE)
     return belief.state in planned and not belief.replaced
 
 
 def reset_reason(
-    belief: TargetBelief, kind: RouteKind, busy: bool, elsewhere: bool
+    belief: TargetBelief, kind: RouteKind, busy: bool, alternative_exists: bool
 ) -> ResetReason | None:
     """Return why a flow of a target has to be reset, None if it has not.
 
-    A dead target answers no flow again.  One that drains is not dead when it refuses
-    connections: it finishes its requests first, and its entry is removed when it has
-    ended; sooner only if another incarnation has its address.  A silent one may answer
-    again, after a partition: its idempotent requests are better repeated elsewhere, if
-    there is a target elsewhere; callers without one are served when the partition ends
-    within their deadline.
-    Other requests may be running and are left alone until the registry gives the
-    target up as well; without a request in progress, the reset lets the next request
-    open a flow that works.
+    * A dead target answers no flow again.
+    * A draining target that refuses connections is not dead: it finishes its requests
+      first, and its entry is removed when it has ended.  It counts as dead earlier only
+      if another incarnation has its address.
+    * A silent target may answer again after a partition.  Its idempotent requests are
+      better retried at another target, if there is one; otherwise callers are served if
+      the partition ends within their deadline.
+    * Other requests may be running at a silent target and are kept until the registry
+      gives the target up as well.  Without a request in progress, the reset lets the
+      next request open a flow that works.
 
     Parameters
     ----------
     belief : TargetBelief
         The target.
     kind : RouteKind
-        Whether the flow's requests may be repeated.
+        Whether the flow's requests are idempotent.
     busy : bool
-        A request may be in progress.
-    elsewhere : bool
-        Another target could serve the flow's requests.
+        Whether a request may be in progress.
+    alternative_exists : bool
+        Whether another target could serve the flow's requests.
     """
     match belief.reachability:
         case Reachability.DEAD if _may_finish(belief):
@@ -422,7 +434,7 @@
             return ResetReason.TARGET_DEAD
         case Reachability.SILENT if belief.state is TargetState.GONE:
             return ResetReason.TARGET_DEAD
-        case Reachability.SILENT if not elsewhere:
+        case Reachability.SILENT if not alternative_exists:
             return None
         case Reachability.SILENT if kind is RouteKind.IDEMPOTENT or not busy:
             return ResetReason.TARGET_SILENT
--- a/endivepick/forwarding/fitness.py
+++ b/endivepick/forwarding/fitness.py
@@ -1,14 +1,15 @@
-"""Whether targets serve the requests that reach them, compared with each other.
-
-Load pattern: some targets of a service take connections and acknowledge data, but leave
-requests unanswered, answer them with errors, or lose their connections.  Probes find
-nothing, and each instance sees few requests of each target.
-
-What is usual is learnt from each service: how long answers take to begin, and how much
-comes first.  A request far beyond that counts against its target.  Whatever befalls all
-targets alike, a burst, a slow instance, flows that move to another instance, counts
-against all of them, so only the difference condemns one.  What the instances of a zone
-see is added up by their feeder.
+"""Outlier detection: ejects targets that fail requests although probes succeed.
+
+Load pattern: some targets of a service accept connections and acknowledge data, but
+leave requests unanswered, answer them with errors, or lose their connections.  Probes
+do not detect this, and each instance observes few requests per target.
+
+The baseline of each service is learnt from its answered requests: the time until an
+answer begins and the size of its first part.  A request far outside the baseline counts
+against its target.  A burst, a slow instance, or flows that move to another instance
+affect all targets alike, so a target is ejected only for the difference between its
+requests and those of the other targets.  The feeder of a zone sums the observations of
+the zone's instances.
 """
 
 from endivepick.forwarding.actions import (
@@ -25,15 +26,15 @@
     TargetBelief,
     TargetState,
 )
-from endivepick.forwarding.comparison import LEAST_SHARE, TargetSums
+from endivepick.forwarding.comparison import MIN_BAD_SHARE, TargetSums
 from endivepick.forwarding.confirmation import (
     ConfirmedFault,
     confirmed_fault,
-    is_fresh,
-    is_settled,
+    has_recent_failure,
+    is_past_startup,
 )
 from endivepick.forwarding.fitness_reports import (
-    LEAST_TOLD,
+    MIN_REPORTED_BAD,
     MOST_TOLD,
     FitnessReport,
     TargetCounts,
@@ -42,41 +43,45 @@
 from endivepick.forwarding.model import RouteKind
 from endivepick.forwarding.registry import TargetRegistry
 from endivepick.forwarding.request_counter import RequestCounter
-from endivepick.forwarding.service_counts import ServiceSamples, faded
+from endivepick.forwarding.service_counts import ServiceSamples, decay
 from endivepick.forwarding.settings import ForwardingSettings
 from endivepick.forwarding.zone_report import ZoneReport
 
 __all__ = ["FitnessJudge"]
 
-ENOUGH_EVIDENCE = 7.0
-"""Logarithm of how much likelier the counts are for a bad target than for one like the
-others, before new flows pass it over; that does no harm if it is by chance."""
-RETURNING_EVIDENCE = 2.0
-"""The same for a target that was condemned just before."""
-STANDING_OUT = 2.0
-"""The same for a target whose late answers do not count as usual."""
-MOST_PASSED_OVER = 0.4
-"""Share of a service's slots that may be passed over; with more, the rest would be
-overrun by what they cannot serve."""
-REST_S = 5.0
-"""How long nothing has to speak against a target before it is tried again."""
-LONGEST_REST_S = 24.0
-TRIAL_S = 2.0
-"""How long a target that returns gets a trickle of flows only, at the least."""
-LONGEST_TRIAL_S = 10.0
-PROOFS = 1.0
-"""Good answers, faded, that end the trial; without, it ends after the longest time."""
+EJECTION_THRESHOLD = 7.0
+"""Log-likelihood ratio, target against the others, from which new flows avoid a target.
+
+A false positive does little harm, since only new flows are affected."""
+PROBATION_EJECTION_THRESHOLD = 2.0
+"""Log-likelihood ratio from which a target on probation is ejected again."""
+OUTLIER_THRESHOLD = 2.0
+"""Log-likelihood ratio from which late answers are kept out of the baseline."""
+MAX_EJECTED_SHARE = 0.4
+"""Largest share of a service's slots that may be ejected.
+
+With more, the remaining targets would be overloaded."""
+EJECTION_TIME_S = 5.0
+"""Time without bad requests before an ejected target goes on probation; doubles with
+each failed probation."""
+MAX_EJECTION_TIME_S = 24.0
+MIN_PROBATION_S = 2.0
+"""Shortest time for which a returning target gets a small share of new flows only."""
+MAX_PROBATION_S = 10.0
+MIN_PROBATION_ANSWERS = 1.0
+"""Decayed count of good answers that ends probation after `MIN_PROBATION_S`; with
+fewer, it ends after `MAX_PROBATION_S`."""
 
 
 class FitnessJudge:
-    """Condemns targets by what becomes of their requests.
+    """Ejects and readmits targets by the outcomes of their requests.
 
     Parameters
     ----------
     settings : ForwardingSettings
-        Whether flows are reset.
+        Mechanisms; they enable or disable the reset of flows.
     registry : TargetRegistry
-        Beliefs that it changes.
+        Beliefs to update.
     flows : FlowTable
         Flows to reset.
     """
@@ -87,53 +92,54 @@
         registry: TargetRegistry,
         flows: FlowTable,
     ) -> None:
-        self._resets = settings.mechanisms.reset_impaired
+        self._resets_enabled = settings.mechanisms.reset_impaired
         self._registry = registry
         self._flows = flows
-        self._rests_s: dict[str, float] = {}
+        self._ejection_times_s: dict[str, float] = {}
         self._noted_faults: dict[str, set[ConfirmedFault]] = {}
         self._zone = ZoneReport(registry)
         self._samples = ServiceSamples(registry)
-        self.requests = RequestCounter(flows, self._zone, self._stands_out)
-        """Counts what packets show of requests."""
+        self.requests = RequestCounter(flows, self._zone, self._is_outlier)
+        """Counts the outcomes of requests."""
 
-    def _stands_out(self, belief: TargetBelief, now_s: float) -> bool:
+    def _is_outlier(self, belief: TargetBelief, now_s: float) -> bool:
         """Whether a target does worse than the others of its service.
 
-        What it makes callers wait for is not usual then: a tenth of a service's targets
-        that turn slow would soon be the usual ones otherwise.
+        Late answers of such a target are kept out of the baseline.  Otherwise a tenth
+        of a service's targets that become slow would soon shift the baseline.
         """
-        counts, told = belief.requests, self._zone.of(belief, now_s)
-        against = self._compared(belief, counts, told, now_s, least_share=0.0)
-        return against >= STANDING_OUT
+        counts, reported = belief.requests, self._zone.get_counts(belief, now_s)
+        score = self._score_target(belief, counts, reported, now_s, min_bad_share=0.0)
+        return score >= OUTLIER_THRESHOLD
 
     def tick(self, now_s: float) -> list[Effect]:
-        """Note what is overdue, and judge targets that something speaks against."""
-        self._samples.renew()
+        """Record overdue requests and evaluate all suspect targets."""
+        self._samples.discard()
         overdue = self.requests.tick(now_s)
         effects: list[Effect] = []
-        for belief in list(self.requests.doubted.values()):
-            effects += self._judge(belief, now_s)
+        for belief in list(self.requests.suspects.values()):
+            effects += self._evaluate(belief, now_s)
         for flow in overdue:
             if self._confirmed_fault(flow.belief, now_s) is ConfirmedFault.FAILING:
                 effects += self._reset_overdue(flow)
         return effects
 
-    # What others of the zone have seen.
+    # Exchange with the other instances of the zone.
 
     def report(self, now_s: float) -> FitnessReport:
-        """Return what was seen here of targets that something speaks against.
+        """Return the counts of suspect targets as observed by this instance.
 
-        Of those that others doubt as well, also if they did well here: otherwise only
-        the instances that happened to see requests fail would be heard.
+        Targets that other instances suspect are included even if they did well here.
+        Otherwise only instances that happened to observe failures would report.
         """
-        asked = {told.name for told in self._zone.targets}
-        doubted = [
+        zone_suspects = {reported.name for reported in self._zone.targets}
+        suspects = [
             belief
-            for belief in self.requests.doubted.values()
-            if faded(belief.requests, now_s).bad >= LEAST_TOLD or belief.name in asked
+            for belief in self.requests.suspects.values()
+            if decay(belief.requests, now_s).bad >= MIN_REPORTED_BAD
+            or belief.name in zone_suspects
         ]
-        doubted.sort(key=lambda belief: -belief.requests.bad)
+        suspects.sort(key=lambda belief: -belief.requests.bad)
         targets = [
             TargetCounts(
                 belief.name,
@@ -141,62 +147,72 @@
                 round(belief.requests.good, 1),
                 round(belief.requests.failed, 1),
                 round(belief.requests.poor, 1),
-                instances=int(belief.requests.bad >= LEAST_TOLD),
-                fresh=int(is_fresh(belief.requests, now_s)),
+                instances=int(belief.requests.bad >= MIN_REPORTED_BAD),
+                fresh=int(has_recent_failure(belief.requests, now_s)),
                 late=round(belief.requests.late, 1),
             )
-            for belief in doubted[:MOST_TOLD]
+            for belief in suspects[:MOST_TOLD]
         ]
-        services = dict.fromkeys(belief.target.service for belief in doubted)
+        services = dict.fromkeys(belief.target.service for belief in suspects)
         return FitnessReport(
             targets,
-            [self._samples.of(service, now_s).counts for service in services],
-            usual=self.requests.tell_usual(),
+            [self._samples.get_sample(service, now_s).counts for service in services],
+            usual=self.requests.export_baselines(),
         )
 
     def take_told(self, report: FitnessReport, now_s: float) -> None:
-        """Take in what the instances of the zone have seen together."""
-        self._zone.take(report, now_s)
-        for told in self._zone.targets:
-            belief = self._registry.get(told.name)
-            if belief is not None and belief.target.born_ms == told.born_ms:
-                self.requests.doubted[told.name] = belief
+        """Store the merged report of the zone's instances."""
+        self._zone.update(report, now_s)
+        for reported in self._zone.targets:
+            belief = self._registry.get(reported.name)
+            if belief is not None and belief.target.born_ms == reported.born_ms:
+                self.requests.suspects[reported.name] = belief
 
     @property
     def doubts(self) -> bool:
-        """Whether something speaks against a target here."""
-        return bool(self.requests.doubted)
+        """Whether any target is suspect here."""
+        return bool(self.requests.suspects)
 
     def alarming(self, now_s: float) -> frozenset[str]:
-        """Return targets that what is known of the zone condemns."""
+        """Return names of targets whose score reaches the ejection threshold."""
         names = []
-        for belief in self.requests.doubted.values():
-            counts, told = faded(belief.requests, now_s), self._zone.of(belief, now_s)
-            if self._against(belief, counts, told, now_s) >= ENOUGH_EVIDENCE:
+        for belief in self.requests.suspects.values():
+            counts, reported = (
+                decay(belief.requests, now_s),
+                self._zone.get_counts(belief, now_s),
+            )
+            if (
+                self._score_if_eligible(belief, counts, reported, now_s)
+                >= EJECTION_THRESHOLD
+            ):
                 names.append(belief.name)
         return frozenset(names)
 
-    # Verdicts.
+    # Ejection and probation.
 
-    def _judge(self, belief: TargetBelief, now_s: float) -> list[Effect]:
+    def _evaluate(self, belief: TargetBelief, now_s: float) -> list[Effect]:
         if self._registry.get(belief.name) is not belief:
             self._forget(belief)
             return []
-        counts = faded(belief.requests, now_s)
-        told = self._zone.of(belief, now_s)
-        against = self._against(belief, counts, told, now_s)
+        counts = decay(belief.requests, now_s)
+        reported = self._zone.get_counts(belief, now_s)
+        score = self._score_if_eligible(belief, counts, reported, now_s)
         match belief.fitness:
-            case Fitness.SOUND if against >= ENOUGH_EVIDENCE:
-                return self._condemn(belief, counts, told, against, now_s)
-            case Fitness.RETURNING if against >= RETURNING_EVIDENCE:
-                rest_s = self._rests_s.get(belief.name, REST_S)
-                self._rests_s[belief.name] = min(2 * rest_s, LONGEST_REST_S)
-                return self._condemn(belief, counts, told, against, now_s)
-            case Fitness.RETURNING if _is_proved(belief, now_s):
-                self._rests_s.pop(belief.name, None)
+            case Fitness.SOUND if score >= EJECTION_THRESHOLD:
+                return self._eject(belief, counts, reported, score, now_s)
+            case Fitness.RETURNING if score >= PROBATION_EJECTION_THRESHOLD:
+                ejection_time_s = self._ejection_times_s.get(
+                    belief.name, EJECTION_TIME_S
+                )
+                self._ejection_times_s[belief.name] = min(
+                    2 * ejection_time_s, MAX_EJECTION_TIME_S
+                )
+                return self._eject(belief, counts, reported, score, now_s)
+            case Fitness.RETURNING if _has_passed_probation(belief, now_s):
+                self._ejection_times_s.pop(belief.name, None)
                 event = FitnessEvent.PROVED
                 return [*self._registry.judge(belief, event, "tried", now_s)]
-            case Fitness.IMPAIRED if self._has_rested(belief, now_s):
+            case Fitness.IMPAIRED if self._is_ejection_over(belief, now_s):
                 counts.good = counts.failed = counts.poor = counts.late = 0.0
                 self.requests.forget_callers(belief.name)
                 self._noted_faults.pop(belief.name, None)
@@ -204,47 +220,49 @@
                 return [*self._registry.judge(belief, event, "rested", now_s)]
             case Fitness.IMPAIRED:
                 return self._reset_flows(belief, now_s)
-            case Fitness.SOUND if counts.bad < LEAST_TOLD and told is None:
+            case Fitness.SOUND if counts.bad < MIN_REPORTED_BAD and reported is None:
                 self._forget(belief)
         return []
 
     def _forget(self, belief: TargetBelief) -> None:
         self.requests.forget(belief.name)
-        self._rests_s.pop(belief.name, None)
+        self._ejection_times_s.pop(belief.name, None)
         self._noted_faults.pop(belief.name, None)
 
-    def _against(
+    def _score_if_eligible(
         self,
         belief: TargetBelief,
         counts: RequestCounts,
-        told: TargetCounts | None,
+        reported: TargetCounts | None,
         now_s: float,
     ) -> float:
-        """Return what speaks against a target, here or in the zone, if it is judged."""
-        if not self._is_judged(belief):
+        """Return the outlier score of a target, 0 if it is not eligible."""
+        if not self._is_eligible(belief):
             return 0.0
-        return self._compared(belief, counts, told, now_s)
+        return self._score_target(belief, counts, reported, now_s)
 
-    def _compared(
+    def _score_target(
         self,
         belief: TargetBelief,
         counts: RequestCounts,
-        told: TargetCounts | None,
+        reported: TargetCounts | None,
         now_s: float,
-        least_share: float = LEAST_SHARE,
+        min_bad_share: float = MIN_BAD_SHARE,
     ) -> float:
         service = belief.target.service
         here = TargetSums.of(belief.name, counts)
-        against = self._samples.of(service, now_s).against(here, least_share)
-        if told is None:
-            return against
-        return max(against, self._zone.against(belief, told, least_share))
+        score = self._samples.get_sample(service, now_s).score_target(
+            here, min_bad_share
+        )
+        if reported is None:
+            return score
+        return max(score, self._zone.score_target(belief, reported, min_bad_share))
 
-    def _is_judged(self, belief: TargetBelief) -> bool:
-        """Whether a target's failures would be its own.
+    def _is_eligible(self, belief: TargetBelief) -> bool:
+        """Whether failures of a target's requests can be attributed to it.
 
-        Those of one that drains, or that cannot be reached, have other reasons; what
-        an instance sees of other zones may be the way there.
+        A draining or unreachable target fails for other reasons, and failures at
+        targets of other zones may be caused by the network between the zones.
         """
         return (
             belief.state is TargetState.READY
@@ -252,49 +270,51 @@
             and belief.target.zone == self._registry.zone
         )
 
-    def _condemn(
+    def _eject(
         self,
         belief: TargetBelief,
         counts: RequestCounts,
-        told: TargetCounts | None,
-        against: float,
+        reported: TargetCounts | None,
+        score: float,
         now_s: float,
     ) -> list[Effect]:
-        if not self._may_pass_over(belief):
+        if not self._may_eject(belief):
             return []
-        reason = f"evidence {against:.1f}: {_describe(counts, told)}"
+        reason = f"evidence {score:.1f}: {_describe_counts(counts, reported)}"
         event = FitnessEvent.CONDEMNED
         changes = self._registry.judge(belief, event, reason, now_s)
         return [*changes, *self._reset_flows(belief, now_s)]
 
-    def _may_pass_over(self, belief: TargetBelief) -> bool:
+    def _may_eject(self, belief: TargetBelief) -> bool:
         beliefs = [
             each
             for each in self._registry.of_service(belief.target.service)
             if each.takes_flows and each.reachability is Reachability.REACHABLE
         ]
         slots = sum(each.target.slots for each in beliefs)
-        passed = sum(
+        ejected = sum(
             each.target.slots for each in beliefs if each.fitness is not Fitness.SOUND
         )
         if belief.fitness is Fitness.SOUND:
-            passed += belief.target.slots
-        return passed <= MOST_PASSED_OVER * slots
+            ejected += belief.target.slots
+        return ejected <= MAX_EJECTED_SHARE * slots
 
-    def _has_rested(self, belief: TargetBelief, now_s: float) -> bool:
-        last_s = max(belief.requests.bad_s, belief.fitness_since_s)
-        if self._zone.of(belief, now_s) is not None:
+    def _is_ejection_over(self, belief: TargetBelief, now_s: float) -> bool:
+        last_s = max(belief.requests.last_bad_s, belief.fitness_since_s)
+        if self._zone.get_counts(belief, now_s) is not None:
             return False
-        return now_s - last_s >= self._rests_s.get(belief.name, REST_S)
+        return now_s - last_s >= self._ejection_times_s.get(
+            belief.name, EJECTION_TIME_S
+        )
 
     # Resets.
 
     def _reset_flows(self, belief: TargetBelief, now_s: float) -> list[Effect]:
-        """Reset flows of a target that surely does not serve what comes on them.
+        """Reset flows of a target whose fault is confirmed.
 
-        Not for answers that are short: a target that refuses requests since it is
-        overrun, as one that has just started, answers like one that errs.  A slow one
-        still answers what it has begun, so only idle flows leave it.
+        Short answers alone do not lead to resets: a target that sheds load, for example
+        just after its start, answers like one that returns errors.  A slow target still
+        answers the requests that it has begun, so only its idle flows are reset.
         """
         fault = self._confirmed_fault(belief, now_s)
         if fault is ConfirmedFault.NONE:
@@ -310,24 +330,24 @@
     def _note_fault(
         self, belief: TargetBelief, fault: ConfirmedFault, now_s: float
     ) -> list[Effect]:
-        """Note each fault of a target once until it is tried again."""
+        """Log each fault of a target once until its next probation."""
         noted = self._noted_faults.setdefault(belief.name, set())
         if fault in noted:
             return []
         noted.add(fault)
-        told = self._zone.of(belief, now_s)
+        reported = self._zone.get_counts(belief, now_s)
         return [
             FaultConfirmed(
                 belief.name,
                 belief.target.service,
                 fault,
-                _describe(belief.requests, told),
-                None if told is None else self._zone.told_before_s(now_s),
+                _describe_counts(belief.requests, reported),
+                None if reported is None else self._zone.report_age_s(now_s),
             )
         ]
 
     def _reset_overdue(self, flow: ObservedFlow) -> list[Effect]:
-        """Reset a flow whose request may be tried elsewhere."""
+        """Reset a flow with an overdue request if the request is idempotent."""
         if flow.kind is not RouteKind.IDEMPOTENT:
             return []
         return self._reset(flow)
@@ -338,36 +358,39 @@
         return [Reset(flow.key, flow.acknowledged, reason, flow.belief.name)]
 
     def _confirmed_fault(self, belief: TargetBelief, now_s: float) -> ConfirmedFault:
-        """Return the fault for which flows of a target may be reset."""
-        if not self._resets or belief.fitness is not Fitness.IMPAIRED:
+        """Return the confirmed fault for which flows of a target may be reset."""
+        if not self._resets_enabled or belief.fitness is not Fitness.IMPAIRED:
             return ConfirmedFault.NONE
-        if not is_settled(belief, now_s):
+        if not is_past_startup(belief, now_s):
             return ConfirmedFault.NONE
-        counts, told = belief.requests, self._zone.of(belief, now_s)
-        if self._against(belief, counts, told, now_s) < ENOUGH_EVIDENCE:
+        counts, reported = belief.requests, self._zone.get_counts(belief, now_s)
+        if (
+            self._score_if_eligible(belief, counts, reported, now_s)
+            < EJECTION_THRESHOLD
+        ):
             return ConfirmedFault.NONE
-        callers = self.requests.callers_of(belief.name)
+        callers = self.requests.count_affected_callers(belief.name)
         evidence = self._zone.evidence(belief, callers, now_s)
         return confirmed_fault(counts, evidence, now_s)
 
 
-def _describe(counts: RequestCounts, told: TargetCounts | None) -> str:
-    """Return what was seen of a target's requests, in words for the log."""
+def _describe_counts(counts: RequestCounts, reported: TargetCounts | None) -> str:
+    """Return the counts of a target's requests as text for the log."""
     text = (
         f"{counts.failed:.1f} failed, {counts.poor:.1f} poor and {counts.late:.1f} "
         f"late of {counts.total:.1f} here"
     )
-    if told is not None:
+    if reported is not None:
         text += (
-            f", {told.failed:.1f}, {told.poor:.1f} and {told.late:.1f} of "
-            f"{told.total:.1f} at {told.instances} instances"
+            f", {reported.failed:.1f}, {reported.poor:.1f} and {reported.late:.1f} of "
+            f"{reported.total:.1f} at {reported.instances} instances"
         )
     return text
 
 
-def _is_proved(belief: TargetBelief, now_s: float) -> bool:
-    """Whether a target that returns has had its trial."""
-    tried_s = now_s - belief.fitness_since_s
-    if belief.requests.good >= PROOFS:
-        return tried_s >= TRIAL_S
-    return tried_s >= LONGEST_TRIAL_S
+def _has_passed_probation(belief: TargetBelief, now_s: float) -> bool:
+    """Whether a returning target has completed its probation."""
+    probation_s = now_s - belief.fitness_since_s
+    if belief.requests.good >= MIN_PROBATION_ANSWERS:
+        return probation_s >= MIN_PROBATION_S
+    return probation_s >= MAX_PROBATION_S
--- a/endivepick/forwarding/fitness_reports.py
+++ b/endivepick/forwarding/fitness_reports.py
@@ -1,60 +1,66 @@
-"""What instances of a zone tell each other of failing requests, and how it adds up."""
+"""Reports on request outcomes that instances of a zone exchange, and their merge."""
 
 from collections.abc import Iterable
 
 from msgspec import Struct, field
 
 from endivepick.forwarding.request_sums import RequestSums
-from endivepick.forwarding.service_usual import MOST_USUAL, UsualCounts, merge_usual
+from endivepick.forwarding.service_usual import (
+    MAX_REPORTED_KINDS,
+    UsualCounts,
+    merge_usual,
+)
 
 __all__ = [
-    "LEAST_TOLD",
+    "MIN_REPORTED_BAD",
     "MOST_TOLD",
-    "RESET_FAILED",
+    "MIN_RESET_FAILURES",
     "FitnessReport",
     "ServiceCounts",
     "SilentTarget",
     "TargetCounts",
     "merge_reports",
-    "usable_report",
+    "sanitize_report",
 ]
 
 MOST_TOLD = 16
-"""Targets that a report names."""
-MOST_OF_ONE = 20.0
-"""Requests of a target that one instance's word counts for at the most."""
-MOST_COUNTED = 1e9
-"""More requests than a zone sees in the time in which counts fade."""
-LEAST_TOLD = 0.5
-"""Bad requests of a target, faded, from which on it is told of."""
-RESET_FAILED = 3.0
-"""Requests that fail at a condemned target before its flows are reset."""
-FAILED_OF_ONE = 1.5
-"""Those of them that one instance's word counts for at the most.  With more, a single
-failure elsewhere would confirm what an instance with a fault of its own says."""
+"""Largest number of targets in a report."""
+MAX_REQUESTS_PER_INSTANCE = 20.0
+"""Largest number of requests of a target that one instance's report contributes."""
+MAX_COUNT = 1e9
+"""Largest valid count; a zone sees fewer requests during the decay time."""
+MIN_REPORTED_BAD = 0.5
+"""Decayed count of bad requests from which a target is reported."""
+MIN_RESET_FAILURES = 3.0
+"""Failed requests at an ejected target from which its flows are reset."""
+MAX_FAILURES_PER_INSTANCE = 1.5
+"""Largest number of failed requests that one instance adds to `MIN_RESET_FAILURES`.
+
+With more, a single failure at another instance would confirm the report of an instance
+with a local fault."""
 
 
 class TargetCounts(RequestSums, Struct, frozen=True, array_like=True):
-    """What became of a target's requests, as instances tell each other.
+    """Outcomes of a target's requests, as exchanged between instances.
 
     Attributes
     ----------
     name : str
-        The target.
+        Name of the target.
     born_ms : int
-        Its incarnation.
+        Start of its incarnation, in Unix milliseconds.
     good, failed, poor, late : float
         As in `RequestSums`.
     instances : int
-        Instances that saw requests fail.
+        Instances that observed bad requests.
     reporting : int
-        Instances that said anything of it.
+        Instances that reported on the target.
     fresh : int
-        Instances that saw requests fail within `FRESH_S`.
-    sure : float
-        Failed requests, of each instance `FAILED_OF_ONE` at the most.
-    sure_overdue : float
-        As ``sure``, of requests that failed or were late.
+        Instances that observed bad requests within `RECENT_FAILURE_S`.
+    capped_failed : float
+        Failed requests, with at most `MAX_FAILURES_PER_INSTANCE` per instance.
+    capped_overdue : float
+        The same for requests that failed or were late.
     """
 
     name: str
@@ -65,9 +71,9 @@
     instances: int = 1
     reporting: int = 1
     fresh: int = 0
-    sure: float = 0.0
+    capped_failed: float = 0.0
     late: float = 0.0
-    sure_overdue: float = 0.0
+    capped_overdue: float = 0.0
 
 
 class ServiceCounts(Struct, frozen=True, array_like=True):
@@ -76,11 +82,11 @@
     Attributes
     ----------
     service : str
-        The service.
+        Name of the service.
     total, bad : float
-        All of them, and those that went badly.
+        All requests, and the bad ones.
     overdue : float
-        Bad ones that failed or were late.
+        Bad requests that failed or were late.
     """
 
     service: str
@@ -89,12 +95,12 @@
     overdue: float = 0.0
 
     @property
-    def possible(self) -> bool:
-        """Whether an instance or a feeder of this build tells this."""
-        return 0.0 <= self.overdue <= self.bad <= self.total <= MOST_COUNTED
+    def is_valid(self) -> bool:
+        """Whether an instance or a feeder of this build can send these counts."""
+        return 0.0 <= self.overdue <= self.bad <= self.total <= MAX_COUNT
 
     def added(self, other: "ServiceCounts") -> "ServiceCounts":
-        """Return the sum of what two instances have seen."""
+        """Return the sum of the counts of two instances."""
         return ServiceCounts(
             self.service,
             self.total + other.total,
@@ -104,14 +110,14 @@
 
 
 class SilentTarget(Struct, frozen=True, array_like=True):
-    """A target of the zone that answers no probe.
+    """Target of the zone that answers no probe.
 
     Attributes
     ----------
     name : str
-        The target.
+        Name of the target.
     born_ms : int
-        Its incarnation.
+        Start of its incarnation, in Unix milliseconds.
     """
 
     name: str
@@ -119,20 +125,20 @@
 
 
 class FitnessReport(Struct, frozen=True):
-    """What an instance, or all of a zone, have seen of late.
+    """Recent observations of an instance, or of all instances of a zone.
 
     Attributes
     ----------
     targets : list of TargetCounts
-        Targets against which something speaks.
+        Suspect targets.
     services : list of ServiceCounts
-        Their services.
+        Services of the suspect targets.
     instances : int
-        Instances that it adds up.
+        Instances that the report sums.
     usual : list of UsualCounts
-        What was usual for requests of late, whether or not a target is doubted.
+        Baselines of recent requests, whether or not a target is suspect.
     silent : list of SilentTarget
-        Targets of the zone that have just fallen silent.
+        Targets of the zone that were recently found silent.
     """
 
     targets: list[TargetCounts]
@@ -143,105 +149,119 @@
 
     @property
     def empty(self) -> bool:
-        """Whether it tells nothing."""
+        """Whether the report has no content."""
         return not (self.targets or self.usual or self.silent)
 
     @property
     def urgent(self) -> bool:
-        """Whether it tells of a target that others should know of soon."""
+        """Whether it names a target that other instances should learn of soon."""
         return bool(self.targets or self.silent)
 
 
 def merge_reports(
     reports: Iterable[FitnessReport], usual: list[UsualCounts] | None = None
 ) -> FitnessReport:
-    """Add up what several instances have seen; each one's word is bounded.
+    """Merge the reports of several instances; the weight of each one is bounded.
 
     Parameters
     ----------
     reports : iterable of FitnessReport
-        What each has seen.
+        One report per instance.
     usual : list of UsualCounts or None
-        What they tell of usual requests, if that was added up just before: it takes
-        most of the time and changes slowly.
+        Merged baselines if they were computed recently: merging them takes most of the
+        time, and they change slowly.
     """
-    told_by_all = list(reports)
+    all_reports = list(reports)
     targets: dict[tuple[str, int], TargetCounts] = {}
     services: dict[str, ServiceCounts] = {}
     silent: dict[SilentTarget, None] = {}
-    for report in told_by_all:
+    for report in all_reports:
         silent |= dict.fromkeys(report.silent[:MOST_TOLD])
-        for told in _usable_targets(report):
-            key = (told.name, told.born_ms)
+        for reported in _valid_targets(report):
+            key = (reported.name, reported.born_ms)
             known = targets.get(key)
-            bounded = _bounded(told)
-            targets[key] = bounded if known is None else _added(known, bounded)
-        for service in _usable_services(report):
+            bounded = _cap_counts(reported)
+            targets[key] = bounded if known is None else _sum_counts(known, bounded)
+        for service in _valid_services(report):
             counts = services.get(service.service)
             services[service.service] = (
                 service if counts is None else counts.added(service)
             )
     if usual is None:
-        usual = merge_usual(each for report in told_by_all for each in report.usual)
-    # One that all asked about and nobody doubts would be asked about for ever.
-    doubted = [told for told in targets.values() if told.bad >= LEAST_TOLD]
-    worst = sorted(doubted, key=lambda told: -told.bad)
+        usual = merge_usual(each for report in all_reports for each in report.usual)
+    # Instances also report on targets of the last merged report.  A target without bad
+    # requests is dropped; otherwise it would be reported forever.
+    suspects = [
+        reported for reported in targets.values() if reported.bad >= MIN_REPORTED_BAD
+    ]
+    worst = sorted(suspects, key=lambda reported: -reported.bad)
     return FitnessReport(
         worst[:MOST_TOLD],
         list(services.values()),
-        len(told_by_all),
+        len(all_reports),
         usual,
         list(silent)[:MOST_TOLD],
     )
 
 
-def usable_report(report: FitnessReport) -> FitnessReport:
-    """Leave out what no instance of this build would tell."""
-    usual = [counts for counts in report.usual if counts.possible]
+def sanitize_report(report: FitnessReport) -> FitnessReport:
+    """Return a report without content that no instance of this build can send."""
+    usual = [counts for counts in report.usual if counts.is_valid]
     return FitnessReport(
-        _usable_targets(report),
-        _usable_services(report),
+        _valid_targets(report),
+        _valid_services(report),
         max(1, report.instances),
-        usual[:MOST_USUAL],
+        usual[:MAX_REPORTED_KINDS],
         report.silent[:MOST_TOLD],
     )
 
 
-def _usable_targets(report: FitnessReport) -> list[TargetCounts]:
-    return [told for told in report.targets if _is_possible(told)][:MOST_TOLD]
+def _valid_targets(report: FitnessReport) -> list[TargetCounts]:
+    return [reported for reported in report.targets if _has_valid_counts(reported)][
+        :MOST_TOLD
+    ]
 
 
-def _usable_services(report: FitnessReport) -> list[ServiceCounts]:
-    return [counts for counts in report.services if counts.possible]
+def _valid_services(report: FitnessReport) -> list[ServiceCounts]:
+    return [counts for counts in report.services if counts.is_valid]
 
 
-def _is_possible(told: TargetCounts) -> bool:
+def _has_valid_counts(reported: TargetCounts) -> bool:
     counts = (
-        *(told.good, told.failed, told.poor),
-        *(told.instances, told.reporting, told.fresh, told.sure),
-        *(told.late, told.sure_overdue),
+        *(reported.good, reported.failed, reported.poor),
+        *(
+            reported.instances,
+            reported.reporting,
+            reported.fresh,
+            reported.capped_failed,
+        ),
+        *(reported.late, reported.capped_overdue),
     )
-    return all(0 <= count <= MOST_COUNTED for count in counts)
+    return all(0 <= count <= MAX_COUNT for count in counts)
 
 
-def _bounded(told: TargetCounts) -> TargetCounts:
-    share = min(1.0, MOST_OF_ONE / told.total) if told.total > 0 else 0.0
+def _cap_counts(reported: TargetCounts) -> TargetCounts:
+    share = (
+        min(1.0, MAX_REQUESTS_PER_INSTANCE / reported.total)
+        if reported.total > 0
+        else 0.0
+    )
     return TargetCounts(
-        told.name,
-        told.born_ms,
-        told.good * share,
-        told.failed * share,
-        told.poor * share,
-        instances=min(told.instances, 1),
+        reported.name,
+        reported.born_ms,
+        reported.good * share,
+        reported.failed * share,
+        reported.poor * share,
+        instances=min(reported.instances, 1),
         reporting=1,
-        fresh=min(told.fresh, 1),
-        sure=min(told.failed, FAILED_OF_ONE),
-        late=told.late * share,
-        sure_overdue=min(told.overdue, FAILED_OF_ONE),
+        fresh=min(reported.fresh, 1),
+        capped_failed=min(reported.failed, MAX_FAILURES_PER_INSTANCE),
+        late=reported.late * share,
+        capped_overdue=min(reported.overdue, MAX_FAILURES_PER_INSTANCE),
     )
 
 
-def _added(first: TargetCounts, second: TargetCounts) -> TargetCounts:
+def _sum_counts(first: TargetCounts, second: TargetCounts) -> TargetCounts:
     return TargetCounts(
         first.name,
         first.born_ms,
@@ -251,7 +271,7 @@
         instances=first.instances + second.instances,
         reporting=first.reporting + second.reporting,
         fresh=first.fresh + second.fresh,
-        sure=first.sure + second.sure,
+        capped_failed=first.capped_failed + second.capped_failed,
         late=first.late + second.late,
-        sure_overdue=first.sure_overdue + second.sure_overdue,
+        capped_overdue=first.capped_overdue + second.capped_overdue,
     )
--- a/endivepick/forwarding/pauses.py
+++ b/endivepick/forwarding/pauses.py
@@ -1,29 +1,29 @@
-"""Whether this instance has stood still, so that what it sees says nothing of targets.
+"""Detection of pauses of this process, after which its observations are invalid.
 
-Load pattern: an instance is suspended for seconds while the fabric hands its flows to
-others.  When it goes on, packets are read that waited in its socket and that callers
-have repeated elsewhere since; their answers are acknowledged there.  Counted as
-unanswered, they would condemn a target that serves all of them.
+Load pattern: an instance is suspended for seconds while the fabric routes its flows to
+other instances.  When it resumes, it reads packets that waited in its socket.  Callers
+have retransmitted them through other instances since, where the answers were
+acknowledged.  Counted as unanswered, these requests would eject a target that serves
+all of them.
 """
 
-__all__ = ["BACKLOG_S", "PAUSE_S", "PauseWatch"]
+__all__ = ["BACKLOG_S", "PAUSE_S", "PauseDetector"]
 
 PAUSE_S = 1.0
-"""A tick that comes so much later than the one before shows that this process stood
-still."""
+"""Gap between two ticks that shows a pause of this process."""
 BACKLOG_S = 0.5
-"""How long after a pause packets may come that have waited."""
+"""How long after a pause packets may be read that waited in the socket."""
 
 
-class PauseWatch:
-    """Finds pauses by the time between ticks.
+class PauseDetector:
+    """Detects pauses by the time between ticks.
 
     Examples
     --------
-    >>> watch = PauseWatch()
-    >>> watch.tick(1.0), watch.tick(4.0)
+    >>> pauses = PauseDetector()
+    >>> pauses.tick(1.0), pauses.tick(4.0)
     (False, True)
-    >>> watch.backlog(4.1), watch.backlog(6.0 - PAUSE_S)
+    >>> pauses.is_backlog(4.1), pauses.is_backlog(6.0 - PAUSE_S)
     (True, False)
     """
 
@@ -32,21 +32,21 @@
         self._resumed_s = float("-inf")
 
     def tick(self, now_s: float) -> bool:
-        """Take in that time passed; returns whether this process stood still.
+        """Record a tick and return whether this process was paused before it.
 
         Parameters
         ----------
         now_s : float
             Present time, in seconds.
         """
-        stood_still = self._is_late(now_s)
-        if stood_still:
+        was_paused = self._is_late(now_s)
+        if was_paused:
             self._resumed_s = now_s
         self._ticked_s = now_s
-        return stood_still
+        return was_paused
 
-    def backlog(self, now_s: float) -> bool:
-        """Whether packets that are read now may have waited in a pause.
+    def is_backlog(self, now_s: float) -> bool:
+        """Whether packets read now may have waited during a pause.
 
         Parameters
         ----------
--- a/endivepick/forwarding/request_counter.py
+++ b/endivepick/forwarding/request_counter.py
@@ -1,15 +1,15 @@
-"""What becomes of requests, counted from the packets that pass this instance."""
+"""Counts of request outcomes, derived from the packets that pass this instance."""
 
 from collections.abc import Callable
 
-from endivepick.forwarding.awaited import AwaitedAnswers
+from endivepick.forwarding.awaited import AnswerDeadlines
 from endivepick.forwarding.belief import TargetBelief
-from endivepick.forwarding.confirmation import SURE_CALLERS
+from endivepick.forwarding.confirmation import MIN_CONFIRMING_CALLERS
 from endivepick.forwarding.flows import FlowTable, ObservedFlow
-from endivepick.forwarding.pauses import PauseWatch
-from endivepick.forwarding.service_counts import faded
-from endivepick.forwarding.service_usual import ServiceUsual, UsualCounts
-from endivepick.forwarding.usual import UsualRequests
+from endivepick.forwarding.pauses import PauseDetector
+from endivepick.forwarding.service_counts import decay
+from endivepick.forwarding.service_usual import ServiceBaselines, UsualCounts
+from endivepick.forwarding.usual import RequestBaseline
 from endivepick.forwarding.zone_report import ZoneReport
 
 __all__ = ["RequestCounter"]
@@ -21,11 +21,11 @@
     Parameters
     ----------
     flows : FlowTable
-        Flows on which they come.
+        Flows of the requests.
     zone : ZoneReport
-        What is usual in the zone, where this instance does not know it yet.
-    stands_out : callable
-        Tells whether a target does worse than the others of its service at a time, in
+        Baselines of the zone, used until this instance has learnt its own.
+    is_outlier : callable
+        Whether a target does worse than the others of its service at a time, in
         seconds.
     """
 
@@ -33,34 +33,36 @@
         self,
         flows: FlowTable,
         zone: ZoneReport,
-        stands_out: Callable[[TargetBelief, float], bool],
+        is_outlier: Callable[[TargetBelief, float], bool],
     ) -> None:
         self._flows = flows
         self._zone = zone
-        self._stands_out = stands_out
-        self._usual = ServiceUsual()
-        self._awaited = AwaitedAnswers()
-        self._pauses = PauseWatch()
+        self._is_outlier = is_outlier
+        self._baselines = ServiceBaselines()
+        self._deadlines = AnswerDeadlines()
+        self._pauses = PauseDetector()
         self._callers: dict[str, set[int]] = {}
-        self.doubted: dict[str, TargetBelief] = {}
-        """Targets that something speaks against, by name."""
+        self.suspects: dict[str, TargetBelief] = {}
+        """Targets with bad requests here or in the zone, by name."""
 
     def began(self, flow: ObservedFlow, now_s: float) -> None:
-        """Take in that a request has begun on a flow."""
+        """Record the start of a request on a flow."""
         flow.overdue = False
-        if self._pauses.backlog(now_s):
+        if self._pauses.is_backlog(now_s):
             return
-        usual = self._usual_of(flow)
-        if usual is not None:
-            self._awaited.expect(flow.key, now_s, now_s + usual.overdue_s())
+        baseline = self._find_baseline(flow)
+        if baseline is not None:
+            self._deadlines.add_deadline(
+                flow.key, now_s, now_s + baseline.overdue_after_s()
+            )
 
     def answered(
         self, flow: ObservedFlow, waited_s: float, size_bytes: int, now_s: float
     ) -> None:
-        """Take in that an answer has begun.
+        """Record the start of an answer.
 
-        Of a flow that is answered shortly from its first request on, only the first
-        answer counts: its caller may ask for little, and all its requests go to one
+        If a flow has had only short answers since its first request, only the first one
+        counts: its caller may request little data, and all its requests go to one
         target.
 
         Parameters
@@ -70,55 +72,55 @@
         waited_s : float
             Time since its request, in seconds.
         size_bytes : int
-            What the caller has of the answer.
+            Bytes of the answer that the caller has acknowledged.
         now_s : float
             Present time, in seconds.
         """
-        if self._pauses.backlog(now_s):
+        if self._pauses.is_backlog(now_s):
             return
-        usual = self._usual_of(flow)
-        short = usual is not None and usual.is_short(size_bytes)
+        baseline = self._find_baseline(flow)
+        short = baseline is not None and baseline.is_short(size_bytes)
         late, flow.overdue = flow.overdue, False
-        told_before = flow.answered and not flow.served
+        counted_before = flow.answered and not flow.served
         flow.answered = True
         flow.served = flow.served or not short
-        counts = faded(flow.belief.requests, now_s)
+        counts = decay(flow.belief.requests, now_s)
         if late:
             counts.failed = max(0.0, counts.failed - 1.0)
-        if not (short and told_before):
+        if not (short and counted_before):
             self._count_answer(flow, late, short, now_s)
-        if not late or not self._stands_out(flow.belief, now_s):
+        if not late or not self._is_outlier(flow.belief, now_s):
             service = flow.belief.target.service
-            self._usual.add(service, flow.kind, waited_s, size_bytes)
+            self._baselines.add(service, flow.kind, waited_s, size_bytes)
 
     def tick(self, now_s: float) -> list[ObservedFlow]:
-        """Let time pass; returns flows whose requests have become overdue."""
+        """Record overdue requests and return their flows."""
         if self._pauses.tick(now_s):
             self._forget_requests()
-        overdue = self._awaited.take_overdue(self._flows, now_s)
+        overdue = self._deadlines.pop_overdue(self._flows, now_s)
         for flow in overdue:
             flow.overdue = True
-            counts = faded(flow.belief.requests, now_s)
-            self._doubt(flow)
+            counts = decay(flow.belief.requests, now_s)
+            self._add_suspect(flow)
             counts.failed += 1.0
-            counts.failed_s = now_s
+            counts.last_failed_s = now_s
         return overdue
 
-    def tell_usual(self) -> list[UsualCounts]:
-        """Return what was usual of late, for the instances of the zone."""
-        return self._usual.tell()
+    def export_baselines(self) -> list[UsualCounts]:
+        """Return the baselines of recent requests for the zone's report."""
+        return self._baselines.to_counts()
 
-    def callers_of(self, name: str) -> int:
-        """Return how many callers' requests went badly at a target, up to a limit."""
+    def count_affected_callers(self, name: str) -> int:
+        """Return the number of callers with bad requests at a target, up to a limit."""
         return len(self._callers.get(name, ()))
 
     def forget_callers(self, name: str) -> None:
-        """Forget whose requests went badly at a target."""
+        """Forget the callers with bad requests at a target."""
         self._callers.pop(name, None)
 
     def forget(self, name: str) -> None:
-        """Forget that something spoke against a target."""
-        self.doubted.pop(name, None)
+        """Remove a target from the suspects."""
+        self.suspects.pop(name, None)
         self.forget_callers(name)
 
     def _count_answer(
@@ -127,31 +129,34 @@
         counts = flow.belief.requests
         if short:
             counts.poor += 1.0
-            counts.poor_s = now_s
+            counts.last_poor_s = now_s
         elif late:
             counts.late += 1.0
         else:
             counts.good += 1.0
         if short or late:
-            self._doubt(flow)
+            self._add_suspect(flow)
 
-    def _usual_of(self, flow: ObservedFlow) -> UsualRequests | None:
-        """Return what is usual here, or else in the zone."""
+    def _find_baseline(self, flow: ObservedFlow) -> RequestBaseline | None:
+        """Return the baseline of this instance, or else that of the zone."""
         service = flow.belief.target.service
-        own = self._usual.get(service, flow.kind)
-        return own or self._zone.usual(service, flow.kind)
+        own = self._baselines.get(service, flow.kind)
+        return own or self._zone.get_baseline(service, flow.kind)
 
     def _forget_requests(self) -> None:
-        """Forget what went badly and what is awaited; others may have the answers."""
-        self._awaited.clear()
+        """Clear bad requests and deadlines.
+
+        Other instances may have forwarded the answers.
+        """
+        self._deadlines.clear()
         self._flows.forget_requests()
-        for belief in self.doubted.values():
+        for belief in self.suspects.values():
             counts = belief.requests
             counts.failed = counts.poor = counts.late = 0.0
 
-    def _doubt(self, flow: ObservedFlow) -> None:
+    def _add_suspect(self, flow: ObservedFlow) -> None:
         name = flow.belief.name
-        self.doubted[name] = flow.belief
+        self.suspects[name] = flow.belief
         callers = self._callers.setdefault(name, set())
-        if len(callers) < SURE_CALLERS:
+        if len(callers) < MIN_CONFIRMING_CALLERS:
             callers.add(flow.key.caller_host)
--- a/endivepick/forwarding/request_sums.py
+++ b/endivepick/forwarding/request_sums.py
@@ -1,21 +1,21 @@
-"""How requests of a target are added up, wherever they are counted."""
+"""Sums over the request counts of a target."""
 
 __all__ = ["RequestSums"]
 
 
 class RequestSums:
-    """Sums over the kinds of requests that a counting class has as fields.
+    """Sums over the kinds of requests that a subclass counts in its fields.
 
     Attributes
     ----------
     good : float
-        Answered as is usual.
+        Answered within the baseline.
     failed : float
-        Not answered long after answers usually begin.
+        Not answered until long after the baseline.
     poor : float
-        Answered with far less than is usual: an error.
+        Answered with a far shorter answer than the baseline, which indicates an error.
     late : float
-        Answered as is usual, but far later.
+        Answered with the usual size, but far later than the baseline.
     """
 
     __slots__ = ()
@@ -27,15 +27,15 @@
 
     @property
     def overdue(self) -> float:
-        """Requests that were not answered when answers usually are, also if later."""
+        """Requests without an answer in time, whether or not it came later."""
         return self.failed + self.late
 
     @property
     def bad(self) -> float:
-        """Requests that failed, or were answered poorly or late."""
+        """Requests that failed, or had a short or late answer."""
         return self.failed + self.poor + self.late
 
     @property
     def total(self) -> float:
-        """All requests that count."""
+        """All counted requests."""
         return self.good + self.bad
--- a/endivepick/forwarding/service_counts.py
+++ b/endivepick/forwarding/service_counts.py
@@ -1,4 +1,4 @@
-"""What this instance has seen of the requests of each service, fading with time."""
+"""Decayed request counts of each service as observed by this instance."""
 
 from math import exp
 
@@ -7,20 +7,22 @@
 from endivepick.forwarding.fitness_reports import ServiceCounts
 from endivepick.forwarding.registry import TargetRegistry
 
-__all__ = ["ServiceSamples", "faded"]
+__all__ = ["ServiceSamples", "decay"]
 
-FADE_S = 2.0
-"""Time in which counts fade to a third; long enough for some requests of each target
-within a zone, short enough that what one did before it failed soon counts little."""
-VALID_S = 0.1
-"""How long the requests of a service, once added up, may serve for comparisons."""
+DECAY_TIME_S = 2.0
+"""Time constant of the decay, in which counts fall to about a third.
 
+Long enough for some requests of each target within a zone, short enough that requests
+before a failure soon count little."""
+SAMPLE_VALID_S = 0.1
+"""How long the summed requests of a service are reused for comparisons."""
 
-def faded(counts: RequestCounts, now_s: float) -> RequestCounts:
-    """Let counts fade up to now, in place; return them."""
+
+def decay(counts: RequestCounts, now_s: float) -> RequestCounts:
+    """Apply the exponential decay up to a time, in place, and return the counts."""
     passed_s = now_s - counts.at_s
     if passed_s > 0:
-        kept = exp(-passed_s / FADE_S)
+        kept = exp(-passed_s / DECAY_TIME_S)
         counts.good *= kept
         counts.failed *= kept
         counts.poor *= kept
@@ -30,12 +32,12 @@
 
 
 class ServiceSamples:
-    """Adds up the requests of each service's targets in the zone, when asked for.
+    """Sums the requests of each service's targets in the zone on demand.
 
     Parameters
     ----------
     registry : TargetRegistry
-        Targets, and the zone.
+        Targets, and the zone of this instance.
     """
 
     def __init__(self, registry: TargetRegistry) -> None:
@@ -43,9 +45,9 @@
         self._samples: dict[str, ServiceSample] = {}
         self._taken_s = float("-inf")
 
-    def of(self, service: str, now_s: float) -> ServiceSample:
-        """Return the sample of a service, a fraction of a second old at the most."""
-        if now_s - self._taken_s >= VALID_S:
+    def get_sample(self, service: str, now_s: float) -> ServiceSample:
+        """Return the sample of a service, at most `SAMPLE_VALID_S` old."""
+        if now_s - self._taken_s >= SAMPLE_VALID_S:
             self._samples.clear()
             self._taken_s = now_s
         sample = self._samples.get(service)
@@ -53,8 +55,8 @@
             sample = self._samples[service] = self._take(service, now_s)
         return sample
 
-    def renew(self) -> None:
-        """Take new samples from now on."""
+    def discard(self) -> None:
+        """Discard all samples."""
         self._samples.clear()
 
     def _take(self, service: str, now_s: float) -> ServiceSample:
@@ -62,7 +64,7 @@
         zone = self._registry.zone
         impaired = [b for b in candidates.impaired if b.target.zone == zone]
         sums = [
-            TargetSums.of(belief.name, faded(belief.requests, now_s))
+            TargetSums.of(belief.name, decay(belief.requests, now_s))
             for belief in (*candidates.own, *impaired)
         ]
         overdue = round(sum(each.overdue for each in sums), 1)
--- a/endivepick/forwarding/service_usual.py
+++ b/endivepick/forwarding/service_usual.py
@@ -1,8 +1,8 @@
-"""What is usual for requests of each service, as an instance and its zone have seen it.
+"""Request baselines of each service, learnt by an instance and merged within its zone.
 
-Load pattern: hundreds of instances, each of which sees a few requests a second.  Alone,
-each would need tens of seconds, again after each restart, before it could tell that a
-request is overdue; together, a zone knows within a second.
+Load pattern: hundreds of instances, each of which observes a few requests per second.
+Alone, each would need tens of seconds after every restart before it could detect an
+overdue request; together, the instances of a zone have a baseline within a second.
 """
 
 from collections.abc import Iterable
@@ -10,27 +10,27 @@
 from msgspec import Struct
 
 from endivepick.forwarding.model import RouteKind
-from endivepick.forwarding.usual import Bucket, UsualRequests
+from endivepick.forwarding.usual import Bucket, RequestBaseline
 
-__all__ = ["MOST_USUAL", "ServiceUsual", "UsualCounts", "merge_usual"]
+__all__ = ["MAX_REPORTED_KINDS", "ServiceBaselines", "UsualCounts", "merge_usual"]
 
-MOST_USUAL = 16
-"""Kinds of requests that a report tells of."""
+MAX_REPORTED_KINDS = 16
+"""Largest number of baselines in a report, one per service and kind of request."""
 
 
 class UsualCounts(Struct, frozen=True, array_like=True):
-    """What was usual for requests of one kind, as instances tell each other.
+    """Baseline of requests of one kind, as exchanged between instances.
 
     Attributes
     ----------
     service : str
-        Their service.
+        Service of the requests.
     kind : RouteKind
-        Whether they may be repeated.
+        Whether the requests are idempotent.
     waits : list of Bucket
-        Times until answers began.
+        Histogram of the times until answers began.
     first_bytes : list of Bucket
-        Sizes of what came first.
+        Histogram of the sizes of the first parts of answers.
     """
 
     service: str
@@ -39,12 +39,12 @@
     first_bytes: list[Bucket]
 
     @property
-    def possible(self) -> bool:
-        """Whether an instance of this build tells this."""
-        return all(bucket.possible for bucket in (*self.waits, *self.first_bytes))
+    def is_valid(self) -> bool:
+        """Whether an instance of this build can send these counts."""
+        return all(bucket.is_valid for bucket in (*self.waits, *self.first_bytes))
 
     def bounded(self) -> "UsualCounts":
-        """Return this with no more values than one instance remembers."""
+        """Return the counts limited to the histogram capacity of one instance."""
         return UsualCounts(
             self.service,
             self.kind,
@@ -53,66 +53,75 @@
         )
 
 
-def merge_usual(told: Iterable[UsualCounts]) -> list[UsualCounts]:
-    """Add up what several instances tell; impossible words are left out."""
-    merged = ServiceUsual()
-    for counts in told:
-        if counts.possible:
+def merge_usual(reported: Iterable[UsualCounts]) -> list[UsualCounts]:
+    """Merge the baselines of several instances; invalid ones are left out."""
+    merged = ServiceBaselines()
+    for counts in reported:
+        if counts.is_valid:
             merged.add_counts(counts.bounded())
-    return merged.tell()
+    return merged.to_counts()
 
 
-class ServiceUsual:
-    """Distributions of what is usual, by service and kind of request."""
+class ServiceBaselines:
+    """Baselines by service and kind of request."""
 
     def __init__(self) -> None:
-        self._usual: dict[tuple[str, RouteKind], UsualRequests] = {}
+        self._baselines: dict[tuple[str, RouteKind], RequestBaseline] = {}
 
-    def get(self, service: str, kind: RouteKind) -> UsualRequests | None:
-        """Return what is usual, None before enough answers were seen."""
-        usual = self._usual.get((service, kind))
-        return usual if usual is not None and usual.known else None
+    def get(self, service: str, kind: RouteKind) -> RequestBaseline | None:
+        """Return a baseline, None before enough answers were observed."""
+        baseline = self._baselines.get((service, kind))
+        return baseline if baseline is not None and baseline.is_known else None
 
     def add(
         self, service: str, kind: RouteKind, waited_s: float, size_bytes: int
     ) -> None:
-        """Take in an answer.
+        """Add an observed answer.
 
         Parameters
         ----------
         service : str
             Service of the request.
         kind : RouteKind
-            Whether it might be repeated.
+            Whether the request is idempotent.
         waited_s : float
             Time until the answer began, in seconds.
         size_bytes : int
-            What came of it first.
+            Size of the first part of the answer.
         """
-        usual = self._usual.setdefault((service, kind), UsualRequests())
-        usual.waits_s.add(waited_s)
-        usual.first_bytes.add(size_bytes)
+        baseline = self._baselines.setdefault((service, kind), RequestBaseline())
+        baseline.waits_s.add(waited_s)
+        baseline.first_bytes.add(size_bytes)
 
     def add_counts(self, counts: UsualCounts) -> None:
-        """Take in what another instance has seen."""
-        usual = self._usual.setdefault((counts.service, counts.kind), UsualRequests())
-        usual.waits_s.add_buckets(counts.waits)
-        usual.first_bytes.add_buckets(counts.first_bytes)
-
-    def replace(self, told: Iterable[UsualCounts]) -> None:
-        """Replace what is told of kinds of which enough is known."""
-        newer = ServiceUsual()
-        for counts in told:
-            newer.add_counts(counts)
-        known = {key: usual for key, usual in newer._usual.items() if usual.known}
-        self._usual.update(known)
+        """Add the counts of another instance."""
+        baseline = self._baselines.setdefault(
+            (counts.service, counts.kind), RequestBaseline()
+        )
+        baseline.waits_s.add_buckets(counts.waits)
+        baseline.first_bytes.add_buckets(counts.first_bytes)
 
-    def tell(self) -> list[UsualCounts]:
-        """Return what was seen, of a bounded number of kinds."""
-        kinds = list(self._usual.items())[:MOST_USUAL]
+    def replace(self, reported: Iterable[UsualCounts]) -> None:
+        """Replace the baselines for which the reports have enough answers."""
+        newer = ServiceBaselines()
+        for counts in reported:
+            newer.add_counts(counts)
+        known = {
+            key: baseline
+            for key, baseline in newer._baselines.items()
+            if baseline.is_known
+        }
+        self._baselines.update(known)
+
+    def to_counts(self) -> list[UsualCounts]:
+        """Return the counts of at most `MAX_REPORTED_KINDS` baselines."""
+        kinds = list(self._baselines.items())[:MAX_REPORTED_KINDS]
         return [
             UsualCounts(
-                service, kind, usual.waits_s.buckets(), usual.first_bytes.buckets()
+                service,
+                kind,
+                baseline.waits_s.buckets(),
+                baseline.first_bytes.buckets(),
             )
-            for (service, kind), usual in kinds
+            for (service, kind), baseline in kinds
         ]
--- a/endivepick/forwarding/tests/test_fitness.py
+++ b/endivepick/forwarding/tests/test_fitness.py
@@ -15,10 +15,10 @@
     TargetPhase,
     merge_reports,
 )
-from endivepick.forwarding.comparison import evidence_against
-from endivepick.forwarding.fitness import LONGEST_REST_S, REST_S
+from endivepick.forwarding.comparison import log_likelihood_ratio
+from endivepick.forwarding.fitness import EJECTION_TIME_S, MAX_EJECTION_TIME_S
 from endivepick.forwarding.fitness_reports import (
-    MOST_OF_ONE,
+    MAX_REQUESTS_PER_INSTANCE,
     ServiceCounts,
     TargetCounts,
 )
@@ -33,7 +33,7 @@
     opening,
     take,
 )
-from endivepick.forwarding.usual import REMEMBERED, UsualValues
+from endivepick.forwarding.usual import HISTOGRAM_CAPACITY, DecayingHistogram
 
 WORK_S = 0.025
 ANSWER_BYTES = 900
@@ -272,7 +272,7 @@
         condemned_s = zone.cores[0].registry.get("i-3").fitness_since_s
         while zone.fitness("i-3") is Fitness.IMPAIRED:
             zone.run(0.2)
-        self.assertGreaterEqual(zone.now_s - condemned_s, REST_S)
+        self.assertGreaterEqual(zone.now_s - condemned_s, EJECTION_TIME_S)
         zone.placed.clear()
         zone.run(1.0, 80.0)
         self.assertLess(zone.placed.get("i-3", 0), 14)
@@ -305,7 +305,7 @@
         ]
         self.assertGreaterEqual(len(gaps_s), 2)
         self.assertGreater(gaps_s[1], gaps_s[0] * 1.3)
-        self.assertLessEqual(max(gaps_s), LONGEST_REST_S * 2)
+        self.assertLessEqual(max(gaps_s), MAX_EJECTION_TIME_S * 2)
 
     def test_only_flows_that_may_be_repeated_try_one_that_returns(self):
         zone = self.failing(None)
@@ -447,7 +447,7 @@
         lying = self.told(failed=10_000.0)
         honest = self.told(failed=1.0, good=60.0)
         merged = merge_reports([lying, honest]).targets[0]
-        self.assertLessEqual(merged.failed, MOST_OF_ONE + 1.0)
+        self.assertLessEqual(merged.failed, MAX_REQUESTS_PER_INSTANCE + 1.0)
         self.assertEqual(merged.instances, 2)
 
     def test_one_lying_instance_resets_no_flow(self):
@@ -517,16 +517,16 @@
 
 class TestParts(unittest.TestCase):
     def test_evidence_is_of_the_difference(self):
-        self.assertEqual(evidence_against(0, 10, 0, 100), 0.0)
-        self.assertLess(evidence_against(3, 10, 30, 100), 0.1)
-        self.assertGreater(evidence_against(10, 10, 20, 100), 7.0)
-        self.assertLess(evidence_against(1, 3, 1, 100), 7.0)
+        self.assertEqual(log_likelihood_ratio(0, 10, 0, 100), 0.0)
+        self.assertLess(log_likelihood_ratio(3, 10, 30, 100), 0.1)
+        self.assertGreater(log_likelihood_ratio(10, 10, 20, 100), 7.0)
+        self.assertLess(log_likelihood_ratio(1, 3, 1, 100), 7.0)
 
     def test_what_is_usual_follows_the_load(self):
-        usual = UsualValues(0.001)
-        for _ in range(REMEMBERED):
+        usual = DecayingHistogram(0.001)
+        for _ in range(HISTOGRAM_CAPACITY):
             usual.add(0.01)
-        for _ in range(REMEMBERED * 4):
+        for _ in range(HISTOGRAM_CAPACITY * 4):
             usual.add(1.0)
         self.assertGreater(usual.quantile(0.5), 0.9)
-        self.assertLessEqual(usual.count, REMEMBERED)
+        self.assertLessEqual(usual.count, HISTOGRAM_CAPACITY)
--- a/endivepick/forwarding/tests/test_pauses.py
+++ b/endivepick/forwarding/tests/test_pauses.py
@@ -2,7 +2,7 @@
 
 import unittest
 
-from endivepick.forwarding.pauses import BACKLOG_S, PAUSE_S, PauseWatch
+from endivepick.forwarding.pauses import BACKLOG_S, PAUSE_S, PauseDetector
 from endivepick.forwarding.tests.support import data
 from endivepick.forwarding.tests.test_fitness import TICK_S, Zone
 
@@ -75,24 +75,24 @@
 
 class TestPauseWatch(unittest.TestCase):
     def test_ticks_that_come_in_time_show_no_pause(self):
-        watch = PauseWatch()
+        watch = PauseDetector()
         shown = [watch.tick(n * TICK_S) for n in range(100)]
         self.assertNotIn(True, shown)
-        self.assertFalse(watch.backlog(10.0))
+        self.assertFalse(watch.is_backlog(10.0))
 
     def test_a_late_tick_shows_one_once(self):
-        watch = PauseWatch()
+        watch = PauseDetector()
         shown = [watch.tick(at_s) for at_s in (1.0, 1.1 + PAUSE_S, 1.2 + PAUSE_S)]
         self.assertEqual(shown, [False, True, False])
 
     def test_packets_may_have_waited_before_the_late_tick_and_for_a_while(self):
-        watch = PauseWatch()
+        watch = PauseDetector()
         watch.tick(1.0)
         late_s = 1.1 + PAUSE_S
-        self.assertTrue(watch.backlog(late_s))
+        self.assertTrue(watch.is_backlog(late_s))
         watch.tick(late_s)
-        self.assertTrue(watch.backlog(late_s + BACKLOG_S / 2))
-        self.assertFalse(watch.backlog(late_s + BACKLOG_S * 1.01))
+        self.assertTrue(watch.is_backlog(late_s + BACKLOG_S / 2))
+        self.assertFalse(watch.is_backlog(late_s + BACKLOG_S * 1.01))
 
 
 if __name__ == "__main__":
--- a/endivepick/forwarding/tests/test_service_usual.py
+++ b/endivepick/forwarding/tests/test_service_usual.py
@@ -5,21 +5,21 @@
 import msgspec
 
 from endivepick.forwarding import FitnessReport, RouteKind, merge_reports
-from endivepick.forwarding.fitness_reports import usable_report
+from endivepick.forwarding.fitness_reports import sanitize_report
 from endivepick.forwarding.service_usual import (
-    MOST_USUAL,
-    ServiceUsual,
+    MAX_REPORTED_KINDS,
+    ServiceBaselines,
     UsualCounts,
     merge_usual,
 )
 from endivepick.forwarding.tests.test_fitness import ERROR_BYTES, WORK_S, Zone
-from endivepick.forwarding.usual import REMEMBERED, Bucket
+from endivepick.forwarding.usual import HISTOGRAM_CAPACITY, Bucket
 
 KIND = RouteKind.IDEMPOTENT
 
 
 def seen(answers, wait_s=0.02, service="notes"):
-    usual = ServiceUsual()
+    usual = ServiceBaselines()
     for _ in range(answers):
         usual.add(service, KIND, wait_s, 900)
     return usual
@@ -89,43 +89,43 @@
 
 class TestWords(unittest.TestCase):
     def test_what_instances_have_seen_adds_up(self):
-        words = [counts for _ in range(10) for counts in seen(4).tell()]
+        words = [counts for _ in range(10) for counts in seen(4).to_counts()]
         (merged,) = merge_usual(words)
         self.assertEqual(sum(bucket.values for bucket in merged.waits), 40)
-        together = ServiceUsual()
+        together = ServiceBaselines()
         together.replace([merged])
         alone = together.get("notes", KIND)
-        self.assertAlmostEqual(alone.overdue_s(), 0.045, delta=0.015)
+        self.assertAlmostEqual(alone.overdue_after_s(), 0.045, delta=0.015)
 
     def test_few_answers_replace_nothing(self):
-        usual = ServiceUsual()
-        usual.replace(seen(100).tell())
-        usual.replace(seen(3, wait_s=9.0).tell())
-        self.assertLess(usual.get("notes", KIND).overdue_s(), 0.1)
+        usual = ServiceBaselines()
+        usual.replace(seen(100).to_counts())
+        usual.replace(seen(3, wait_s=9.0).to_counts())
+        self.assertLess(usual.get("notes", KIND).overdue_after_s(), 0.1)
 
     def test_one_word_counts_for_what_an_instance_remembers(self):
-        (counts,) = seen(1).tell()
+        (counts,) = seen(1).to_counts()
         loud = UsualCounts("notes", KIND, [Bucket(40, 2**20)], [Bucket(3, 2**20)])
         (merged,) = merge_usual([counts, loud])
         most = max(bucket.values for bucket in merged.waits)
-        self.assertLessEqual(most, REMEMBERED)
+        self.assertLessEqual(most, HISTOGRAM_CAPACITY)
 
     def test_what_no_instance_tells_is_left_out(self):
         for bucket in (Bucket(-1, 1), Bucket(64, 1), Bucket(3, -5), Bucket(3, 2**60)):
             with self.subTest(bucket):
                 wrong = UsualCounts("notes", KIND, [bucket], [])
                 report = FitnessReport([], [], usual=[wrong])
-                self.assertEqual(usable_report(report).usual, [])
+                self.assertEqual(sanitize_report(report).usual, [])
                 self.assertEqual(merge_reports([report]).usual, [])
 
     def test_a_report_names_few_kinds(self):
-        usual = ServiceUsual()
+        usual = ServiceBaselines()
         for n in range(100):
             usual.add(f"s-{n}", KIND, 0.02, 900)
-        self.assertEqual(len(usual.tell()), MOST_USUAL)
+        self.assertEqual(len(usual.to_counts()), MAX_REPORTED_KINDS)
 
     def test_what_is_told_is_read_as_it_was(self):
-        report = FitnessReport([], [], usual=seen(5).tell())
+        report = FitnessReport([], [], usual=seen(5).to_counts())
         body = msgspec.json.encode(report)
         self.assertEqual(msgspec.json.decode(body, type=FitnessReport), report)
         self.assertFalse(report.empty)
--- a/endivepick/forwarding/usual.py
+++ b/endivepick/forwarding/usual.py
@@ -1,6 +1,7 @@
-"""What is usual for requests of a service, learnt from those that were answered.
+"""Baseline of the requests of a service, learnt from those that were answered.
 
-Distributions forget as new values come, and take a few hundred bytes.
+The histograms discard old values as new ones are added, and take a few hundred bytes
+each.
 """
 
 from collections.abc import Iterable
@@ -8,67 +9,70 @@
 
 from msgspec import Struct
 
-__all__ = ["Bucket", "UsualRequests", "UsualValues"]
+__all__ = ["Bucket", "RequestBaseline", "DecayingHistogram"]
 
 _STEPS_PER_DOUBLING = 2
 _SMALLEST_S = 0.001
 _SMALLEST_BYTES = 1.0
 _BUCKETS = 64
 """Enough for a factor of 2**32 between the smallest and the largest value."""
-ENOUGH_ANSWERS = 30
-"""Answers after which it is known what is usual."""
+MIN_BASELINE_ANSWERS = 30
+"""Answers after which a baseline is known."""
 OVERDUE_FACTOR = 2.0
-"""A request is overdue after so many times the longest usual time."""
-USUAL_SHARE = 0.99
-"""Share of the answers that begin within the longest usual time."""
+"""A request is overdue after this multiple of the `BASELINE_QUANTILE` of the wait."""
+BASELINE_QUANTILE = 0.99
+"""Quantile of the waits that counts as the longest usual wait."""
 SHORT_FACTOR = 3.0
-"""An answer that begins with so many times less than is usual is an error."""
-REMEMBERED = 512
-"""Values that count; older ones are halved away as new ones come, so that a change of
-load is usual after as many requests, however fast they are."""
+"""An answer whose first part is smaller than the median by more than this factor counts
+as an error."""
+HISTOGRAM_CAPACITY = 512
+"""Number of values at which all counts of a histogram are halved.
 
-_MOST_TOLD = 2**24
-"""More values than all instances of a zone remember together."""
+The baseline thus follows a change of load after about as many requests, whatever their
+rate."""
+
+_MAX_BUCKET_VALUES = 2**24
+"""Largest valid count of a bucket; all instances of a zone hold fewer values."""
 
 
 class Bucket(Struct, frozen=True, array_like=True):
-    """Values of a histogram that are about alike, as instances tell each other.
+    """Bucket of a histogram, as exchanged between instances.
 
     Attributes
     ----------
     index : int
-        Which of the buckets.
+        Index of the bucket.
     values : int
-        How many values are in it.
+        Number of values in the bucket.
     """
 
     index: int
     values: int
 
     @property
-    def possible(self) -> bool:
-        """Whether an instance or a feeder of this build tells such a bucket."""
-        return 0 <= self.index < _BUCKETS and 0 < self.values <= _MOST_TOLD
+    def is_valid(self) -> bool:
+        """Whether an instance or a feeder of this build can send such a bucket."""
+        return 0 <= self.index < _BUCKETS and 0 < self.values <= _MAX_BUCKET_VALUES
 
     def bounded(self) -> "Bucket":
-        """Return this with no more values than one instance remembers."""
-        return Bucket(self.index, min(self.values, REMEMBERED))
+        """Return the bucket limited to the histogram capacity of one instance."""
+        return Bucket(self.index, min(self.values, HISTOGRAM_CAPACITY))
 
 
-class UsualValues:
-    """Counts positive values in buckets of half an octave.
+class DecayingHistogram:
+    """Histogram of positive values with decay, in buckets of half an octave.
 
     Parameters
     ----------
     smallest : float
-        Values up to this one are not told apart.
+        Upper bound of the first bucket.
 
     Examples
     --------
-    >>> usual = UsualValues(smallest=0.001)
+    >>> waits_s = DecayingHistogram(smallest=0.001)
     >>> for value in (0.01, 0.011, 0.012, 0.5):
-    ...     usual.add(value)
-    >>> round(usual.quantile(0.5), 3), usual.count
+    ...     waits_s.add(value)
+    >>> round(waits_s.quantile(0.5), 3), waits_s.count
     (0.011, 4)
     """
 
@@ -76,36 +80,36 @@
         self._smallest = smallest
         self._buckets = [0] * _BUCKETS
         self.count = 0
-        """Values that count now."""
+        """Number of values in the histogram."""
 
     def add(self, value: float) -> None:
-        """Take in a value."""
+        """Add a value."""
         ratio = value / self._smallest
         index = 0 if ratio <= 1.0 else int(log2(ratio) * _STEPS_PER_DOUBLING) + 1
         self._buckets[min(index, _BUCKETS - 1)] += 1
         self.count += 1
-        if self.count >= REMEMBERED:
+        if self.count >= HISTOGRAM_CAPACITY:
             self._buckets = [number // 2 for number in self._buckets]
             self.count = sum(self._buckets)
 
     def buckets(self) -> list[Bucket]:
-        """Return the buckets that hold values."""
+        """Return the non-empty buckets."""
         numbers = enumerate(self._buckets)
         return [Bucket(index, number) for index, number in numbers if number]
 
     def add_buckets(self, buckets: Iterable[Bucket]) -> None:
-        """Take in what another instance has counted."""
+        """Add the buckets of another instance."""
         for bucket in buckets:
             self._buckets[bucket.index] += bucket.values
             self.count += bucket.values
 
     def quantile(self, share: float) -> float:
-        """Return an upper bound of the value that a share does not exceed."""
-        wanted = share * self.count
-        passed = 0
+        """Return an upper bound of a quantile."""
+        rank = share * self.count
+        cumulative = 0
         for index, number in enumerate(self._buckets):
-            passed += number
-            if passed >= wanted:
+            cumulative += number
+            if cumulative >= rank:
                 return self._upper(index)
         return self._upper(_BUCKETS - 1)
 
@@ -113,22 +117,22 @@
         return float(self._smallest * 2 ** (index / _STEPS_PER_DOUBLING))
 
 
-class UsualRequests:
-    """What is usual for requests of a kind at a service."""
+class RequestBaseline:
+    """Baseline of the requests of one kind at a service."""
 
     def __init__(self) -> None:
-        self.waits_s = UsualValues(_SMALLEST_S)
-        self.first_bytes = UsualValues(_SMALLEST_BYTES)
+        self.waits_s = DecayingHistogram(_SMALLEST_S)
+        self.first_bytes = DecayingHistogram(_SMALLEST_BYTES)
 
     @property
-    def known(self) -> bool:
-        """Whether enough answers were seen."""
-        return self.waits_s.count >= ENOUGH_ANSWERS
+    def is_known(self) -> bool:
+        """Whether enough answers were observed."""
+        return self.waits_s.count >= MIN_BASELINE_ANSWERS
 
-    def overdue_s(self) -> float:
+    def overdue_after_s(self) -> float:
         """Return the time without an answer after which a request is overdue."""
-        return OVERDUE_FACTOR * self.waits_s.quantile(USUAL_SHARE)
+        return OVERDUE_FACTOR * self.waits_s.quantile(BASELINE_QUANTILE)
 
     def is_short(self, size_bytes: int) -> bool:
-        """Whether an answer that begins with so much is an error."""
+        """Whether a first part of this size indicates an error."""
         return size_bytes * SHORT_FACTOR < self.first_bytes.quantile(0.5)
--- a/endivepick/forwarding/zone_report.py
+++ b/endivepick/forwarding/zone_report.py
@@ -1,4 +1,4 @@
-"""The newest report of a zone: what its instances have seen of targets together."""
+"""Newest merged report of a zone's instances on its targets."""
 
 from endivepick.forwarding.belief import TargetBelief
 from endivepick.forwarding.comparison import ServiceSample, TargetSums
@@ -6,12 +6,12 @@
 from endivepick.forwarding.fitness_reports import (
     FitnessReport,
     TargetCounts,
-    usable_report,
+    sanitize_report,
 )
 from endivepick.forwarding.model import RouteKind
 from endivepick.forwarding.registry import TargetRegistry
-from endivepick.forwarding.service_usual import ServiceUsual
-from endivepick.forwarding.usual import UsualRequests
+from endivepick.forwarding.service_usual import ServiceBaselines
+from endivepick.forwarding.usual import RequestBaseline
 
 __all__ = ["ZoneReport"]
 
@@ -22,86 +22,91 @@
     Parameters
     ----------
     registry : TargetRegistry
-        Tells which service a target is of.
+        Registry to look up the service of a target.
     """
 
     def __init__(self, registry: TargetRegistry) -> None:
         self._registry = registry
         self._report = FitnessReport([], [])
         self._taken_s = float("-inf")
-        self._usual = ServiceUsual()
+        self._baselines = ServiceBaselines()
         self._samples: dict[str, ServiceSample] = {}
 
     @property
     def targets(self) -> list[TargetCounts]:
-        """Targets that the zone doubts."""
+        """Targets that the zone suspects."""
         return self._report.targets
 
-    def take(self, report: FitnessReport, now_s: float) -> None:
-        """Take in what the instances have seen together; what none tells is left out.
+    def update(self, report: FitnessReport, now_s: float) -> None:
+        """Replace the report; content that no instance can send is left out.
 
-        What was usual before stays where the zone does not know any more.
+        Baselines that the new report lacks are kept.
         """
-        self._report = usable_report(report)
+        self._report = sanitize_report(report)
         self._taken_s = now_s
-        self._usual.replace(self._report.usual)
+        self._baselines.replace(self._report.usual)
         self._samples = self._sample_services()
 
-    def usual(self, service: str, kind: RouteKind) -> UsualRequests | None:
-        """Return what is usual in the zone, None if it is not known."""
-        return self._usual.get(service, kind)
+    def get_baseline(self, service: str, kind: RouteKind) -> RequestBaseline | None:
+        """Return the baseline of the zone, None if it is not known."""
+        return self._baselines.get(service, kind)
 
-    def of(self, belief: TargetBelief, now_s: float) -> TargetCounts | None:
-        """Return what was reported of a target's incarnation, while it is valid."""
+    def get_counts(self, belief: TargetBelief, now_s: float) -> TargetCounts | None:
+        """Return the counts of a target's incarnation while the report is valid."""
         if now_s - self._taken_s > TOLD_S:
             return None
-        for told in self._report.targets:
-            if told.name == belief.name and told.born_ms == belief.target.born_ms:
-                return told
+        for reported in self._report.targets:
+            if (
+                reported.name == belief.name
+                and reported.born_ms == belief.target.born_ms
+            ):
+                return reported
         return None
 
-    def against(
-        self, belief: TargetBelief, told: TargetCounts, least_share: float
+    def score_target(
+        self, belief: TargetBelief, reported: TargetCounts, min_bad_share: float
     ) -> float:
-        """Return what speaks against a target; see `ServiceSample`."""
+        """Return the outlier score of a target in the zone; see `ServiceSample`."""
         sample = self._samples.get(belief.target.service)
         if sample is None:
             return 0.0
-        return sample.against(TargetSums.of(told.name, told), least_share)
+        return sample.score_target(
+            TargetSums.of(reported.name, reported), min_bad_share
+        )
 
     def evidence(
         self, belief: TargetBelief, callers: int, now_s: float
     ) -> ZoneEvidence:
-        """Return what others have seen of a target.
+        """Return the observations of a target beyond this instance's own counts.
 
         Parameters
         ----------
         belief : TargetBelief
             The target.
         callers : int
-            Callers of this instance whose requests went badly there.
+            Callers of this instance with bad requests there.
         now_s : float
             Present time, in seconds.
         """
         return ZoneEvidence(
-            self.of(belief, now_s),
-            told_before_s=self.told_before_s(now_s),
-            heard_instances=self._report.instances,
+            self.get_counts(belief, now_s),
+            report_age_s=self.report_age_s(now_s),
+            reporting_instances=self._report.instances,
             callers=callers,
         )
 
-    def told_before_s(self, now_s: float) -> float:
-        """Return how old the newest report is, in seconds."""
+    def report_age_s(self, now_s: float) -> float:
+        """Return the age of the newest report, in seconds."""
         return now_s - self._taken_s
 
     def _sample_services(self) -> dict[str, ServiceSample]:
-        doubted: dict[str, list[TargetSums]] = {}
-        for told in self._report.targets:
-            belief = self._registry.get(told.name)
+        suspects: dict[str, list[TargetSums]] = {}
+        for reported in self._report.targets:
+            belief = self._registry.get(reported.name)
             if belief is not None:
-                sums = TargetSums.of(told.name, told)
-                doubted.setdefault(belief.target.service, []).append(sums)
+                sums = TargetSums.of(reported.name, reported)
+                suspects.setdefault(belief.target.service, []).append(sums)
         return {
-            counts.service: ServiceSample(counts, doubted.get(counts.service, ()))
+            counts.service: ServiceSample(counts, suspects.get(counts.service, ()))
             for counts in self._report.services
         }
