--- a/endivepick/forwarding/comparison.py
+++ b/endivepick/forwarding/comparison.py
@@ -12,8 +12,8 @@
 __all__ = ["MIN_BAD_SHARE", "ServiceSample", "TargetSums", "log_likelihood_ratio"]
 
 MIN_BAD_SHARE = 0.2
-"""Share of bad requests below which a target is no outlier: it is still better than
-more load on the others."""
+"""Share of bad requests below which a target is not ejected, since using it is better
+than overloading the others."""
 MIN_BASELINE_REQUESTS = 5.0
 """Fewest requests of the other targets with which a target is compared."""
 MAX_EXCLUDED_SHARE = 0.4
--- a/endivepick/forwarding/confirmation.py
+++ b/endivepick/forwarding/confirmation.py
@@ -15,12 +15,12 @@
 from endivepick.forwarding.fitness_reports import MIN_RESET_FAILURES, TargetCounts
 
 __all__ = [
-    "MIN_READY_S",
     "MIN_CONFIRMING_CALLERS",
+    "MIN_READY_S",
     "TOLD_S",
     "ConfirmedFault",
     "ZoneEvidence",
-    "confirmed_fault",
+    "confirm_fault",
     "has_recent_failure",
     "is_past_startup",
 ]
@@ -90,7 +90,7 @@
     callers: int
 
 
-def confirmed_fault(
+def confirm_fault(
     counts: RequestCounts, evidence: ZoneEvidence, now_s: float
 ) -> ConfirmedFault:
     """Return the confirmed fault of an ejected target.
--- a/endivepick/forwarding/fitness.py
+++ b/endivepick/forwarding/fitness.py
@@ -29,7 +29,7 @@
 from endivepick.forwarding.comparison import MIN_BAD_SHARE, TargetSums
 from endivepick.forwarding.confirmation import (
     ConfirmedFault,
-    confirmed_fault,
+    confirm_fault,
     has_recent_failure,
     is_past_startup,
 )
@@ -120,7 +120,7 @@
         for belief in list(self.requests.suspects.values()):
             effects += self._evaluate(belief, now_s)
         for flow in overdue:
-            if self._confirmed_fault(flow.belief, now_s) is ConfirmedFault.FAILING:
+            if self._confirm_fault(flow.belief, now_s) is ConfirmedFault.FAILING:
                 effects += self._reset_overdue(flow)
         return effects
 
@@ -316,7 +316,7 @@
         just after its start, answers like one that returns errors.  A slow target still
         answers the requests that it has begun, so only its idle flows are reset.
         """
-        fault = self._confirmed_fault(belief, now_s)
+        fault = self._confirm_fault(belief, now_s)
         if fault is ConfirmedFault.NONE:
             return []
         effects = self._note_fault(belief, fault, now_s)
@@ -357,7 +357,7 @@
         reason = ResetReason.TARGET_IMPAIRED
         return [Reset(flow.key, flow.acknowledged, reason, flow.belief.name)]
 
-    def _confirmed_fault(self, belief: TargetBelief, now_s: float) -> ConfirmedFault:
+    def _confirm_fault(self, belief: TargetBelief, now_s: float) -> ConfirmedFault:
         """Return the confirmed fault for which flows of a target may be reset."""
         if not self._resets_enabled or belief.fitness is not Fitness.IMPAIRED:
             return ConfirmedFault.NONE
@@ -371,7 +371,7 @@
             return ConfirmedFault.NONE
         callers = self.requests.count_affected_callers(belief.name)
         evidence = self._zone.evidence(belief, callers, now_s)
-        return confirmed_fault(counts, evidence, now_s)
+        return confirm_fault(counts, evidence, now_s)
 
 
 def _describe_counts(counts: RequestCounts, reported: TargetCounts | None) -> str:
--- a/endivepick/forwarding/fitness_reports.py
+++ b/endivepick/forwarding/fitness_reports.py
@@ -13,8 +13,8 @@
 
 __all__ = [
     "MIN_REPORTED_BAD",
-    "MOST_TOLD",
     "MIN_RESET_FAILURES",
+    "MOST_TOLD",
     "FitnessReport",
     "ServiceCounts",
     "SilentTarget",
--- a/endivepick/forwarding/tests/test_evidence.py
+++ b/endivepick/forwarding/tests/test_evidence.py
@@ -45,15 +45,15 @@
         self.core.on_packet(answered, b"", now_s + 0.03)
         return flow, belief
 
-    def ask(self, flow, belief, now_s, sequence=401):
+    def send_request(self, flow, belief, now_s, sequence=401):
         packet = data(flow, belief.cookie, sequence, 2500)
         return self.core.on_packet(packet, b"", now_s)
 
-    def test_one_repetition_asks_for_a_probe_and_resets_nothing(self):
+    def test_one_retransmission_starts_a_probe_and_resets_nothing(self):
         flow, belief = self.established(1)
-        self.ask(flow, belief, 2.0)
+        self.send_request(flow, belief, 2.0)
         self.core.effects.clear()
-        verdict = self.ask(flow, belief, 2.0 + REPEAT_S)
+        verdict = self.send_request(flow, belief, 2.0 + REPEAT_S)
         self.assertEqual(verdict, Forward(belief))
         effects = list(self.core.effects)
         self.assertEqual(sum(isinstance(e, ProbeTarget) for e in effects), 1)
@@ -62,54 +62,54 @@
 
     def test_reordered_packets_of_one_request_raise_no_suspicion(self):
         flow, belief = self.established(1)
-        self.ask(flow, belief, 2.0, sequence=1601)
+        self.send_request(flow, belief, 2.0, sequence=1601)
         self.core.effects.clear()
-        self.ask(flow, belief, 2.001, sequence=401)
+        self.send_request(flow, belief, 2.001, sequence=401)
         self.assertEqual(take(self.core, ProbeTarget), [])
         self.assertIs(belief.reachability, Reachability.REACHABLE)
 
-    def test_a_repetition_while_others_see_progress_is_a_lost_packet(self):
+    def test_no_probe_for_a_retransmission_while_others_make_progress(self):
         flow, belief = self.established(1)
-        self.ask(flow, belief, 2.0)
+        self.send_request(flow, belief, 2.0)
         belief.progress_s = 2.1
         self.core.effects.clear()
-        self.ask(flow, belief, 2.0 + REPEAT_S)
+        self.send_request(flow, belief, 2.0 + REPEAT_S)
         self.assertEqual(take(self.core, ProbeTarget), [])
 
     def test_a_dead_target_has_all_its_flows_reset(self):
         flow, belief = self.established(1)
         once, _ = self.established(2, port=ONCE_PORT)
         self.core.flows.get(once).belief = belief
-        self.ask(flow, belief, 2.0)
-        self.ask(flow, belief, 2.0 + REPEAT_S)
+        self.send_request(flow, belief, 2.0)
+        self.send_request(flow, belief, 2.0 + REPEAT_S)
         answer_probes(self.core, REFUSED, 2.3)
         resets = take(self.core, Reset)
         self.assertEqual({reset.flow for reset in resets}, {flow, once})
         self.assertEqual({r.reason for r in resets}, {ResetReason.TARGET_DEAD})
         self.assertTrue(all(reset.sequence == 2500 for reset in resets))
 
-    def test_a_silent_target_keeps_requests_that_may_run_once_only(self):
+    def test_silent_target_keeps_requests_that_may_run_only_once(self):
         flow, belief = self.established(1)
         busy, _ = self.established(2, port=ONCE_PORT)
         idle, _ = self.established(3, port=ONCE_PORT)
         for key in (busy, idle):
             observed = self.core.flows.get(key)
             self.core.flows._move(observed, belief)
-        self.ask(busy, belief, 2.0)
-        self.ask(flow, belief, 2.0)
-        self.ask(flow, belief, 2.0 + REPEAT_S)
+        self.send_request(busy, belief, 2.0)
+        self.send_request(flow, belief, 2.0)
+        self.send_request(flow, belief, 2.0 + REPEAT_S)
         answer_probes(self.core, SILENT, 2.4)
         resets = take(self.core, Reset)
         self.assertEqual({reset.flow for reset in resets}, {flow, idle})
-        self.assertEqual(self.ask(busy, belief, 2.5), Forward(belief))
+        self.assertEqual(self.send_request(busy, belief, 2.5), Forward(belief))
 
-    def test_a_flow_that_is_still_opening_is_left_to_its_next_copy(self):
+    def test_opening_flow_is_not_reset(self):
         flow, belief = self.established(1)
         young = flow_key(9)
         self.core.on_packet(opening(young), b"", 2.0)
         self.core.flows._move(self.core.flows.get(young), belief)
-        self.ask(flow, belief, 2.0)
-        self.ask(flow, belief, 2.0 + REPEAT_S)
+        self.send_request(flow, belief, 2.0)
+        self.send_request(flow, belief, 2.0 + REPEAT_S)
         answer_probes(self.core, SILENT, 2.4)
         self.assertEqual({r.flow for r in take(self.core, Reset)}, {flow})
 
@@ -118,20 +118,20 @@
         flow, belief = self.established(1)
         other, _ = self.established(2)
         self.core.flows._move(self.core.flows.get(other), belief)
-        self.ask(flow, belief, 2.0)
-        self.ask(flow, belief, 2.0 + REPEAT_S)
+        self.send_request(flow, belief, 2.0)
+        self.send_request(flow, belief, 2.0 + REPEAT_S)
         answer_probes(self.core, REFUSED, 2.3)
         self.assertIs(belief.reachability, Reachability.DEAD)
         for tick in range(10):
             self.core.tick(2.4 + tick / 10)
         self.assertIn(belief.name, answer_probes(self.core, ALIVE, 3.5))
         self.assertIs(belief.reachability, Reachability.REACHABLE)
-        self.assertEqual(self.ask(other, belief, 16.0), Forward(belief))
+        self.assertEqual(self.send_request(other, belief, 16.0), Forward(belief))
 
-    def test_one_that_is_gone_is_probed_no_more(self):
+    def test_target_that_is_gone_is_not_probed(self):
         flow, belief = self.established(1)
-        self.ask(flow, belief, 2.0)
-        self.ask(flow, belief, 2.0 + REPEAT_S)
+        self.send_request(flow, belief, 2.0)
+        self.send_request(flow, belief, 2.0 + REPEAT_S)
         answer_probes(self.core, REFUSED, 2.3)
         self.core.on_target_removed(belief.name, 20, 2.4)
         self.core.effects.clear()
@@ -139,26 +139,26 @@
             self.core.tick(2.5 + tick / 10)
         self.assertEqual(take(self.core, ProbeTarget), [])
 
-    def test_a_live_target_loses_no_flow(self):
+    def test_live_target_keeps_its_flows(self):
         flow, belief = self.established(1)
-        self.ask(flow, belief, 2.0)
-        self.ask(flow, belief, 2.0 + REPEAT_S)
+        self.send_request(flow, belief, 2.0)
+        self.send_request(flow, belief, 2.0 + REPEAT_S)
         answer_probes(self.core, ALIVE, 2.3)
         self.assertEqual(take(self.core, Reset), [])
         self.assertIs(belief.reachability, Reachability.REACHABLE)
 
     def test_progress_ends_the_suspicion(self):
         flow, belief = self.established(1)
-        self.ask(flow, belief, 2.0)
-        self.ask(flow, belief, 2.0 + REPEAT_S)
+        self.send_request(flow, belief, 2.0)
+        self.send_request(flow, belief, 2.0 + REPEAT_S)
         answered = data(flow, belief.cookie, 701, 4500, 0)
         self.core.on_packet(answered, b"", 2.21)
         self.assertIs(belief.reachability, Reachability.REACHABLE)
 
     def test_a_silent_target_is_probed_until_it_answers(self):
         flow, belief = self.established(1)
-        self.ask(flow, belief, 2.0)
-        self.ask(flow, belief, 2.0 + REPEAT_S)
+        self.send_request(flow, belief, 2.0)
+        self.send_request(flow, belief, 2.0 + REPEAT_S)
         answer_probes(self.core, SILENT, 2.4)
         self.core.effects.clear()
         self.core.tick(2.5)
@@ -167,18 +167,18 @@
         answer_probes(self.core, ALIVE, 2.85)
         self.assertIs(belief.reachability, Reachability.REACHABLE)
 
-    def test_a_vanished_entry_is_settled_by_a_probe(self):
+    def test_removed_entry_is_verified_by_a_probe(self):
         flow, belief = self.established(1)
         self.core.effects.clear()
         self.core.on_target_removed(belief.name, 90, 3.0)
         self.assertEqual(answer_probes(self.core, REFUSED, 3.1), [belief.name])
         self.assertEqual([r.flow for r in take(self.core, Reset)], [flow])
 
-    def probes_of_a_dead_one(self, outcome, seconds):
-        """Let time pass; return when a target that was found dead is probed."""
+    def probe_times_of_a_dead_target(self, outcome, seconds):
+        """Advance the time; return when a target that was found dead is probed."""
         flow, belief = self.established(1)
-        self.ask(flow, belief, 2.0)
-        self.ask(flow, belief, 2.0 + REPEAT_S)
+        self.send_request(flow, belief, 2.0)
+        self.send_request(flow, belief, 2.0 + REPEAT_S)
         answer_probes(self.core, outcome, 2.3)
         times_s = []
         for tenth in range(24, 24 + 10 * seconds):
@@ -188,16 +188,16 @@
         return times_s
 
     def test_a_dead_target_is_probed_ever_more_seldom(self):
-        times_s = self.probes_of_a_dead_one(REFUSED, 12)
+        times_s = self.probe_times_of_a_dead_target(REFUSED, 12)
         gaps_s = [b - a for a, b in zip(times_s, times_s[1:], strict=False)]
         self.assertLessEqual(len(times_s), 8)
         self.assertLess(max(gaps_s), 2.2)
 
     def test_one_whose_address_is_another_s_leaves_that_one_alone(self):
-        self.assertLessEqual(len(self.probes_of_a_dead_one(REPLACED, 12)), 5)
+        self.assertLessEqual(len(self.probe_times_of_a_dead_target(REPLACED, 12)), 5)
 
-    def test_one_that_answers_again_is_probed_as_soon_as_before(self):
-        self.probes_of_a_dead_one(REFUSED, 6)
+    def test_probe_gap_is_reset_after_an_answer(self):
+        self.probe_times_of_a_dead_target(REFUSED, 6)
         self.core.tick(20.0)
         (name,) = answer_probes(self.core, ALIVE, 20.0)
         belief = self.core.registry.get(name)
@@ -213,7 +213,7 @@
         probed = [probe.target.name for probe in take(core, ProbeTarget)]
         self.assertEqual(set(probed), beliefs - {"i-1"})
 
-    def test_a_target_that_left_after_draining_has_its_last_flows_settled(self):
+    def test_last_flows_of_a_drained_target_are_reset_after_a_probe(self):
         flow, belief = self.established(1)
         leaving = make_target(belief.name, phase=TargetPhase.DRAINING, revision=20)
         self.core.on_target(leaving, 3.0)
@@ -226,7 +226,7 @@
         flow, belief = self.established(1, port=ONCE_PORT)
         leaving = make_target(belief.name, phase=TargetPhase.DRAINING, revision=20)
         self.core.on_target(leaving, 3.0)
-        self.ask(flow, belief, 8.457)
+        self.send_request(flow, belief, 8.457)
         self.core.effects.clear()
         self.core.on_hint(belief.name, 8.484)
         answer_probes(self.core, REFUSED, 8.489)
@@ -234,7 +234,7 @@
         answered = data(flow, belief.cookie, 701, 3100, 0)
         self.assertEqual(self.core.on_packet(answered, b"", 8.55), Forward(belief))
 
-    def test_one_whose_address_has_another_incarnation_has_ended(self):
+    def test_draining_target_replaced_at_its_address_is_dead(self):
         flow, belief = self.established(1)
         leaving = make_target(belief.name, phase=TargetPhase.DRAINING, revision=20)
         self.core.on_target(leaving, 3.0)
@@ -243,7 +243,7 @@
         answer_probes(self.core, ProbeOutcome.REPLACED, 8.1)
         self.assertEqual([r.flow for r in take(self.core, Reset)], [flow])
 
-    def test_its_flows_are_reset_once_its_entry_is_gone(self):
+    def test_flows_of_a_draining_target_are_reset_after_its_entry_is_removed(self):
         flow, belief = self.established(1)
         leaving = make_target(belief.name, phase=TargetPhase.DRAINING, revision=20)
         self.core.on_target(leaving, 3.0)
@@ -258,10 +258,10 @@
         leaving = make_target(belief.name, phase=TargetPhase.DRAINING, revision=20)
         self.core.on_target(leaving, 3.0)
         self.core.effects.clear()
-        self.assertEqual(self.ask(flow, belief, 3.5), Forward(belief))
+        self.assertEqual(self.send_request(flow, belief, 3.5), Forward(belief))
         self.assertEqual(take(self.core, Reset), [])
 
-    def test_a_peer_s_hint_is_checked_before_it_is_believed(self):
+    def test_hint_of_a_peer_is_verified_by_a_probe(self):
         flow, belief = self.established(1)
         self.core.effects.clear()
         self.core.on_hint(belief.name, 3.0)
@@ -269,24 +269,24 @@
         self.assertEqual(answer_probes(self.core, REFUSED, 3.1), [belief.name])
         self.assertEqual([r.flow for r in take(self.core, Reset)], [flow])
 
-    def test_hints_about_targets_of_other_zones_are_left_to_those_with_flows(self):
+    def test_hint_about_a_target_of_another_zone_needs_flows_there(self):
         near, far = make_target("i-1", "a"), make_target("i-2", "b", revision=2)
         core = make_core([near, far], zones=2)
         core.on_hint("i-2", 3.0)
         self.assertEqual(take(core, ProbeTarget), [])
         core.on_hint("i-1", 3.0)
         self.assertEqual([p.target.name for p in take(core, ProbeTarget)], ["i-1"])
-        # It has flows here by now.
+        # From here on the target has flows at this instance.
         core.on_packet(data(flow_key(7), core.registry.get("i-2").cookie), b"", 3.1)
         core.on_hint("i-2", 4.0)
         self.assertEqual([p.target.name for p in take(core, ProbeTarget)], ["i-2"])
 
-    def test_hints_about_far_targets_count_where_none_is_near(self):
+    def test_hint_about_a_target_of_another_zone_counts_without_local_targets(self):
         core = make_core([make_target("i-2", "b")], zones=2)
         core.on_hint("i-2", 3.0)
         self.assertEqual([p.target.name for p in take(core, ProbeTarget)], ["i-2"])
 
-    def test_hints_about_targets_that_are_not_known_change_nothing(self):
+    def test_hint_about_an_unknown_target_changes_nothing(self):
         self.core.effects.clear()
         self.core.on_hint("i-77", 3.0)
         self.assertEqual(self.core.effects, [])
@@ -308,7 +308,7 @@
 
 
 class TestPartition(unittest.TestCase):
-    def test_a_zone_that_falls_silent_is_probed_whole(self):
+    def test_all_targets_of_a_silent_zone_are_probed(self):
         targets = [make_target(f"i-b{n}", "b", revision=n) for n in range(1, 4)]
         core = make_core(targets, zone="a", zones=2)
         flows = [flow_key(port) for port in range(1, 7)]
@@ -325,7 +325,7 @@
 
 
 class TestOpeningsWithoutAnswer(unittest.TestCase):
-    """A target ended, and its machine resets openings, which no instance sees."""
+    """A target ended, and its host resets openings, which no instance observes."""
 
     ENTRY_LASTS_S = 2.2
     """How long the registry keeps the entry of a target that has ended."""
@@ -336,15 +336,16 @@
         self.core = make_core(targets)
 
     def open_one(self, number, now_s, ended=()):
-        """Open a flow; targets that have not ended take its first request."""
+        """Open a flow; targets that have not ended receive its first request."""
         flow = flow_key(number)
         belief = open_flow(self.core, flow, now_s)
         if belief.name not in ended:
             self.core.on_packet(data(flow, belief.cookie), b"", now_s + 0.02)
         return belief
 
-    def test_few_flows_are_lost_to_a_target_that_resets_openings(self):
-        # Its idle flows drew more: 31 of 44 were lost, 4 to 6 when openings are heeded.
+    def test_few_flows_are_lost_at_a_target_that_resets_openings(self):
+        # Load-based placement prefers the target, since its flows are idle: without
+        # probes for unanswered openings 31 of 44 flows were lost, with them 4 to 6.
         ended, lost = "i-1", 0
         ticks = 10 * self.ENTRY_LASTS_S
         for tick in range(round(ticks)):
@@ -359,7 +360,7 @@
                 lost += belief.name == ended
         self.assertLessEqual(lost, 6)
 
-    def test_a_flow_that_goes_on_elsewhere_costs_one_probe(self):
+    def test_flow_that_continues_elsewhere_costs_one_probe(self):
         belief = self.open_one(1, 1.0, {"i-1", "i-2", "i-3"})
         self.core.effects.clear()
         for tick in range(30):
@@ -369,13 +370,13 @@
         self.core.on_probe(ProbeResult(belief.name, ALIVE), 1.3)
         self.assertIs(belief.reachability, Reachability.REACHABLE)
 
-    def test_it_is_no_sign_while_other_flows_make_progress(self):
+    def test_no_probe_while_other_flows_make_progress(self):
         belief = self.open_one(1, 1.0, {"i-1", "i-2", "i-3"})
         belief.progress_s = 1.1
         self.core.tick(1.3)
         self.assertEqual(take(self.core, ProbeTarget), [])
 
-    def test_openings_with_copies_are_left_to_them(self):
+    def test_no_probe_for_an_opening_with_copies(self):
         flow = flow_key(1)
         open_flow(self.core, flow, 1.0)
         self.core.on_packet(opening(flow), b"", 1.1)
--- a/endivepick/forwarding/tests/test_fitness.py
+++ b/endivepick/forwarding/tests/test_fitness.py
@@ -1,4 +1,4 @@
-"""Targets that live and fail, and loads that must not be taken for that.
+"""Outlier detection: targets that fail requests, and loads that must not eject any.
 
 Each class replays a load against the decision core of one instance, or of several whose
 reports are merged as a feeder does.
@@ -33,7 +33,10 @@
     opening,
     take,
 )
-from endivepick.forwarding.usual import HISTOGRAM_CAPACITY, DecayingHistogram
+from endivepick.forwarding.usual import (
+    HISTOGRAM_CAPACITY,
+    DecayingHistogram,
+)
 
 WORK_S = 0.025
 ANSWER_BYTES = 900
@@ -44,8 +47,8 @@
 class Zone:
     """Instances of a zone, a service, and callers with one request at a time.
 
-    What a target does with a request is drawn by ``behave``: its time and the bytes
-    that come first, or None if it never answers.
+    ``behave`` draws a target's answer to a request: the time until it begins and the
+    size of its first part, or None if the target never answers.
     """
 
     def __init__(self, targets=8, instances=1, seed=1, slots=2, work_s=WORK_S):
@@ -60,13 +63,13 @@
         self.resets = []
         self.reset_s = []
         self.placed = {}
-        self.behave = self.usual
+        self.behave = self.draw_normal_answer
 
-    def usual(self, _name):
+    def draw_normal_answer(self, _name):
         return self.work_s * self.draw.uniform(0.5, 2.0), ANSWER_BYTES
 
     def request(self, core, port=IDEMPOTENT_PORT):
-        """Open a flow and send a request; the answer is acknowledged when it comes."""
+        """Open a flow and send a request; its answer is acknowledged on arrival."""
         self.port += 1
         flow = flow_key(self.port, port)
         flow = type(flow)(flow.caller_host + self.port % 7, *list(_fields(flow))[1:])
@@ -82,29 +85,29 @@
             self.events.append((self.now_s + wait_s, core, answer))
         return flow
 
-    def ask_on_open_flows(self, name, count):
+    def send_on_open_flows(self, name, count):
         """Send the next request on some idle flows of a target, at each instance."""
         for core in self.cores:
             belief = core.registry.get(name)
             idle = [f for f in core.flows.of_target(belief) if f.busy_since_s is None]
             for flow in idle[:count]:
-                self.ask_on(core, flow)
+                self.send_on(core, flow)
 
-    def ask_on(self, core, flow):
+    def send_on(self, core, flow):
         """Send the next request on an idle flow."""
         belief = flow.belief
-        asked = data(flow.key, belief.cookie, flow.sent_end, flow.acknowledged)
-        core.on_packet(asked, b"", self.now_s)
+        request_packet = data(flow.key, belief.cookie, flow.sent_end, flow.acknowledged)
+        core.on_packet(request_packet, b"", self.now_s)
         outcome = self.behave(belief.name)
         if outcome is not None:
             wait_s, size = outcome
             acknowledged = flow.acknowledged + size
-            sequence = asked.sequence + asked.data_bytes
+            sequence = request_packet.sequence + request_packet.data_bytes
             answer = data(flow.key, belief.cookie, sequence, acknowledged, 0)
             self.events.append((self.now_s + wait_s, core, answer))
 
     def run(self, for_s, per_s=60.0, share=True, port=IDEMPOTENT_PORT):
-        """Let requests come for a time, at instances in turn."""
+        """Send requests at a rate for a time, each to an instance drawn at random."""
         end_s = self.now_s + for_s
         step_s = 1.0 / per_s
         ticked_s = self.now_s
@@ -117,10 +120,10 @@
                 self.tick(share)
 
     def run_with_open_flows(self, for_s, per_s):
-        """Let new flows come, and requests on those that are open."""
+        """Open new flows at a rate, and send requests on open flows."""
         for _ in range(round(for_s / 0.1)):
             for name in self.names:
-                self.ask_on_open_flows(name, 1)
+                self.send_on_open_flows(name, 1)
             self.run(0.1, per_s)
 
     def flows_at(self, name):
@@ -148,7 +151,7 @@
     def fitness(self, name, core=0):
         return self.cores[core].registry.get(name).fitness
 
-    def condemned(self):
+    def ejected(self):
         return {
             belief.name
             for core in self.cores
@@ -162,32 +165,32 @@
 
 
 class TestBadTargets(unittest.TestCase):
-    """Of eight targets one fails; the rest of the service goes on as before."""
+    """One of eight targets fails; the others serve as before."""
 
     def failing(
         self, outcome, instances=1, share=0.6, per_s=80.0, port=IDEMPOTENT_PORT
     ):
         zone = Zone(instances=instances)
         zone.run(5.0, per_s)
-        self.assertEqual(zone.condemned(), set())
+        self.assertEqual(zone.ejected(), set())
 
         def behave(name):
             if name == "i-3" and zone.draw.random() < share:
                 return outcome
-            return zone.usual(name)
+            return zone.draw_normal_answer(name)
 
         zone.behave = behave
         zone.run(4.0, per_s, port=port)
         return zone
 
-    def test_a_mute_one_gets_no_new_flows(self):
+    def test_unresponsive_target_gets_no_new_flows(self):
         zone = self.failing(None)
-        self.assertEqual(zone.condemned(), {"i-3"})
+        self.assertEqual(zone.ejected(), {"i-3"})
         zone.placed.clear()
         zone.run(1.0)
         self.assertNotIn("i-3", zone.placed)
 
-    def test_requests_that_a_mute_one_leaves_are_tried_elsewhere_if_they_may(self):
+    def test_unanswered_idempotent_requests_are_reset(self):
         zone = self.failing(None, per_s=200.0)
         reasons = {reset.reason for reset in zone.resets}
         self.assertEqual(reasons, {ResetReason.TARGET_IMPAIRED})
@@ -195,27 +198,27 @@
         waiting = zone.cores[0].registry.get("i-3").busy_flows
         self.assertEqual(waiting, 0)
 
-    def test_requests_that_may_run_once_are_never_reset(self):
+    def test_requests_that_may_run_only_once_are_never_reset(self):
         zone = self.failing(None, share=1.0, port=ONCE_PORT)
-        self.assertEqual(zone.condemned(), {"i-3"})
+        self.assertEqual(zone.ejected(), {"i-3"})
         ports = {reset.flow.service_port for reset in zone.resets}
         self.assertNotIn(ONCE_PORT, ports)
 
-    def test_one_that_errs_gets_no_new_flows(self):
+    def test_target_that_returns_errors_gets_no_new_flows(self):
         zone = self.failing((0.001, ERROR_BYTES), share=1.0)
-        self.assertEqual(zone.condemned(), {"i-3"})
+        self.assertEqual(zone.ejected(), {"i-3"})
 
-    def test_flows_of_one_that_errs_are_left_to_it(self):
-        # It cannot be told from one that refuses since it is overrun.
+    def test_flows_of_a_target_that_returns_errors_are_kept(self):
+        # Errors cannot be distinguished from load shedding by an overloaded target.
         zone = self.failing((0.001, ERROR_BYTES), instances=6, share=1.0, per_s=200.0)
-        self.assertEqual(zone.condemned(), {"i-3"})
+        self.assertEqual(zone.ejected(), {"i-3"})
         for _ in range(12):
-            zone.ask_on_open_flows("i-3", 2)
+            zone.send_on_open_flows("i-3", 2)
             zone.run(0.1, 100.0)
         self.assertEqual(zone.resets, [])
 
-    def test_flows_of_one_that_has_just_started_are_left_alone(self):
-        # All instances open flows there at once; it queues, refuses, and is slow.
+    def test_flows_of_a_target_that_just_started_are_kept(self):
+        # All instances open flows there at once, so it queues, sheds and is slow.
         zone = Zone(instances=12)
         zone.run(6.0, 300.0)
         new = make_target("i-9", revision=20)
@@ -224,17 +227,17 @@
 
         def behave(name):
             if name != "i-9":
-                return zone.usual(name)
+                return zone.draw_normal_answer(name)
             return (0.001, ERROR_BYTES) if zone.draw.random() < 0.7 else (2.0, 900)
 
         zone.behave = behave
         zone.run(3.0, 300.0)
-        self.assertEqual(zone.condemned(), {"i-9"})
+        self.assertEqual(zone.ejected(), {"i-9"})
         self.assertEqual(zone.resets, [])
 
-    def test_flows_of_one_that_drains_are_left_alone_though_it_errs(self):
+    def test_flows_of_a_draining_target_that_returns_errors_are_kept(self):
         zone = self.failing((0.001, ERROR_BYTES), instances=3, share=1.0, per_s=200.0)
-        self.assertEqual(zone.condemned(), {"i-3"})
+        self.assertEqual(zone.ejected(), {"i-3"})
         draining = make_target("i-3", phase=TargetPhase.DRAINING, revision=20)
         for core in zone.cores:
             core.on_target(draining, zone.now_s)
@@ -245,69 +248,72 @@
             core.on_packet(error, b"", zone.now_s)
         zone.resets.clear()
         for _ in range(10):
-            zone.ask_on_open_flows("i-3", 3)
+            zone.send_on_open_flows("i-3", 3)
             zone.run(0.1, 200.0)
         self.assertEqual(zone.resets, [])
 
-    def test_one_that_is_beyond_all_slow_gets_no_new_flows(self):
+    def test_very_slow_target_gets_no_new_flows(self):
         zone = self.failing((WORK_S * 40, ANSWER_BYTES))
-        self.assertEqual(zone.condemned(), {"i-3"})
+        self.assertEqual(zone.ejected(), {"i-3"})
 
-    def test_what_one_instance_cannot_know_the_zone_does(self):
+    def test_merged_reports_detect_what_one_instance_cannot(self):
         alone = Zone(instances=12)
         alone.run(8.0, 80.0)
         together = Zone(instances=12)
         together.run(8.0, 80.0)
         for zone, share in ((alone, False), (together, True)):
-            zone.behave = lambda name, z=zone: None if name == "i-3" else z.usual(name)
+            zone.behave = lambda name, z=zone: (
+                None if name == "i-3" else z.draw_normal_answer(name)
+            )
             zone.run(0.9, 80.0, share=share)
-        self.assertEqual(alone.condemned(), set())
-        self.assertEqual(together.condemned(), {"i-3"})
+        self.assertEqual(alone.ejected(), set())
+        self.assertEqual(together.ejected(), {"i-3"})
         every = [together.fitness("i-3", n) for n in range(12)]
         self.assertEqual(set(every), {Fitness.IMPAIRED})
 
-    def test_one_that_has_recovered_returns_by_a_trickle(self):
+    def test_recovered_target_returns_with_a_small_share_of_flows(self):
         zone = self.failing(None)
-        zone.behave = zone.usual
-        condemned_s = zone.cores[0].registry.get("i-3").fitness_since_s
+        zone.behave = zone.draw_normal_answer
+        ejected_s = zone.cores[0].registry.get("i-3").fitness_since_s
         while zone.fitness("i-3") is Fitness.IMPAIRED:
             zone.run(0.2)
-        self.assertGreaterEqual(zone.now_s - condemned_s, EJECTION_TIME_S)
+        self.assertGreaterEqual(zone.now_s - ejected_s, EJECTION_TIME_S)
         zone.placed.clear()
         zone.run(1.0, 80.0)
         self.assertLess(zone.placed.get("i-3", 0), 14)
         zone.run(2.0)
         self.assertIs(zone.fitness("i-3"), Fitness.SOUND)
 
-    def test_flows_of_one_that_has_recovered_are_left_alone(self):
-        # It was reset again from what had been seen before it recovered, when single
-        # failures condemned it anew after its rest.
+    def test_flows_of_a_recovered_target_are_kept(self):
+        # Counts from before the recovery must not confirm a fault again when single
+        # failures eject the target anew after its ejection time.
         zone = self.failing(None, instances=12, share=0.45, per_s=300.0)
         zone.run(6.0, 300.0)
         self.assertNotEqual(zone.resets, [])
         recovered_s = zone.now_s
         zone.behave = lambda name: (
-            None if zone.draw.random() < 0.03 else zone.usual(name)
+            None if zone.draw.random() < 0.03 else zone.draw_normal_answer(name)
         )
         zone.run(25.0, 300.0)
         self.assertLess(max(zone.reset_s), recovered_s + 4.0)
 
-    def test_one_that_has_not_recovered_rests_longer_each_time(self):
+    def test_ejection_time_grows_while_a_target_has_not_recovered(self):
         zone = self.failing(None, share=1.0)
-        tried, last = [], Fitness.IMPAIRED
+        probations, last = [], Fitness.IMPAIRED
         while zone.now_s < 60.0:
             zone.run(0.1)
             if zone.fitness("i-3") is Fitness.RETURNING and last is Fitness.IMPAIRED:
-                tried.append(zone.now_s)
+                probations.append(zone.now_s)
             last = zone.fitness("i-3")
         gaps_s = [
-            after - before for before, after in zip(tried, tried[1:], strict=False)
+            after - before
+            for before, after in zip(probations, probations[1:], strict=False)
         ]
         self.assertGreaterEqual(len(gaps_s), 2)
         self.assertGreater(gaps_s[1], gaps_s[0] * 1.3)
         self.assertLessEqual(max(gaps_s), MAX_EJECTION_TIME_S * 2)
 
-    def test_only_flows_that_may_be_repeated_try_one_that_returns(self):
+    def test_only_idempotent_flows_go_to_a_target_on_probation(self):
         zone = self.failing(None)
         while zone.fitness("i-3") is Fitness.IMPAIRED:
             zone.run(0.2)
@@ -316,118 +322,122 @@
         self.assertNotIn("i-3", zone.placed)
 
 
-class TestWhatBefallsAll(unittest.TestCase):
-    """Loads in which requests fail for other reasons than a target's own."""
+class TestFaultsOfAllTargets(unittest.TestCase):
+    """Loads in which requests fail for reasons other than a single target."""
 
-    def assert_nobody_condemned(self, zone):
-        self.assertEqual(zone.condemned(), set())
+    def assert_none_ejected(self, zone):
+        self.assertEqual(zone.ejected(), set())
         self.assertEqual(zone.resets, [])
 
-    def test_a_calm_day_with_work_of_any_length(self):
+    def test_no_ejection_without_faults_for_any_service_time(self):
         for work_s in (0.005, 0.2, 5.0):
             zone = Zone(work_s=work_s, instances=3)
             zone.run(40.0, 40.0)
             with self.subTest(work_s):
-                self.assert_nobody_condemned(zone)
+                self.assert_none_ejected(zone)
 
-    def test_all_become_slow_at_once(self):
+    def test_no_ejection_when_all_become_slow(self):
         zone = Zone(instances=3)
         zone.run(5.0, 80.0)
         zone.behave = lambda name: (WORK_S * zone.draw.uniform(4, 16), ANSWER_BYTES)
         zone.run(10.0, 80.0)
-        self.assert_nobody_condemned(zone)
+        self.assert_none_ejected(zone)
 
-    def test_all_shed_at_once(self):
+    def test_no_ejection_when_all_shed_load(self):
         zone = Zone(instances=3)
         zone.run(5.0, 80.0)
 
         def behave(name):
             shed = zone.draw.random() < 0.5
-            return (0.001, ERROR_BYTES) if shed else zone.usual(name)
+            return (0.001, ERROR_BYTES) if shed else zone.draw_normal_answer(name)
 
         zone.behave = behave
         zone.run(10.0, 80.0)
-        self.assert_nobody_condemned(zone)
+        self.assert_none_ejected(zone)
 
-    def test_flows_that_move_to_another_instance(self):
-        # Answers of a fifth of the flows are acknowledged through other instances.
+    def test_no_ejection_when_flows_move_to_another_instance(self):
+        # The answers of a fifth of the flows are acknowledged via other instances.
         zone = Zone(instances=3)
         zone.run(5.0, 80.0)
 
         def behave(name):
-            return None if zone.draw.random() < 0.2 else zone.usual(name)
+            return None if zone.draw.random() < 0.2 else zone.draw_normal_answer(name)
 
         zone.behave = behave
         zone.run(10.0, 80.0)
-        self.assert_nobody_condemned(zone)
+        self.assert_none_ejected(zone)
 
-    def test_an_instance_that_stood_still(self):
+    def test_no_ejection_after_a_pause_of_an_instance(self):
         zone = Zone(instances=3)
         zone.run(5.0, 80.0)
-        frozen = zone.cores[0]
-        held = [event for event in zone.events if event[1] is frozen]
-        zone.events = [event for event in zone.events if event[1] is not frozen]
+        paused_core = zone.cores[0]
+        held = [event for event in zone.events if event[1] is paused_core]
+        zone.events = [event for event in zone.events if event[1] is not paused_core]
         zone.cores = zone.cores[1:]
         zone.run(3.0, 80.0)
-        zone.cores.append(frozen)
+        zone.cores.append(paused_core)
         zone.events += [(zone.now_s, core, packet) for _, core, packet in held]
         zone.run(5.0, 80.0)
-        self.assert_nobody_condemned(zone)
+        self.assert_none_ejected(zone)
 
-    def test_one_overrun_target_that_sheds_keeps_its_flows(self):
+    def test_overloaded_target_that_sheds_keeps_its_flows(self):
         zone = Zone(instances=3)
         zone.run(5.0, 80.0)
 
         def behave(name):
             shed = name == "i-3" and zone.draw.random() < 0.7
-            return (0.001, ERROR_BYTES) if shed else zone.usual(name)
+            return (0.001, ERROR_BYTES) if shed else zone.draw_normal_answer(name)
 
         zone.behave = behave
         zone.run(10.0, 80.0)
         self.assertEqual(zone.resets, [])
 
-    def test_a_target_that_drains_is_not_judged(self):
+    def test_draining_target_is_not_evaluated(self):
         zone = Zone(instances=3)
         zone.run(5.0, 80.0)
         draining = make_target("i-3", phase=TargetPhase.DRAINING, revision=20)
         for core in zone.cores:
             core.on_target(draining, zone.now_s)
-        zone.behave = lambda name: None if name == "i-3" else zone.usual(name)
+        zone.behave = lambda name: (
+            None if name == "i-3" else zone.draw_normal_answer(name)
+        )
         zone.run(5.0, 80.0)
-        self.assert_nobody_condemned(zone)
+        self.assert_none_ejected(zone)
 
 
 class TestBounds(unittest.TestCase):
-    def bad_from(self, names, targets, for_s=6.0, share=1.0):
+    def run_with_bad_targets(self, names, targets, for_s=6.0, share=1.0):
         zone = Zone(targets=targets)
         zone.run(5.0, 80.0)
 
         def behave(name):
             bad = name in names and zone.draw.random() < share
-            return None if bad else zone.usual(name)
+            return None if bad else zone.draw_normal_answer(name)
 
         zone.behave = behave
         zone.run(for_s, 80.0)
         return zone
 
-    def test_at_most_two_fifths_of_a_service_are_passed_over(self):
-        zone = self.bad_from({f"i-{n}" for n in range(1, 7)}, targets=8)
-        self.assertLessEqual(len(zone.condemned()), 3)
+    def test_at_most_two_fifths_of_a_service_are_ejected(self):
+        zone = self.run_with_bad_targets({f"i-{n}" for n in range(1, 7)}, targets=8)
+        self.assertLessEqual(len(zone.ejected()), 3)
 
-    def test_with_three_targets_one_may_be_passed_over(self):
-        self.assertEqual(self.bad_from({"i-2"}, targets=3).condemned(), {"i-2"})
+    def test_one_of_three_targets_may_be_ejected(self):
+        self.assertEqual(
+            self.run_with_bad_targets({"i-2"}, targets=3).ejected(), {"i-2"}
+        )
 
-    def test_with_two_or_one_none_is(self):
-        self.assertEqual(self.bad_from({"i-2"}, targets=2).condemned(), set())
-        self.assertEqual(self.bad_from({"i-1"}, targets=1).condemned(), set())
+    def test_no_ejection_with_one_or_two_targets(self):
+        self.assertEqual(self.run_with_bad_targets({"i-2"}, targets=2).ejected(), set())
+        self.assertEqual(self.run_with_bad_targets({"i-1"}, targets=1).ejected(), set())
 
-    def test_all_bad_alike_are_left_in_use(self):
+    def test_no_ejection_when_all_fail_alike(self):
         names = {f"i-{n}" for n in range(1, 9)}
-        zone = self.bad_from(names, targets=8, share=0.5)
-        self.assertEqual(zone.condemned(), set())
+        zone = self.run_with_bad_targets(names, targets=8, share=0.5)
+        self.assertEqual(zone.ejected(), set())
 
-    def test_a_flow_still_finds_the_last_target_though_it_is_impaired(self):
-        zone = self.bad_from({"i-2"}, targets=3)
+    def test_flow_opens_at_an_impaired_target_without_alternative(self):
+        zone = self.run_with_bad_targets({"i-2"}, targets=3)
         for name in ("i-1", "i-3"):
             draining = make_target(name, phase=TargetPhase.DRAINING, revision=20)
             zone.cores[0].on_target(draining, zone.now_s)
@@ -435,28 +445,28 @@
         self.assertEqual(belief.name, "i-2")
 
 
-class TestWordsOfOthers(unittest.TestCase):
-    def told(self, failed, good=0.0, name="i-3", born_ms=0):
+class TestReportsOfOthers(unittest.TestCase):
+    def make_report(self, failed, good=0.0, name="i-3", born_ms=0):
         report = FitnessReport(
             [TargetCounts(name, born_ms, good, failed, 0.0, fresh=1)],
             [ServiceCounts("notes", 100.0 + failed, failed)],
         )
         return report
 
-    def test_the_word_of_one_instance_is_bounded(self):
-        lying = self.told(failed=10_000.0)
-        honest = self.told(failed=1.0, good=60.0)
-        merged = merge_reports([lying, honest]).targets[0]
+    def test_weight_of_one_instance_is_bounded(self):
+        false_report = self.make_report(failed=10_000.0)
+        true_report = self.make_report(failed=1.0, good=60.0)
+        merged = merge_reports([false_report, true_report]).targets[0]
         self.assertLessEqual(merged.failed, MAX_REQUESTS_PER_INSTANCE + 1.0)
         self.assertEqual(merged.instances, 2)
 
-    def test_one_lying_instance_resets_no_flow(self):
+    def test_false_report_of_one_instance_resets_no_flow(self):
         zone = Zone()
         zone.run(5.0, 80.0)
         core = zone.cores[0]
         for _ in range(20):
             zone.now_s += TICK_S
-            merged = merge_reports([self.told(failed=10_000.0)])
+            merged = merge_reports([self.make_report(failed=10_000.0)])
             core.fitness.take_told(merged, zone.now_s)
             core.tick(zone.now_s)
         self.assertEqual(take(core, Reset), [])
@@ -466,67 +476,69 @@
         zone.run(6.0, 80.0)
         core, resets = zone.cores[0], []
         reports = [
-            self.told(failed=10.0),
-            self.told(failed=1.0, good=8.0),
-            self.told(failed=0.0, good=12.0),
+            self.make_report(failed=10.0),
+            self.make_report(failed=1.0, good=8.0),
+            self.make_report(failed=0.0, good=12.0),
         ]
         for _ in range(20):
             zone.now_s += TICK_S
             core.fitness.take_told(merge_reports(reports), zone.now_s)
             core.tick(zone.now_s)
             resets += take(core, Reset)
-        self.assertEqual(zone.condemned(), {"i-3"})
+        self.assertEqual(zone.ejected(), {"i-3"})
         self.assertEqual(resets, [])
 
-    def test_a_word_on_another_incarnation_counts_for_nothing(self):
+    def test_report_on_another_incarnation_is_ignored(self):
         zone = Zone()
         zone.run(5.0, 80.0)
         core = zone.cores[0]
-        core.fitness.take_told(self.told(failed=20.0, born_ms=7), zone.now_s)
+        core.fitness.take_told(self.make_report(failed=20.0, born_ms=7), zone.now_s)
         core.tick(zone.now_s)
-        self.assertEqual(zone.condemned(), set())
+        self.assertEqual(zone.ejected(), set())
 
-    def test_an_old_word_counts_for_nothing(self):
+    def test_expired_report_is_ignored(self):
         zone = Zone()
         zone.run(5.0, 80.0)
         core = zone.cores[0]
-        core.fitness.take_told(self.told(failed=20.0), zone.now_s - 5.0)
+        core.fitness.take_told(self.make_report(failed=20.0), zone.now_s - 5.0)
         core.tick(zone.now_s)
-        self.assertEqual(zone.condemned(), set())
+        self.assertEqual(zone.ejected(), set())
 
 
 class TestCost(unittest.TestCase):
-    def test_all_targets_of_a_service_are_counted_once_for_a_tick(self):
+    def test_requests_of_a_service_are_summed_once_per_tick(self):
         zone = Zone(targets=60)
         zone.run(4.0, 200.0)
         core, counted = zone.cores[0], []
         samples = core.fitness._samples
         take_sample = samples._take
 
-        def noted(service, now_s):
+        def count_and_take(service, now_s):
             counted.append(service)
             return take_sample(service, now_s)
 
-        samples._take = noted
+        samples._take = count_and_take
         bad = {"i-3", "i-17", "i-41"}
-        zone.behave = lambda name: None if name in bad else zone.usual(name)
+        zone.behave = lambda name: (
+            None if name in bad else zone.draw_normal_answer(name)
+        )
         zone.run(2.0, 400.0)
-        self.assertEqual(zone.condemned(), bad)
+        self.assertEqual(zone.ejected(), bad)
         self.assertLessEqual(len(counted), 2.0 / TICK_S + 1)
 
 
-class TestParts(unittest.TestCase):
-    def test_evidence_is_of_the_difference(self):
+class TestScoresAndHistograms(unittest.TestCase):
+    def test_log_likelihood_ratio_depends_on_the_difference(self):
         self.assertEqual(log_likelihood_ratio(0, 10, 0, 100), 0.0)
         self.assertLess(log_likelihood_ratio(3, 10, 30, 100), 0.1)
         self.assertGreater(log_likelihood_ratio(10, 10, 20, 100), 7.0)
         self.assertLess(log_likelihood_ratio(1, 3, 1, 100), 7.0)
 
-    def test_what_is_usual_follows_the_load(self):
-        usual = DecayingHistogram(0.001)
+    def test_histogram_follows_the_load(self):
+        histogram = DecayingHistogram(0.001)
         for _ in range(HISTOGRAM_CAPACITY):
-            usual.add(0.01)
+            histogram.add(0.01)
         for _ in range(HISTOGRAM_CAPACITY * 4):
-            usual.add(1.0)
-        self.assertGreater(usual.quantile(0.5), 0.9)
-        self.assertLessEqual(usual.count, HISTOGRAM_CAPACITY)
+            histogram.add(1.0)
+        self.assertGreater(histogram.quantile(0.5), 0.9)
+        self.assertLessEqual(histogram.count, HISTOGRAM_CAPACITY)
--- a/endivepick/forwarding/tests/test_service_usual.py
+++ b/endivepick/forwarding/tests/test_service_usual.py
@@ -1,4 +1,4 @@
-"""What is usual, learnt by many instances of which each sees little."""
+"""Baselines learnt by many instances, each of which observes few requests."""
 
 import unittest
 
@@ -18,51 +18,51 @@
 KIND = RouteKind.IDEMPOTENT
 
 
-def seen(answers, wait_s=0.02, service="notes"):
-    usual = ServiceBaselines()
+def learn_baselines(answers, wait_s=0.02, service="notes"):
+    baselines = ServiceBaselines()
     for _ in range(answers):
-        usual.add(service, KIND, wait_s, 900)
-    return usual
+        baselines.add(service, KIND, wait_s, 900)
+    return baselines
 
 
 class TestLargeZone(unittest.TestCase):
-    """Forty instances see three requests a second each; then one target turns slow."""
+    """Forty instances observe three requests per second each; then a target slows."""
 
-    def slow_after(self, calm_s, share=True, slow=("i-3",), slow_s=2.0):
+    def run_slow_targets(self, normal_s, share=True, slow=("i-3",), slow_s=2.0):
         zone = Zone(targets=23, instances=40)
-        zone.run(calm_s, 120.0, share)
+        zone.run(normal_s, 120.0, share)
         zone.behave = lambda name: (
-            (WORK_S * 12, 900) if name in slow else zone.usual(name)
+            (WORK_S * 12, 900) if name in slow else zone.draw_normal_answer(name)
         )
         zone.run(slow_s, 120.0, share)
         return zone
 
-    def test_a_slow_target_gets_no_new_flows_soon_after_a_start(self):
-        zone = self.slow_after(calm_s=2.0)
-        self.assertEqual(zone.condemned(), {"i-3"})
+    def test_slow_target_is_ejected_soon_after_a_start(self):
+        zone = self.run_slow_targets(normal_s=2.0)
+        self.assertEqual(zone.ejected(), {"i-3"})
 
-    def test_several_that_turn_slow_together_are_found_as_soon(self):
+    def test_several_targets_that_become_slow_together_are_ejected(self):
         slow = {"i-3", "i-8", "i-13", "i-18", "i-23"}
-        zone = self.slow_after(calm_s=6.0, slow=slow, slow_s=1.2)
-        self.assertEqual(zone.condemned(), slow)
+        zone = self.run_slow_targets(normal_s=6.0, slow=slow, slow_s=1.2)
+        self.assertEqual(zone.ejected(), slow)
 
-    def test_a_slow_one_is_found_where_short_answers_are_usual(self):
+    def test_slow_target_is_ejected_where_short_answers_are_common(self):
         zone = Zone(targets=23, instances=20)
 
-        def usual(name):
-            wait_s, size = zone.usual(name)
+        def draw_answer(name):
+            wait_s, size = zone.draw_normal_answer(name)
             return wait_s, ERROR_BYTES if zone.draw.random() < 0.2 else size
 
-        zone.behave = usual
+        zone.behave = draw_answer
         zone.run(6.0, 70.0)
-        self.assertEqual(zone.condemned(), set())
+        self.assertEqual(zone.ejected(), set())
         zone.behave = lambda name: (
-            (WORK_S * 12, usual(name)[1]) if name == "i-3" else usual(name)
+            (WORK_S * 12, draw_answer(name)[1]) if name == "i-3" else draw_answer(name)
         )
         zone.run(2.0, 70.0)
-        self.assertEqual(zone.condemned(), {"i-3"})
+        self.assertEqual(zone.ejected(), {"i-3"})
 
-    def test_a_caller_that_asks_for_little_condemns_no_target(self):
+    def test_caller_with_short_answers_ejects_no_target(self):
         zone = Zone(targets=23, instances=40)
         zone.run(6.0, 120.0)
         core = zone.cores[0]
@@ -71,46 +71,48 @@
         for _ in range(20):
             zone.now_s += 0.1
             zone.deliver()
-            zone.ask_on(core, flow)
+            zone.send_on(core, flow)
             zone.tick()
-        self.assertEqual(zone.condemned(), set())
+        self.assertEqual(zone.ejected(), set())
 
-    def test_alone_no_instance_could_tell(self):
-        zone = self.slow_after(calm_s=2.0, share=False)
-        self.assertEqual(zone.condemned(), set())
+    def test_no_instance_alone_detects_the_slow_target(self):
+        zone = self.run_slow_targets(normal_s=2.0, share=False)
+        self.assertEqual(zone.ejected(), set())
 
-    def test_instances_that_start_into_a_slow_zone_learn_what_is_usual(self):
-        zone = self.slow_after(calm_s=6.0)
+    def test_instance_that_starts_later_learns_the_zone_baseline(self):
+        zone = self.run_slow_targets(normal_s=6.0)
         zone.cores = zone.cores[:39] + [Zone(targets=23).cores[0]]
         zone.events = [event for event in zone.events if event[1] in zone.cores]
         zone.run(2.0, 120.0)
         self.assertEqual(str(zone.fitness("i-3", 39)), str(zone.fitness("i-3")))
 
 
-class TestWords(unittest.TestCase):
-    def test_what_instances_have_seen_adds_up(self):
-        words = [counts for _ in range(10) for counts in seen(4).to_counts()]
-        (merged,) = merge_usual(words)
+class TestBaselineCounts(unittest.TestCase):
+    def test_counts_of_instances_are_summed(self):
+        reported = [
+            counts for _ in range(10) for counts in learn_baselines(4).to_counts()
+        ]
+        (merged,) = merge_usual(reported)
         self.assertEqual(sum(bucket.values for bucket in merged.waits), 40)
-        together = ServiceBaselines()
-        together.replace([merged])
-        alone = together.get("notes", KIND)
-        self.assertAlmostEqual(alone.overdue_after_s(), 0.045, delta=0.015)
-
-    def test_few_answers_replace_nothing(self):
-        usual = ServiceBaselines()
-        usual.replace(seen(100).to_counts())
-        usual.replace(seen(3, wait_s=9.0).to_counts())
-        self.assertLess(usual.get("notes", KIND).overdue_after_s(), 0.1)
-
-    def test_one_word_counts_for_what_an_instance_remembers(self):
-        (counts,) = seen(1).to_counts()
-        loud = UsualCounts("notes", KIND, [Bucket(40, 2**20)], [Bucket(3, 2**20)])
-        (merged,) = merge_usual([counts, loud])
+        merged_baselines = ServiceBaselines()
+        merged_baselines.replace([merged])
+        baseline = merged_baselines.get("notes", KIND)
+        self.assertAlmostEqual(baseline.overdue_after_s(), 0.045, delta=0.015)
+
+    def test_baseline_with_few_answers_replaces_nothing(self):
+        baselines = ServiceBaselines()
+        baselines.replace(learn_baselines(100).to_counts())
+        baselines.replace(learn_baselines(3, wait_s=9.0).to_counts())
+        self.assertLess(baselines.get("notes", KIND).overdue_after_s(), 0.1)
+
+    def test_weight_of_one_instance_is_bounded(self):
+        (counts,) = learn_baselines(1).to_counts()
+        oversized = UsualCounts("notes", KIND, [Bucket(40, 2**20)], [Bucket(3, 2**20)])
+        (merged,) = merge_usual([counts, oversized])
         most = max(bucket.values for bucket in merged.waits)
         self.assertLessEqual(most, HISTOGRAM_CAPACITY)
 
-    def test_what_no_instance_tells_is_left_out(self):
+    def test_invalid_counts_are_left_out(self):
         for bucket in (Bucket(-1, 1), Bucket(64, 1), Bucket(3, -5), Bucket(3, 2**60)):
             with self.subTest(bucket):
                 wrong = UsualCounts("notes", KIND, [bucket], [])
@@ -118,14 +120,14 @@
                 self.assertEqual(sanitize_report(report).usual, [])
                 self.assertEqual(merge_reports([report]).usual, [])
 
-    def test_a_report_names_few_kinds(self):
-        usual = ServiceBaselines()
+    def test_number_of_reported_kinds_is_bounded(self):
+        baselines = ServiceBaselines()
         for n in range(100):
-            usual.add(f"s-{n}", KIND, 0.02, 900)
-        self.assertEqual(len(usual.to_counts()), MAX_REPORTED_KINDS)
+            baselines.add(f"s-{n}", KIND, 0.02, 900)
+        self.assertEqual(len(baselines.to_counts()), MAX_REPORTED_KINDS)
 
-    def test_what_is_told_is_read_as_it_was(self):
-        report = FitnessReport([], [], usual=seen(5).to_counts())
+    def test_report_survives_encoding(self):
+        report = FitnessReport([], [], usual=learn_baselines(5).to_counts())
         body = msgspec.json.encode(report)
         self.assertEqual(msgspec.json.decode(body, type=FitnessReport), report)
         self.assertFalse(report.empty)
--- a/endivepick/forwarding/tests/test_silence.py
+++ b/endivepick/forwarding/tests/test_silence.py
@@ -1,4 +1,4 @@
-"""Targets that lose power at once, each with flows at several instances of a zone."""
+"""Targets lose power at once, each with flows at several instances of a zone."""
 
 import unittest
 
@@ -28,7 +28,7 @@
 
 
 def answered(core, caller_port, now_s):
-    """Open a flow of which the first request is answered; return key and belief."""
+    """Open a flow whose first request is answered; return its key and belief."""
     flow = flow_key(caller_port)
     belief = open_flow(core, flow, now_s)
     core.on_packet(data(flow, belief.cookie), b"", now_s)
@@ -36,13 +36,13 @@
     return flow, belief
 
 
-class TestToldSilence(unittest.TestCase):
+class TestReportedSilence(unittest.TestCase):
     def make(self, **settings):
         targets = [make_target(f"i-{n}", revision=n) for n in (1, 2)]
         return make_core(targets, **settings)
 
     def silent_at(self, core, now_s=3.0):
-        """Let the core find a target silent; return its flow there and its belief."""
+        """Let the core find a target silent; return its belief."""
         flow, belief = answered(core, 1, 1.0)
         core.on_packet(data(flow, belief.cookie, 401, 900), b"", now_s - 0.5)
         core.on_packet(data(flow, belief.cookie, 401, 900), b"", now_s - 0.3)
@@ -60,7 +60,7 @@
                 return core, flow, belief
         raise AssertionError(f"no flow at {name}")
 
-    def test_idle_flows_elsewhere_are_reset_before_their_next_request(self):
+    def test_idle_flows_at_other_instances_are_reset_before_their_next_request(self):
         first = self.make()
         name = self.silent_at(first).name
         core, flow, _ = self.with_flows_at(name)
@@ -68,19 +68,19 @@
         self.assertEqual(answer_probes(core, SILENT, 3.4), [name])
         self.assertIn(flow, [reset.flow for reset in take(core, Reset)])
 
-    def test_a_word_is_checked_once_and_not_believed(self):
+    def test_report_is_verified_once_by_a_probe(self):
         first = self.make()
         name = self.silent_at(first).name
         core, _, belief = self.with_flows_at(name)
-        asked = []
+        probed = []
         for n in range(20):
             core.on_seen(first.seen(3.1), 3.1 + 0.7 * n)
-            asked += answer_probes(core, ALIVE, 3.2 + 0.7 * n)
-        self.assertEqual(asked, [name])
+            probed += answer_probes(core, ALIVE, 3.2 + 0.7 * n)
+        self.assertEqual(probed, [name])
         self.assertIs(belief.reachability, Reachability.REACHABLE)
         self.assertEqual(take(core, Reset), [])
 
-    def test_without_flows_there_nobody_probes(self):
+    def test_instance_without_flows_there_does_not_probe(self):
         first = self.make()
         self.silent_at(first)
         core = self.make()
@@ -88,13 +88,13 @@
         core.on_seen(first.seen(3.1), 3.1)
         self.assertEqual(take(core, ProbeTarget), [])
 
-    def test_a_word_on_another_incarnation_counts_for_nothing(self):
+    def test_report_on_another_incarnation_is_ignored(self):
         core, _, belief = self.with_flows_at("i-1")
-        told = SilentTarget("i-1", belief.target.born_ms + 7)
-        core.on_seen(FitnessReport([], [], silent=[told]), 3.1)
+        reported = SilentTarget("i-1", belief.target.born_ms + 7)
+        core.on_seen(FitnessReport([], [], silent=[reported]), 3.1)
         self.assertEqual(take(core, ProbeTarget), [])
 
-    def test_it_is_told_while_it_is_new(self):
+    def test_silence_is_reported_while_it_is_recent(self):
         core = self.make()
         self.silent_at(core)
         self.assertTrue(core.doubts(3.5))
@@ -102,31 +102,31 @@
         self.assertFalse(core.doubts(9.0))
         self.assertFalse(core.seen(9.0).urgent)
 
-    def test_targets_of_other_zones_are_not_told(self):
-        # A zone that is cut off finds those of all others silent.
+    def test_targets_of_other_zones_are_not_reported(self):
+        # A partitioned zone finds all targets of other zones silent.
         core = make_core([make_target(f"i-{n}", "b") for n in range(3)])
         self.silent_at(core)
         self.assertEqual(core.seen(3.1).silent, [])
 
-    def test_words_are_bounded(self):
+    def test_number_of_reported_targets_is_bounded(self):
         silent = [SilentTarget(f"i-{n}", 1) for n in range(1000)]
         merged = merge_reports([FitnessReport([], [], silent=silent)] * 3)
         self.assertEqual(merged.silent, silent[:MOST_TOLD])
 
-    def test_it_can_be_switched_off(self):
+    def test_reports_of_silence_can_be_disabled(self):
         off = Mechanisms(tell_silence=False)
         first = self.make()
         name = self.silent_at(first).name
         core, _, _ = self.with_flows_at(name, mechanisms=off)
         core.on_seen(first.seen(3.1), 3.1)
         self.assertEqual(take(core, ProbeTarget), [])
-        told_by = self.make(mechanisms=off)
-        self.silent_at(told_by)
-        self.assertEqual(told_by.seen(3.1).silent, [])
+        reporting = self.make(mechanisms=off)
+        self.silent_at(reporting)
+        self.assertEqual(reporting.seen(3.1).silent, [])
 
 
 class TestControl(unittest.TestCase):
-    """What a suspected target is compared with while it is probed."""
+    """Choice of the control that a probe of a suspected target is compared with."""
 
     def probe_of(self, progress_s, now_s=5.0, both=True):
         core = make_core([make_target(f"i-{n}", revision=n) for n in (1, 2)])
@@ -145,11 +145,11 @@
         self.assertEqual(probe.target.name, suspect.name)
         return probe, other
 
-    def test_it_is_one_that_has_just_made_progress(self):
+    def test_control_is_a_target_with_recent_progress(self):
         probe, other = self.probe_of(progress_s=4.5)
         self.assertEqual(probe.control, other.target)
 
-    def test_there_is_none_if_nothing_moved_for_a_while(self):
+    def test_no_control_without_recent_progress(self):
         probe, _ = self.probe_of(progress_s=5.0 - CONTROL_PROGRESS_S - 0.5)
         self.assertIsNone(probe.control)
 
--- a/endivepick/forwarding/usual.py
+++ b/endivepick/forwarding/usual.py
@@ -9,7 +9,7 @@
 
 from msgspec import Struct
 
-__all__ = ["Bucket", "RequestBaseline", "DecayingHistogram"]
+__all__ = ["Bucket", "DecayingHistogram", "RequestBaseline"]
 
 _STEPS_PER_DOUBLING = 2
 _SMALLEST_S = 0.001
