--- a/endivepick/forwarding/service_counts.py
+++ b/endivepick/forwarding/service_counts.py
@@ -52,14 +52,14 @@
             self._taken_s = now_s
         sample = self._samples.get(service)
         if sample is None:
-            sample = self._samples[service] = self._take(service, now_s)
+            sample = self._samples[service] = self._sum_requests(service, now_s)
         return sample
 
     def discard(self) -> None:
         """Discard all samples."""
         self._samples.clear()
 
-    def _take(self, service: str, now_s: float) -> ServiceSample:
+    def _sum_requests(self, service: str, now_s: float) -> ServiceSample:
         candidates = self._registry.candidates(service)
         zone = self._registry.zone
         impaired = [b for b in candidates.impaired if b.target.zone == zone]
--- a/endivepick/forwarding/tests/test_erring_targets.py
+++ b/endivepick/forwarding/tests/test_erring_targets.py
@@ -1,6 +1,6 @@
 """A target answers with errors while callers hold long-lived flows to it.
 
-The target may be shedding load, so its flows are recorded; new flows avoid it.
+The target may be shedding load, so its flows are kept; new flows avoid it.
 """
 
 import unittest
@@ -108,7 +108,7 @@
         zone = Zone(instances=6)
         zone.run_with_open_flows(6.0, PER_S)
         core, effects = zone.cores[0], []
-        core.effects = recorded_effects = RecordedEffects(effects)
+        core.effects = recorded_effects = RecordingEffects(effects)
         zone.behave = lambda name: (
             None if name == "i-3" else zone.draw_normal_answer(name)
         )
@@ -123,7 +123,7 @@
         self.assertLess(effects.index(confirmed[0]), resets[0])
 
 
-class RecordedEffects(list):
+class RecordingEffects(list):
     """List of effects that also records them, since the core's user clears the list."""
 
     def __init__(self, recorded):
--- a/endivepick/forwarding/tests/test_fitness.py
+++ b/endivepick/forwarding/tests/test_fitness.py
@@ -511,13 +511,13 @@
         zone.run(4.0, 200.0)
         core, counted = zone.cores[0], []
         samples = core.fitness._samples
-        take_sample = samples._take
+        sum_requests = samples._sum_requests
 
-        def count_and_take(service, now_s):
+        def count_and_sum(service, now_s):
             counted.append(service)
-            return take_sample(service, now_s)
+            return sum_requests(service, now_s)
 
-        samples._take = count_and_take
+        samples._sum_requests = count_and_sum
         bad = {"i-3", "i-17", "i-41"}
         zone.behave = lambda name: (
             None if name in bad else zone.draw_normal_answer(name)
--- a/endivepick/forwarding/tests/test_slow_targets.py
+++ b/endivepick/forwarding/tests/test_slow_targets.py
@@ -73,7 +73,7 @@
     def test_one_instance_that_observes_all_slow_resets_no_flow(self):
         self.run_with_open_flows(6.0)
         normal, slowed = self.zone.behave, self.zone.cores[0]
-        request, ask = self.zone.request, self.zone.send_on_open_flows
+        request, send = self.zone.request, self.zone.send_on_open_flows
 
         def request_with_delay(core, port=None):
             late = core is slowed
@@ -86,7 +86,7 @@
                 self.zone.cores = [core]
                 late = core is slowed
                 self.zone.behave = (lambda _n: (0.4, ANSWER_BYTES)) if late else normal
-                ask(name, count)
+                send(name, count)
             self.zone.cores = cores
 
         self.zone.request, self.zone.send_on_open_flows = (
