--- a/endivepick/forwarder/feeding.py
+++ b/endivepick/forwarder/feeding.py
@@ -166,7 +166,7 @@
     def _is_too_much(self, question: ZoneQuestion) -> bool:
         """Whether all of a large registry would have to be told."""
         registry = self._core.registry
-        if question.registry_revision >= registry.told_from:
+        if question.registry_revision >= registry.oldest_delta_revision:
             return False
         return len(registry) > self._whole_targets
 
@@ -180,7 +180,7 @@
             self._usual_s = now_s
             self._usual = merge_usual(each for seen in reports for each in seen.usual)
         together = merge_reports(reports, self._usual)
-        self._core.on_seen(together, now_s)
+        self._core.on_zone_report(together, now_s)
         return together
 
     def _news(self, question: ZoneQuestion) -> ZoneNews:
--- a/endivepick/forwarder/zone.py
+++ b/endivepick/forwarder/zone.py
@@ -348,7 +348,7 @@
                 raise _FeederLeft("it cannot tell what changed", lost=False)
             case ZoneNews():
                 self._neighbours.heard(feeder, steady_now_s())
-                self._core.on_seen(answer.seen, steady_now_s())
+                self._core.on_zone_report(answer.seen, steady_now_s())
                 self._take(answer.registry, answer.config_change)
                 return answer
 
--- a/endivepick/forwarding/evidence.py
+++ b/endivepick/forwarding/evidence.py
@@ -11,8 +11,8 @@
 from collections.abc import Sequence
 
 from endivepick.forwarding.actions import (
+    DecisionRecord,
     Effect,
-    Note,
     ProbeOutcome,
     ProbeTarget,
     Reset,
@@ -113,8 +113,10 @@
         event, reason = ReachabilityEvent.CALLERS_REPEAT, "callers repeat"
         age_s = now_s - since_s
         return [
-            Note("flow_repeats", flow, belief.name, "no progress", age_s=age_s),
-            *self._registry.reach(belief, event, reason, now_s),
+            DecisionRecord(
+                "flow_repeats", flow, belief.name, "no progress", age_s=age_s
+            ),
+            *self._registry.record_reachability(belief, event, reason, now_s),
             *probe,
         ]
 
@@ -147,7 +149,9 @@
             return []
         age_s = now_s - since_s
         return [
-            Note("opening_unanswered", flow, belief.name, "probed", age_s=age_s),
+            DecisionRecord(
+                "opening_unanswered", flow, belief.name, "probed", age_s=age_s
+            ),
             *probe,
         ]
 
@@ -169,7 +173,7 @@
         if belief.reachability is Reachability.REACHABLE:
             return []
         event = ReachabilityEvent.PROGRESS
-        return [*self._registry.reach(belief, event, "progress", now_s)]
+        return [*self._registry.record_reachability(belief, event, "progress", now_s)]
 
     def on_probe(
         self, belief: TargetBelief, outcome: ProbeOutcome, now_s: float
@@ -177,7 +181,9 @@
         """Update reachability from the outcome of a probe, and reset flows."""
         reason = f"probe: {outcome.value}"
         belief.replaced = outcome is ProbeOutcome.REPLACED
-        changes = self._registry.reach(belief, _PROBE_EVENTS[outcome], reason, now_s)
+        changes = self._registry.record_reachability(
+            belief, _PROBE_EVENTS[outcome], reason, now_s
+        )
         effects: list[Effect] = [*changes, *self.resets(belief)]
         if changes and belief.reachability is Reachability.SILENT:
             effects += self._probe_zone(belief, now_s)
@@ -383,7 +389,7 @@
 
     def _find_control(self, belief: TargetBelief, now_s: float) -> Target | None:
         """Return a target with recent progress as control of a probe, or None."""
-        control = self._flows.progressed_beside(belief)
+        control = self._flows.other_progressing_target(belief)
         if control is None or now_s - control.progress_s > CONTROL_PROGRESS_S:
             return None
         if control.reachability is not Reachability.REACHABLE:
--- a/endivepick/forwarding/fitness.py
+++ b/endivepick/forwarding/fitness.py
@@ -211,13 +211,13 @@
             case Fitness.RETURNING if _has_passed_probation(belief, now_s):
                 self._ejection_times_s.pop(belief.name, None)
                 event = FitnessEvent.PROVED
-                return [*self._registry.judge(belief, event, "tried", now_s)]
+                return [*self._registry.record_fitness(belief, event, "tried", now_s)]
             case Fitness.IMPAIRED if self._is_ejection_over(belief, now_s):
                 counts.good = counts.failed = counts.poor = counts.late = 0.0
                 self.requests.forget_callers(belief.name)
                 self._noted_faults.pop(belief.name, None)
                 event = FitnessEvent.RESTED
-                return [*self._registry.judge(belief, event, "rested", now_s)]
+                return [*self._registry.record_fitness(belief, event, "rested", now_s)]
             case Fitness.IMPAIRED:
                 return self._reset_flows(belief, now_s)
             case Fitness.SOUND if counts.bad < MIN_REPORTED_BAD and reported is None:
@@ -282,7 +282,7 @@
             return []
         reason = f"evidence {score:.1f}: {_describe_counts(counts, reported)}"
         event = FitnessEvent.CONDEMNED
-        changes = self._registry.judge(belief, event, reason, now_s)
+        changes = self._registry.record_fitness(belief, event, reason, now_s)
         return [*changes, *self._reset_flows(belief, now_s)]
 
     def _may_eject(self, belief: TargetBelief) -> bool:
--- a/endivepick/forwarding/forwarder.py
+++ b/endivepick/forwarding/forwarder.py
@@ -9,12 +9,12 @@
 from msgspec.structs import replace
 
 from endivepick.forwarding.actions import (
+    DecisionRecord,
     Drop,
     DropReason,
     Effect,
     Forward,
     Hold,
-    Note,
     ProbeResult,
     ReadRegistry,
     Release,
@@ -32,7 +32,7 @@
 from endivepick.forwarding.fitness import FitnessJudge
 from endivepick.forwarding.fitness_reports import MOST_TOLD, FitnessReport
 from endivepick.forwarding.flows import SEQUENCE_NUMBERS, FlowSign, FlowTable
-from endivepick.forwarding.held import HeldPacket, HeldPackets, held_note
+from endivepick.forwarding.held_packets import HeldPacket, HeldPackets, held_note
 from endivepick.forwarding.model import (
     Configuration,
     FlowKey,
@@ -47,7 +47,7 @@
 from endivepick.forwarding.registry_news import RegistryNews
 from endivepick.forwarding.routes import RouteTable, service_of
 from endivepick.forwarding.settings import ForwardingSettings, without_disabled
-from endivepick.forwarding.unknown import UnknownCookies
+from endivepick.forwarding.unknown_cookies import UnknownCookies
 
 __all__ = ["ForwardingCore"]
 
@@ -131,7 +131,7 @@
 
     def on_configuration(self, configuration: Configuration, now_s: float) -> bool:
         """Take in a configuration; returns whether it is newly in force."""
-        in_force = self.routes.take_in(configuration, now_s)
+        in_force = self.routes.apply_configuration(configuration, now_s)
         self._retry_held(now_s)
         return in_force
 
@@ -150,20 +150,20 @@
         """
         if asked_s is not None:
             self._unknown.listed(asked_s)
-        changes = self.registry.take_list(targets, revision, now_s, unreadable)
+        changes = self.registry.apply_list(targets, revision, now_s, unreadable)
         self._after_changes(changes, now_s)
 
-    def on_registry_seen(self, revision: int) -> None:
+    def on_registry_revision(self, revision: int) -> None:
         """Take in that the registry has told all that changed up to a revision."""
         self.registry.seen(revision)
 
     def on_registry_news(self, news: RegistryNews, now_s: float) -> None:
         """Take in what another instance knows beyond this one's revision."""
-        self._after_changes(self.registry.take_news(news, now_s), now_s)
+        self._after_changes(self.registry.apply_news(news, now_s), now_s)
 
     def on_target(self, target: Target, now_s: float) -> None:
         """Take in one entry of the registry."""
-        self._after_changes(self.registry.take_entry(target, now_s), now_s)
+        self._after_changes(self.registry.apply_entry(target, now_s), now_s)
 
     def on_target_unreadable(self, name: str, revision: int, now_s: float) -> None:
         """Take in that an entry cannot be read, as written at a revision."""
@@ -172,7 +172,7 @@
 
     def on_target_removed(self, name: str, revision: int, now_s: float) -> None:
         """Take in that an entry vanished at a revision of the store."""
-        changes = self.registry.take_removal(name, revision, now_s)
+        changes = self.registry.apply_removal(name, revision, now_s)
         self._after_changes(changes, now_s)
 
     def on_probe(self, result: ProbeResult, now_s: float) -> None:
@@ -211,12 +211,12 @@
         """Whether something speaks against a target, or one has just fallen silent."""
         return self.fitness.doubts or bool(self._judge.fell_silent(now_s))
 
-    def on_seen(self, report: FitnessReport, now_s: float) -> None:
+    def on_zone_report(self, report: FitnessReport, now_s: float) -> None:
         """Take in what the instances of the zone have seen of targets together."""
         self.fitness.take_told(report, now_s)
         self.effects += self._judge.told_silent(report.silent, now_s)
 
-    def on_unread(self, now_s: float) -> None:
+    def on_registry_unavailable(self, now_s: float) -> None:
         """Take in that the registry could not be read until now.
 
         This instance stood still, or the store does not answer it.
@@ -263,7 +263,7 @@
         self._openings.note(packet.flow, belief.name, now_s)
         self.flows.observe(packet, belief, route.kind, now_s)
         self.effects.append(
-            Note(
+            DecisionRecord(
                 "flow_placed",
                 packet.flow,
                 belief.name,
@@ -359,7 +359,7 @@
         flow.noted_doubt = doubt
         if doubt:
             age_s = now_s - belief.doubt_since_s
-            note = Note("flow_goes_on", key, belief.name, doubt, age_s=age_s)
+            note = DecisionRecord("flow_goes_on", key, belief.name, doubt, age_s=age_s)
             self.effects.append(note)
 
     def _reset_reason(
@@ -375,7 +375,7 @@
         sequence = 0 if packet.opening else packet.acknowledged
         age_s = now_s - self.routes.since_s
         self.effects.append(
-            Note(
+            DecisionRecord(
                 "flow_reset",
                 packet.flow,
                 target,
--- a/endivepick/forwarding/tests/test_silence.py
+++ b/endivepick/forwarding/tests/test_silence.py
@@ -64,7 +64,7 @@
         first = self.make()
         name = self.silent_at(first).name
         core, flow, _ = self.with_flows_at(name)
-        core.on_seen(merge_reports([first.seen(3.1)]), 3.1)
+        core.on_zone_report(merge_reports([first.seen(3.1)]), 3.1)
         self.assertEqual(answer_probes(core, SILENT, 3.4), [name])
         self.assertIn(flow, [reset.flow for reset in take(core, Reset)])
 
@@ -74,7 +74,7 @@
         core, _, belief = self.with_flows_at(name)
         probed = []
         for n in range(20):
-            core.on_seen(first.seen(3.1), 3.1 + 0.7 * n)
+            core.on_zone_report(first.seen(3.1), 3.1 + 0.7 * n)
             probed += answer_probes(core, ALIVE, 3.2 + 0.7 * n)
         self.assertEqual(probed, [name])
         self.assertIs(belief.reachability, Reachability.REACHABLE)
@@ -85,13 +85,13 @@
         self.silent_at(first)
         core = self.make()
         core.effects.clear()
-        core.on_seen(first.seen(3.1), 3.1)
+        core.on_zone_report(first.seen(3.1), 3.1)
         self.assertEqual(take(core, ProbeTarget), [])
 
     def test_report_on_another_incarnation_is_ignored(self):
         core, _, belief = self.with_flows_at("i-1")
         reported = SilentTarget("i-1", belief.target.born_ms + 7)
-        core.on_seen(FitnessReport([], [], silent=[reported]), 3.1)
+        core.on_zone_report(FitnessReport([], [], silent=[reported]), 3.1)
         self.assertEqual(take(core, ProbeTarget), [])
 
     def test_silence_is_reported_while_it_is_recent(self):
@@ -118,7 +118,7 @@
         first = self.make()
         name = self.silent_at(first).name
         core, _, _ = self.with_flows_at(name, mechanisms=off)
-        core.on_seen(first.seen(3.1), 3.1)
+        core.on_zone_report(first.seen(3.1), 3.1)
         self.assertEqual(take(core, ProbeTarget), [])
         reporting = self.make(mechanisms=off)
         self.silent_at(reporting)
