--- a/endivepick/forwarder/zone.py
+++ b/endivepick/forwarder/zone.py
@@ -359,7 +359,9 @@
         lose requests to a target that others know to be bad.
         """
         now_s = steady_now_s()
-        if now_s - self._seen_told_s < TELL_EVERY_S or not self._core.doubts(now_s):
+        if now_s - self._seen_told_s < TELL_EVERY_S or not self._core.has_suspects(
+            now_s
+        ):
             return
         self._seen_told_s = now_s
         if self.feeder.feeding:
@@ -369,7 +371,7 @@
 
     def _tell_feeder(self, feeder: str) -> None:
         seen = self._core.seen(steady_now_s())
-        if not seen.urgent:
+        if not seen.is_urgent:
             return
         question = ZoneQuestion(self._settings.reached_at, 0, 0, seen)
         try:
--- a/endivepick/forwarding/actions.py
+++ b/endivepick/forwarding/actions.py
@@ -5,7 +5,7 @@
 from msgspec import Struct
 
 from endivepick.forwarding.belief import BeliefChange, TargetBelief
-from endivepick.forwarding.confirmation import ConfirmedFault
+from endivepick.forwarding.fault_confirmation import ConfirmedFault
 from endivepick.forwarding.model import FlowKey, Target
 
 __all__ = [
--- a/endivepick/forwarding/belief.py
+++ b/endivepick/forwarding/belief.py
@@ -237,7 +237,7 @@
         return self.target.name
 
     @property
-    def doubt(self) -> str:
+    def degraded_reason(self) -> str:
         """State, reachability or fitness that degrades the target, "" if none does."""
         if self.state is not TargetState.READY:
             return self.state.value
@@ -248,7 +248,7 @@
         return ""
 
     @property
-    def doubt_since_s(self) -> float:
+    def degraded_since_s(self) -> float:
         """Start of the degrading state, reachability or fitness, in seconds."""
         if self.state is not TargetState.READY:
             return self.state_since_s
--- a/endivepick/forwarding/evidence.py
+++ b/endivepick/forwarding/failure_detector.py
@@ -25,7 +25,7 @@
     TargetRestart,
     TargetState,
 )
-from endivepick.forwarding.confirmation import TOLD_S
+from endivepick.forwarding.fault_confirmation import REPORT_VALID_S
 from endivepick.forwarding.fitness_reports import SilentTarget
 from endivepick.forwarding.flows import FlowTable
 from endivepick.forwarding.model import FlowKey, RouteKind, Target
@@ -33,7 +33,7 @@
 from endivepick.forwarding.routes import RouteTable
 from endivepick.forwarding.settings import ForwardingSettings
 
-__all__ = ["EvidenceJudge"]
+__all__ = ["FailureDetector"]
 
 MAX_REFUSED_PROBE_GAP_S = 2.0
 """Longest time between probes of a target that refuses connections.
@@ -59,7 +59,7 @@
 }
 
 
-class EvidenceJudge:
+class FailureDetector:
     """Suspects targets on missing progress and settles suspicions by probes.
 
     Parameters
@@ -120,7 +120,7 @@
             *probe,
         ]
 
-    def unanswered(
+    def on_opening_unanswered(
         self, belief: TargetBelief, flow: FlowKey, since_s: float, now_s: float
     ) -> list[Effect]:
         """Probe a target after an opening packet that neither a copy nor data followed.
@@ -155,7 +155,7 @@
             *probe,
         ]
 
-    def vanished(self, belief: TargetBelief, now_s: float) -> list[Effect]:
+    def on_entry_removed(self, belief: TargetBelief, now_s: float) -> list[Effect]:
         """Probe a target whose registry entry was removed if it has flows here.
 
         Load pattern: after an outage of the store all entries are missing for seconds,
@@ -184,12 +184,12 @@
         changes = self._registry.record_reachability(
             belief, _PROBE_EVENTS[outcome], reason, now_s
         )
-        effects: list[Effect] = [*changes, *self.resets(belief)]
+        effects: list[Effect] = [*changes, *self.reset_flows(belief)]
         if changes and belief.reachability is Reachability.SILENT:
             effects += self._probe_zone(belief, now_s)
         return effects
 
-    def resets(self, belief: TargetBelief) -> list[Effect]:
+    def reset_flows(self, belief: TargetBelief) -> list[Effect]:
         """Reset and remove the flows of a target that cannot serve them."""
         effects: list[Effect] = []
         if not self._may_reset(belief):
@@ -226,7 +226,9 @@
             return True
         return self._settings.mechanisms.reset_unreachable
 
-    def restarted(self, restart: TargetRestart, began_s: float) -> list[Effect]:
+    def reset_former_incarnation(
+        self, restart: TargetRestart, began_s: float
+    ) -> list[Effect]:
         """Reset the flows of the previous incarnation of a restarted target.
 
         The new incarnation does not know these flows and resets each one when it
@@ -258,7 +260,7 @@
         reachable = (*candidates.own, *candidates.others)
         return any(other is not belief for other in reachable)
 
-    def hinted(self, belief: TargetBelief, now_s: float) -> list[Effect]:
+    def verify_hint(self, belief: TargetBelief, now_s: float) -> list[Effect]:
         """Probe a target that a peer reported as not answering.
 
         Load pattern: some dozen targets end at once, hundreds of instances receive a
@@ -278,7 +280,7 @@
             return True
         return not self._registry.candidates(belief.target.service).own
 
-    def fell_silent(self, now_s: float) -> list[SilentTarget]:
+    def find_silent_targets(self, now_s: float) -> list[SilentTarget]:
         """Return targets of the own zone that were recently found silent here.
 
         Targets of other zones are left out, since in a partition all of them are
@@ -291,10 +293,12 @@
             for belief in self._registry.unsettled
             if belief.reachability is Reachability.SILENT
             and belief.target.zone == self._settings.zone
-            and now_s - belief.reachability_since_s <= TOLD_S
+            and now_s - belief.reachability_since_s <= REPORT_VALID_S
         ]
 
-    def told_silent(self, silent: Sequence[SilentTarget], now_s: float) -> list[Effect]:
+    def verify_silent_targets(
+        self, silent: Sequence[SilentTarget], now_s: float
+    ) -> list[Effect]:
         """Probe targets that other instances of the zone recently found silent.
 
         Load pattern: many targets lose power at once, and each has flows at a dozen
--- a/endivepick/forwarding/confirmation.py
+++ b/endivepick/forwarding/fault_confirmation.py
@@ -17,7 +17,7 @@
 __all__ = [
     "MIN_CONFIRMING_CALLERS",
     "MIN_READY_S",
-    "TOLD_S",
+    "REPORT_VALID_S",
     "ConfirmedFault",
     "ZoneEvidence",
     "confirm_fault",
@@ -33,7 +33,7 @@
 RECENT_REPORT_S = 1.2
 """Age up to which a report of the zone is recent; a little longer than the feeder holds
 a long poll."""
-TOLD_S = 2.0
+REPORT_VALID_S = 2.0
 """How long a report is valid; a paused instance sends no new ones."""
 MIN_READY_S = 5.0
 """How long a target must have been ready before its flows are reset.
@@ -154,7 +154,9 @@
     counts: RequestCounts, evidence: ZoneEvidence, now_s: float
 ) -> bool:
     """Whether local observations suffice while no other instance reports."""
-    others_report = evidence.report_age_s <= TOLD_S and evidence.reporting_instances > 1
+    others_report = (
+        evidence.report_age_s <= REPORT_VALID_S and evidence.reporting_instances > 1
+    )
     return (
         not others_report
         and evidence.callers >= MIN_CONFIRMING_CALLERS
--- a/endivepick/forwarding/fitness_reports.py
+++ b/endivepick/forwarding/fitness_reports.py
@@ -5,16 +5,16 @@
 from msgspec import Struct, field
 
 from endivepick.forwarding.request_sums import RequestSums
-from endivepick.forwarding.service_usual import (
+from endivepick.forwarding.service_baselines import (
     MAX_REPORTED_KINDS,
     UsualCounts,
-    merge_usual,
+    merge_baselines,
 )
 
 __all__ = [
     "MIN_REPORTED_BAD",
     "MIN_RESET_FAILURES",
-    "MOST_TOLD",
+    "MAX_REPORTED_TARGETS",
     "FitnessReport",
     "ServiceCounts",
     "SilentTarget",
@@ -23,7 +23,7 @@
     "sanitize_report",
 ]
 
-MOST_TOLD = 16
+MAX_REPORTED_TARGETS = 16
 """Largest number of targets in a report."""
 MAX_REQUESTS_PER_INSTANCE = 20.0
 """Largest number of requests of a target that one instance's report contributes."""
@@ -153,7 +153,7 @@
         return not (self.targets or self.usual or self.silent)
 
     @property
-    def urgent(self) -> bool:
+    def is_urgent(self) -> bool:
         """Whether it names a target that other instances should learn of soon."""
         return bool(self.targets or self.silent)
 
@@ -176,7 +176,7 @@
     services: dict[str, ServiceCounts] = {}
     silent: dict[SilentTarget, None] = {}
     for report in all_reports:
-        silent |= dict.fromkeys(report.silent[:MOST_TOLD])
+        silent |= dict.fromkeys(report.silent[:MAX_REPORTED_TARGETS])
         for reported in _valid_targets(report):
             key = (reported.name, reported.born_ms)
             known = targets.get(key)
@@ -188,7 +188,7 @@
                 service if counts is None else counts.added(service)
             )
     if usual is None:
-        usual = merge_usual(each for report in all_reports for each in report.usual)
+        usual = merge_baselines(each for report in all_reports for each in report.usual)
     # Instances also report on targets of the last merged report.  A target without bad
     # requests is dropped; otherwise it would be reported forever.
     suspects = [
@@ -196,11 +196,11 @@
     ]
     worst = sorted(suspects, key=lambda reported: -reported.bad)
     return FitnessReport(
-        worst[:MOST_TOLD],
+        worst[:MAX_REPORTED_TARGETS],
         list(services.values()),
         len(all_reports),
         usual,
-        list(silent)[:MOST_TOLD],
+        list(silent)[:MAX_REPORTED_TARGETS],
     )
 
 
@@ -212,13 +212,13 @@
         _valid_services(report),
         max(1, report.instances),
         usual[:MAX_REPORTED_KINDS],
-        report.silent[:MOST_TOLD],
+        report.silent[:MAX_REPORTED_TARGETS],
     )
 
 
 def _valid_targets(report: FitnessReport) -> list[TargetCounts]:
     return [reported for reported in report.targets if _has_valid_counts(reported)][
-        :MOST_TOLD
+        :MAX_REPORTED_TARGETS
     ]
 
 
--- a/endivepick/forwarding/forwarder.py
+++ b/endivepick/forwarding/forwarder.py
@@ -28,9 +28,8 @@
     TargetBelief,
     TargetState,
 )
-from endivepick.forwarding.evidence import EvidenceJudge
-from endivepick.forwarding.fitness import FitnessJudge
-from endivepick.forwarding.fitness_reports import MOST_TOLD, FitnessReport
+from endivepick.forwarding.failure_detector import FailureDetector
+from endivepick.forwarding.fitness_reports import MAX_REPORTED_TARGETS, FitnessReport
 from endivepick.forwarding.flows import SEQUENCE_NUMBERS, FlowEvidence, FlowTable
 from endivepick.forwarding.held_packets import (
     HeldPacket,
@@ -46,6 +45,7 @@
     Target,
 )
 from endivepick.forwarding.openings import Opening, RecentOpenings
+from endivepick.forwarding.outlier_detector import OutlierDetector
 from endivepick.forwarding.placement import choose_target
 from endivepick.forwarding.registry import TargetRegistry
 from endivepick.forwarding.registry_news import RegistryNews
@@ -79,8 +79,8 @@
         """Effects to carry out; the caller clears the list."""
         self._random_share = random_share
         self._openings = RecentOpenings(settings)
-        self._judge = EvidenceJudge(settings, self.registry, self.flows, self.routes)
-        self.fitness = FitnessJudge(settings, self.registry, self.flows)
+        self._judge = FailureDetector(settings, self.registry, self.flows, self.routes)
+        self.fitness = OutlierDetector(settings, self.registry, self.flows)
         self._unknown = UnknownCookies(settings.lapse_grace_s)
         self._held = HeldPackets(settings)
         self._registry_requested_s = float("-inf")
@@ -204,21 +204,23 @@
         """Handle a peer's hint that a target does not answer."""
         belief = self.registry.get(target)
         if belief is not None:
-            self.effects += self._judge.hinted(belief, now_s)
+            self.effects += self._judge.verify_hint(belief, now_s)
 
     def seen(self, now_s: float) -> FitnessReport:
         """Return this instance's observations of targets, for the zone's report."""
         report = self.fitness.report(now_s)
-        return replace(report, silent=self._judge.fell_silent(now_s)[:MOST_TOLD])
+        return replace(
+            report, silent=self._judge.find_silent_targets(now_s)[:MAX_REPORTED_TARGETS]
+        )
 
-    def doubts(self, now_s: float) -> bool:
+    def has_suspects(self, now_s: float) -> bool:
         """Whether there is evidence against a target, or one just became silent."""
-        return self.fitness.doubts or bool(self._judge.fell_silent(now_s))
+        return self.fitness.has_suspects or bool(self._judge.find_silent_targets(now_s))
 
     def on_zone_report(self, report: FitnessReport, now_s: float) -> None:
         """Apply the merged observations of the instances of the zone."""
-        self.fitness.take_told(report, now_s)
-        self.effects += self._judge.told_silent(report.silent, now_s)
+        self.fitness.receive_zone_report(report, now_s)
+        self.effects += self._judge.verify_silent_targets(report.silent, now_s)
 
     def on_registry_unavailable(self, now_s: float) -> None:
         """Handle a time up to now in which the registry could not be read.
@@ -293,7 +295,7 @@
         for key, opening in self._openings.pop_unanswered(now_s):
             flow = self.flows.get(key)
             if flow is not None and not flow.opened:
-                self.effects += self._judge.unanswered(
+                self.effects += self._judge.on_opening_unanswered(
                     flow.belief, key, opening.last_s, now_s
                 )
 
@@ -354,18 +356,20 @@
             waited_s = now_s - busy_since_s
             self.fitness.requests.answered(flow, waited_s, size_bytes, now_s)
         if flow.busy_since_s is not None and flow.busy_since_s != busy_since_s:
-            self.fitness.requests.began(flow, now_s)
+            self.fitness.requests.record_request(flow, now_s)
 
     def _log_doubt(self, key: FlowKey, belief: TargetBelief, now_s: float) -> None:
         """Log, once per flow and doubt, that packets go to a target in doubt."""
-        doubt = belief.doubt
+        degraded_reason = belief.degraded_reason
         flow = self.flows.get(key)
-        if flow is None or flow.noted_doubt == doubt:
+        if flow is None or flow.noted_doubt == degraded_reason:
             return
-        flow.noted_doubt = doubt
-        if doubt:
-            age_s = now_s - belief.doubt_since_s
-            note = DecisionRecord("flow_goes_on", key, belief.name, doubt, age_s=age_s)
+        flow.noted_doubt = degraded_reason
+        if degraded_reason:
+            age_s = now_s - belief.degraded_since_s
+            note = DecisionRecord(
+                "flow_goes_on", key, belief.name, degraded_reason, age_s=age_s
+            )
             self.effects.append(note)
 
     def _reset_reason(
@@ -431,7 +435,7 @@
         restarts, self.registry.restarts = self.registry.restarts, []
         for restart in restarts:
             began_s = self._earliest_start_s(restart.after.target, now_s)
-            self.effects += self._judge.restarted(restart, began_s)
+            self.effects += self._judge.reset_former_incarnation(restart, began_s)
 
     def _earliest_start_s(self, target: Target, now_s: float) -> float:
         """Return a lower bound of a target's start, in seconds of this process."""
@@ -450,11 +454,11 @@
                 continue
             match belief.state:
                 case TargetState.LAPSED:
-                    self.effects += self._judge.vanished(belief, now_s)
+                    self.effects += self._judge.on_entry_removed(belief, now_s)
                 case TargetState.UNREADABLE:
-                    self.effects += self._judge.vanished(belief, now_s)
+                    self.effects += self._judge.on_entry_removed(belief, now_s)
                 case TargetState.GONE if belief.flows:
-                    self.effects += self._judge.vanished(belief, now_s)
-                    self.effects += self._judge.resets(belief)
+                    self.effects += self._judge.on_entry_removed(belief, now_s)
+                    self.effects += self._judge.reset_flows(belief)
                 case _:
                     pass
--- a/endivepick/forwarding/fitness.py
+++ b/endivepick/forwarding/outlier_detector.py
@@ -27,15 +27,15 @@
     TargetState,
 )
 from endivepick.forwarding.comparison import MIN_BAD_SHARE, TargetSums
-from endivepick.forwarding.confirmation import (
+from endivepick.forwarding.fault_confirmation import (
     ConfirmedFault,
     confirm_fault,
     has_recent_failure,
     is_past_startup,
 )
 from endivepick.forwarding.fitness_reports import (
+    MAX_REPORTED_TARGETS,
     MIN_REPORTED_BAD,
-    MOST_TOLD,
     FitnessReport,
     TargetCounts,
 )
@@ -47,7 +47,7 @@
 from endivepick.forwarding.settings import ForwardingSettings
 from endivepick.forwarding.zone_report import ZoneReport
 
-__all__ = ["FitnessJudge"]
+__all__ = ["OutlierDetector"]
 
 EJECTION_THRESHOLD = 7.0
 """Log-likelihood ratio, target against the others, from which new flows avoid a target.
@@ -73,7 +73,7 @@
 fewer, it ends after `MAX_PROBATION_S`."""
 
 
-class FitnessJudge:
+class OutlierDetector:
     """Ejects and readmits targets by the outcomes of their requests.
 
     Parameters
@@ -151,7 +151,7 @@
                 fresh=int(has_recent_failure(belief.requests, now_s)),
                 late=round(belief.requests.late, 1),
             )
-            for belief in suspects[:MOST_TOLD]
+            for belief in suspects[:MAX_REPORTED_TARGETS]
         ]
         services = dict.fromkeys(belief.target.service for belief in suspects)
         return FitnessReport(
@@ -160,7 +160,7 @@
             usual=self.requests.export_baselines(),
         )
 
-    def take_told(self, report: FitnessReport, now_s: float) -> None:
+    def receive_zone_report(self, report: FitnessReport, now_s: float) -> None:
         """Store the merged report of the zone's instances."""
         self._zone.update(report, now_s)
         for reported in self._zone.targets:
@@ -169,11 +169,11 @@
                 self.requests.suspects[reported.name] = belief
 
     @property
-    def doubts(self) -> bool:
+    def has_suspects(self) -> bool:
         """Whether any target is suspect here."""
         return bool(self.requests.suspects)
 
-    def alarming(self, now_s: float) -> frozenset[str]:
+    def outlier_names(self, now_s: float) -> frozenset[str]:
         """Return names of targets whose score reaches the ejection threshold."""
         names = []
         for belief in self.requests.suspects.values():
--- a/endivepick/forwarding/request_counter.py
+++ b/endivepick/forwarding/request_counter.py
@@ -2,14 +2,14 @@
 
 from collections.abc import Callable
 
-from endivepick.forwarding.awaited import AnswerDeadlines
+from endivepick.forwarding.answer_deadlines import AnswerDeadlines
 from endivepick.forwarding.belief import TargetBelief
-from endivepick.forwarding.confirmation import MIN_CONFIRMING_CALLERS
+from endivepick.forwarding.fault_confirmation import MIN_CONFIRMING_CALLERS
 from endivepick.forwarding.flows import FlowTable, ObservedFlow
 from endivepick.forwarding.pauses import PauseDetector
+from endivepick.forwarding.request_baseline import RequestBaseline
+from endivepick.forwarding.service_baselines import ServiceBaselines, UsualCounts
 from endivepick.forwarding.service_counts import decay
-from endivepick.forwarding.service_usual import ServiceBaselines, UsualCounts
-from endivepick.forwarding.usual import RequestBaseline
 from endivepick.forwarding.zone_report import ZoneReport
 
 __all__ = ["RequestCounter"]
@@ -45,7 +45,7 @@
         self.suspects: dict[str, TargetBelief] = {}
         """Targets with bad requests here or in the zone, by name."""
 
-    def began(self, flow: ObservedFlow, now_s: float) -> None:
+    def record_request(self, flow: ObservedFlow, now_s: float) -> None:
         """Record the start of a request on a flow."""
         flow.overdue = False
         if self._pauses.is_backlog(now_s):
--- a/endivepick/forwarding/service_usual.py
+++ b/endivepick/forwarding/service_baselines.py
@@ -10,9 +10,9 @@
 from msgspec import Struct
 
 from endivepick.forwarding.model import RouteKind
-from endivepick.forwarding.usual import Bucket, RequestBaseline
+from endivepick.forwarding.request_baseline import Bucket, RequestBaseline
 
-__all__ = ["MAX_REPORTED_KINDS", "ServiceBaselines", "UsualCounts", "merge_usual"]
+__all__ = ["MAX_REPORTED_KINDS", "ServiceBaselines", "UsualCounts", "merge_baselines"]
 
 MAX_REPORTED_KINDS = 16
 """Largest number of baselines in a report, one per service and kind of request."""
@@ -53,7 +53,7 @@
         )
 
 
-def merge_usual(reported: Iterable[UsualCounts]) -> list[UsualCounts]:
+def merge_baselines(reported: Iterable[UsualCounts]) -> list[UsualCounts]:
     """Merge the baselines of several instances; invalid ones are left out."""
     merged = ServiceBaselines()
     for counts in reported:
--- a/endivepick/forwarding/tests/test_fitness.py
+++ b/endivepick/forwarding/tests/test_fitness.py
@@ -16,12 +16,16 @@
     merge_reports,
 )
 from endivepick.forwarding.comparison import log_likelihood_ratio
-from endivepick.forwarding.fitness import EJECTION_TIME_S, MAX_EJECTION_TIME_S
 from endivepick.forwarding.fitness_reports import (
     MAX_REQUESTS_PER_INSTANCE,
     ServiceCounts,
     TargetCounts,
 )
+from endivepick.forwarding.outlier_detector import EJECTION_TIME_S, MAX_EJECTION_TIME_S
+from endivepick.forwarding.request_baseline import (
+    HISTOGRAM_CAPACITY,
+    DecayingHistogram,
+)
 from endivepick.forwarding.tests.support import (
     IDEMPOTENT_PORT,
     ONCE_PORT,
@@ -33,10 +37,6 @@
     opening,
     take,
 )
-from endivepick.forwarding.usual import (
-    HISTOGRAM_CAPACITY,
-    DecayingHistogram,
-)
 
 WORK_S = 0.025
 ANSWER_BYTES = 900
@@ -141,7 +141,7 @@
             reports = [core.fitness.report(self.now_s) for core in self.cores]
             together = merge_reports(reports)
             for core in self.cores:
-                core.fitness.take_told(together, self.now_s)
+                core.fitness.receive_zone_report(together, self.now_s)
         for core in self.cores:
             core.tick(self.now_s)
             resets = take(core, Reset)
@@ -467,7 +467,7 @@
         for _ in range(20):
             zone.now_s += TICK_S
             merged = merge_reports([self.make_report(failed=10_000.0)])
-            core.fitness.take_told(merged, zone.now_s)
+            core.fitness.receive_zone_report(merged, zone.now_s)
             core.tick(zone.now_s)
         self.assertEqual(take(core, Reset), [])
 
@@ -482,7 +482,7 @@
         ]
         for _ in range(20):
             zone.now_s += TICK_S
-            core.fitness.take_told(merge_reports(reports), zone.now_s)
+            core.fitness.receive_zone_report(merge_reports(reports), zone.now_s)
             core.tick(zone.now_s)
             resets += take(core, Reset)
         self.assertEqual(zone.ejected(), {"i-3"})
@@ -492,7 +492,9 @@
         zone = Zone()
         zone.run(5.0, 80.0)
         core = zone.cores[0]
-        core.fitness.take_told(self.make_report(failed=20.0, born_ms=7), zone.now_s)
+        core.fitness.receive_zone_report(
+            self.make_report(failed=20.0, born_ms=7), zone.now_s
+        )
         core.tick(zone.now_s)
         self.assertEqual(zone.ejected(), set())
 
@@ -500,7 +502,9 @@
         zone = Zone()
         zone.run(5.0, 80.0)
         core = zone.cores[0]
-        core.fitness.take_told(self.make_report(failed=20.0), zone.now_s - 5.0)
+        core.fitness.receive_zone_report(
+            self.make_report(failed=20.0), zone.now_s - 5.0
+        )
         core.tick(zone.now_s)
         self.assertEqual(zone.ejected(), set())
 
--- a/endivepick/forwarding/tests/test_service_usual.py
+++ b/endivepick/forwarding/tests/test_service_usual.py
@@ -6,14 +6,14 @@
 
 from endivepick.forwarding import FitnessReport, RouteKind, merge_reports
 from endivepick.forwarding.fitness_reports import sanitize_report
-from endivepick.forwarding.service_usual import (
+from endivepick.forwarding.request_baseline import HISTOGRAM_CAPACITY, Bucket
+from endivepick.forwarding.service_baselines import (
     MAX_REPORTED_KINDS,
     ServiceBaselines,
     UsualCounts,
-    merge_usual,
+    merge_baselines,
 )
 from endivepick.forwarding.tests.test_fitness import ERROR_BYTES, WORK_S, Zone
-from endivepick.forwarding.usual import HISTOGRAM_CAPACITY, Bucket
 
 KIND = RouteKind.IDEMPOTENT
 
@@ -92,7 +92,7 @@
         reported = [
             counts for _ in range(10) for counts in learn_baselines(4).to_counts()
         ]
-        (merged,) = merge_usual(reported)
+        (merged,) = merge_baselines(reported)
         self.assertEqual(sum(bucket.values for bucket in merged.waits), 40)
         merged_baselines = ServiceBaselines()
         merged_baselines.replace([merged])
@@ -108,7 +108,7 @@
     def test_weight_of_one_instance_is_bounded(self):
         (counts,) = learn_baselines(1).to_counts()
         oversized = UsualCounts("notes", KIND, [Bucket(40, 2**20)], [Bucket(3, 2**20)])
-        (merged,) = merge_usual([counts, oversized])
+        (merged,) = merge_baselines([counts, oversized])
         most = max(bucket.values for bucket in merged.waits)
         self.assertLessEqual(most, HISTOGRAM_CAPACITY)
 
--- a/endivepick/forwarding/tests/test_silence.py
+++ b/endivepick/forwarding/tests/test_silence.py
@@ -9,8 +9,8 @@
     Reset,
     merge_reports,
 )
-from endivepick.forwarding.evidence import CONTROL_PROGRESS_S
-from endivepick.forwarding.fitness_reports import MOST_TOLD, SilentTarget
+from endivepick.forwarding.failure_detector import CONTROL_PROGRESS_S
+from endivepick.forwarding.fitness_reports import MAX_REPORTED_TARGETS, SilentTarget
 from endivepick.forwarding.mechanisms import Mechanisms
 from endivepick.forwarding.tests.support import (
     ALIVE,
@@ -97,10 +97,10 @@
     def test_silence_is_reported_while_it_is_recent(self):
         core = self.make()
         self.silent_at(core)
-        self.assertTrue(core.doubts(3.5))
-        self.assertTrue(core.seen(3.5).urgent)
-        self.assertFalse(core.doubts(9.0))
-        self.assertFalse(core.seen(9.0).urgent)
+        self.assertTrue(core.has_suspects(3.5))
+        self.assertTrue(core.seen(3.5).is_urgent)
+        self.assertFalse(core.has_suspects(9.0))
+        self.assertFalse(core.seen(9.0).is_urgent)
 
     def test_targets_of_other_zones_are_not_reported(self):
         # A partitioned zone finds all targets of other zones silent.
@@ -111,7 +111,7 @@
     def test_number_of_reported_targets_is_bounded(self):
         silent = [SilentTarget(f"i-{n}", 1) for n in range(1000)]
         merged = merge_reports([FitnessReport([], [], silent=silent)] * 3)
-        self.assertEqual(merged.silent, silent[:MOST_TOLD])
+        self.assertEqual(merged.silent, silent[:MAX_REPORTED_TARGETS])
 
     def test_reports_of_silence_can_be_disabled(self):
         off = Mechanisms(tell_silence=False)
--- a/endivepick/forwarding/zone_report.py
+++ b/endivepick/forwarding/zone_report.py
@@ -2,7 +2,7 @@
 
 from endivepick.forwarding.belief import TargetBelief
 from endivepick.forwarding.comparison import ServiceSample, TargetSums
-from endivepick.forwarding.confirmation import TOLD_S, ZoneEvidence
+from endivepick.forwarding.fault_confirmation import REPORT_VALID_S, ZoneEvidence
 from endivepick.forwarding.fitness_reports import (
     FitnessReport,
     TargetCounts,
@@ -10,8 +10,8 @@
 )
 from endivepick.forwarding.model import RouteKind
 from endivepick.forwarding.registry import TargetRegistry
-from endivepick.forwarding.service_usual import ServiceBaselines
-from endivepick.forwarding.usual import RequestBaseline
+from endivepick.forwarding.request_baseline import RequestBaseline
+from endivepick.forwarding.service_baselines import ServiceBaselines
 
 __all__ = ["ZoneReport"]
 
@@ -53,7 +53,7 @@
 
     def get_counts(self, belief: TargetBelief, now_s: float) -> TargetCounts | None:
         """Return the counts of a target's incarnation while the report is valid."""
-        if now_s - self._taken_s > TOLD_S:
+        if now_s - self._taken_s > REPORT_VALID_S:
             return None
         for reported in self._report.targets:
             if (
