--- a/endivepick/forwarder/tests/test_feeding.py
+++ b/endivepick/forwarder/tests/test_feeding.py
@@ -170,7 +170,7 @@
     def test_the_word_of_one_that_fell_silent_counts_no_more(self):
         self.feed()
         self.ask(3.0)
-        with patch.object(feeding, "TOLD_S", -1.0):
+        with patch.object(feeding, "REPORT_VALID_S", -1.0):
             self.assertEqual(self.ask(2.0, "10.0.0.3:1").targets, [])
 
     def test_a_new_verdict_is_told_at_once(self):
