--- a/endivepick/membership/__init__.py
+++ b/endivepick/membership/__init__.py
@@ -1,4 +1,4 @@
-"""Membership from a lagging list and direct evidence."""
+"""Cluster membership by gossip, direct probes and the platform's instance list."""
 
 from endivepick.membership.actions import (
     Action,
--- a/endivepick/membership/_answers.py
+++ b/endivepick/membership/_answers.py
@@ -1,9 +1,9 @@
-"""The last answers to probes, in case they have to be sent again."""
+"""Most recent probe answer per peer, kept for retransmission."""
 
 from dataclasses import dataclass
 
-_COUNT_MAX = 256
-"""Peers whose last answer is remembered."""
+_MAX_PEERS = 256
+"""Peers whose last answer is stored; the oldest one is evicted."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -13,42 +13,42 @@
 
 
 class RecentAnswers:
-    """Remembers the last answer to each peer.
+    """Stores the last probe answer sent to each peer.
 
-    The connection to a peer that was just found may not be up when the first answer
-    is sent.  The peer would suspect this instance, whose answer it lost.
+    The connection to a newly discovered peer may not be established when the first
+    answer is sent.  Without a retransmission the peer would suspect this instance.
 
     Parameters
     ----------
-    kept_s : float
-        Time for which a probe may still wait for its answer, in seconds.
+    retention_s : float
+        Longest time for which a probe awaits its answer, in seconds.
     """
 
-    def __init__(self, kept_s: float) -> None:
-        self._kept_s = kept_s
-        # The one sent last stands last.
+    def __init__(self, retention_s: float) -> None:
+        self._retention_s = retention_s
+        # Ordered by send time, the latest answer last.
         self._answers: dict[str, _Answer] = {}
-        self._lost: dict[str, _Answer] = {}
+        self._unsent: dict[str, _Answer] = {}
 
-    def note_sent(self, name: str, sequence: int, now_s: float) -> None:
-        """Remember the answer to a probe of a peer."""
+    def record_sent(self, name: str, sequence: int, now_s: float) -> None:
+        """Record the answer to a probe of a peer."""
         self._answers.pop(name, None)
         self._answers[name] = _Answer(sequence, now_s)
-        if len(self._answers) > _COUNT_MAX:
+        if len(self._answers) > _MAX_PEERS:
             del self._answers[next(iter(self._answers))]
 
-    def note_lost(self, name: str) -> None:
-        """Take it that the last answer to a peer was not sent."""
+    def mark_unsent(self, name: str) -> None:
+        """Mark the last answer to a peer as not sent."""
         answer = self._answers.get(name)
         if answer is not None:
-            self._lost[name] = answer
+            self._unsent[name] = answer
 
-    def take_lost(self, now_s: float) -> dict[str, int]:
-        """Return sequence numbers that are still awaited, by peer, once."""
-        lost, self._lost = self._lost, {}
-        oldest_s = now_s - self._kept_s
+    def take_unsent(self, now_s: float) -> dict[str, int]:
+        """Remove unsent answers; return still awaited sequence numbers by peer."""
+        unsent, self._unsent = self._unsent, {}
+        oldest_s = now_s - self._retention_s
         return {
             name: answer.sequence
-            for name, answer in lost.items()
+            for name, answer in unsent.items()
             if answer.sent_s >= oldest_s
         }
--- a/endivepick/membership/_health.py
+++ b/endivepick/membership/_health.py
@@ -1,10 +1,10 @@
-"""How far this instance trusts its own findings."""
+"""Local health score, which scales the probe timeouts of this instance."""
 
 from endivepick.membership.settings import MembershipSettings
 
 
 class LocalHealth:
-    """Score that grows with signs that the trouble is this instance's own."""
+    """Score that grows with evidence that this instance itself is impaired."""
 
     def __init__(self, settings: MembershipSettings) -> None:
         self._max = settings.health_max
@@ -12,17 +12,17 @@
 
     @property
     def multiplier(self) -> int:
-        """Factor for the time-outs of probes."""
+        """Factor by which probe timeouts are extended."""
         return 1 + self.score
 
     def worsen(self) -> None:
-        """Count a sign of own trouble."""
+        """Record evidence of a local fault."""
         self.score = min(self._max, self.score + 1)
 
     def improve(self) -> None:
-        """Count a sign that all is well."""
+        """Record evidence of normal operation."""
         self.score = max(0, self.score - 1)
 
-    def distrust(self) -> None:
-        """Start from the worst score, after a pause."""
+    def set_worst(self) -> None:
+        """Set the worst score, after a pause of this process."""
         self.score = self._max
--- a/endivepick/membership/_loop.py
+++ b/endivepick/membership/_loop.py
@@ -1,4 +1,4 @@
-"""In-memory message loop that drives several cores, for tests and measurements."""
+"""Simulated fleet: several cores on an in-memory network with simulated time."""
 
 import heapq
 from collections.abc import Callable, Iterator
@@ -14,8 +14,11 @@
 TICK_S = 0.05
 
 
-class Loop:
-    """Nodes by name, joined by a lossy network with delays; no real time."""
+class SimulatedFleet:
+    """Nodes connected by a simulated network with loss and delay.
+
+    Time is simulated: it advances with the events of the schedule.
+    """
 
     def __init__(
         self, seed: int = 1, loss: float = 0.0, max_delay_s: float = 0.003
@@ -25,13 +28,13 @@
         self.max_delay_s = max_delay_s
         self.now_s = 0.0
         self.nodes: dict[str, Membership] = {}
-        self.me: dict[str, InstanceView] = {}
+        self.identities: dict[str, InstanceView] = {}
         self.actions: list[tuple[float, str, Action]] = []
         self.is_cut: Callable[[str, str], bool] = lambda sender, receiver: False
         self.paused: set[str] = set()
         self._count = count()
         self._events: list[tuple[float, int, str, tuple | None]] = []
-        self._held: dict[str, list[tuple]] = {}
+        self._held_events: dict[str, list[tuple]] = {}
 
     def add(
         self,
@@ -41,13 +44,15 @@
         generation: int = 1,
         ready: bool = True,
     ) -> Membership:
-        """Start a node, in place of a former one of its name."""
+        """Start a node; it replaces a previous node of the same name."""
         incarnation = self.random.getrandbits(64) | 1
-        former = self.me.get(name)
-        address = former.peer_address if former else f"127.0.0.1:{len(self.me)}"
+        previous = self.identities.get(name)
+        address = (
+            previous.peer_address if previous else f"127.0.0.1:{len(self.identities)}"
+        )
         me = InstanceView(name, zone, incarnation, address, PeerState.ALIVE, ready)
         node = Membership(settings or MembershipSettings(), me, generation)
-        self.me[name] = me
+        self.identities[name] = me
         is_new = name not in self.nodes
         self.nodes[name] = node
         if is_new:
@@ -55,38 +60,40 @@
         return node
 
     def kill(self, name: str) -> None:
-        """End a node; its address answers no more."""
+        """Stop a node; messages to it are dropped."""
         del self.nodes[name]
 
-    def list_all(self, age_s: float = 0.0, leaving: tuple[str, ...] = ()) -> None:
-        """Give every node the list of those that run."""
+    def deliver_list(self, age_s: float = 0.0, leaving: tuple[str, ...] = ()) -> None:
+        """Deliver the list of running nodes to every node."""
         entries = [
             ListedInstance(name, me.zone, me.peer_address, name in leaving)
-            for name, me in self.me.items()
+            for name, me in self.identities.items()
             if name in self.nodes
         ]
         for name, node in self.nodes.items():
-            self.carry_out(name, node.on_list(self.now_s, entries, age_s))
+            self.apply_actions(name, node.on_list(self.now_s, entries, age_s))
 
-    def carry_out(self, name: str, actions: list[Action]) -> None:
-        """Record a node's actions and send its messages."""
+    def apply_actions(self, name: str, actions: list[Action]) -> None:
+        """Record the actions of a node and send its messages."""
         for action in actions:
             self.actions.append((self.now_s, name, action))
             match action:
                 case Send(to_name=to_name, message=message):
                     self._send(name, to_name, message)
                 case SendToSeed(peer_address=address, message=message):
-                    for receiver in self._standing_at(address):
+                    for receiver in self._find_by_address(address):
                         self._send(name, receiver, message)
 
-    def _standing_at(self, peer_address: str) -> list[str]:
-        return [n for n, me in self.me.items() if me.peer_address == peer_address]
+    def _find_by_address(self, peer_address: str) -> list[str]:
+        return [
+            n for n, me in self.identities.items() if me.peer_address == peer_address
+        ]
 
     def _send(self, sender: str, receiver: str, message: MembershipMessage) -> None:
         if self.random.random() < self.loss or self.is_cut(sender, receiver):
             return
         delay_s = self.random.uniform(0.0, self.max_delay_s)
-        incarnation = self.me[sender].incarnation
+        incarnation = self.identities[sender].incarnation
         self._schedule(delay_s, receiver, (sender, incarnation, message))
 
     def _schedule(self, delay_s: float, name: str, event: tuple | None) -> None:
@@ -94,20 +101,20 @@
         heapq.heappush(self._events, entry)
 
     def run(self, duration_s: float) -> None:
-        """Let time pass."""
+        """Process all events of a time span."""
         for _ in self.steps(duration_s):
             pass
 
     def run_until(self, is_met: Callable[[], bool], limit_s: float) -> float:
-        """Let time pass until a condition holds; return how long it took."""
+        """Process events until a condition holds; return the elapsed time."""
         started_s = self.now_s
         for _ in self.steps(limit_s):
             if is_met():
                 return self.now_s - started_s
-        raise AssertionError(f"The condition did not hold within {limit_s} s.")
+        raise AssertionError(f"condition not met within {limit_s} s")
 
     def steps(self, duration_s: float) -> Iterator[None]:
-        """Let time pass event by event."""
+        """Process the events of a time span one by one."""
         end_s = self.now_s + duration_s
         while self._events and self._events[0][0] <= end_s:
             self.now_s, _, name, event = heapq.heappop(self._events)
@@ -121,19 +128,21 @@
             if node is not None:
                 self._schedule(TICK_S, name, None)
             if node is not None and name not in self.paused:
-                self.carry_out(name, node.tick(self.now_s, self.random.getrandbits(64)))
+                self.apply_actions(
+                    name, node.tick(self.now_s, self.random.getrandbits(64))
+                )
         elif name in self.paused:
-            self._held.setdefault(name, []).append(event)
+            self._held_events.setdefault(name, []).append(event)
         elif node is not None:
-            self.carry_out(name, node.on_message(self.now_s, *event))
+            self.apply_actions(name, node.on_message(self.now_s, *event))
 
     def resume(self, name: str) -> None:
-        """Wake a paused node; what came meanwhile is delivered first."""
+        """Resume a paused node; the messages held meanwhile are delivered first."""
         self.paused.discard(name)
-        for event in self._held.pop(name, []):
-            self.carry_out(name, self.nodes[name].on_message(self.now_s, *event))
+        for event in self._held_events.pop(name, []):
+            self.apply_actions(name, self.nodes[name].on_message(self.now_s, *event))
 
     def states(self, name: str) -> dict[str, PeerState]:
-        """Return what a node believes of the others."""
+        """Return the states of all peers as seen by a node."""
         view = self.nodes[name].view()
         return {peer: one.state for peer, one in view.items() if peer != name}
--- a/endivepick/membership/_member.py
+++ b/endivepick/membership/_member.py
@@ -1,4 +1,4 @@
-"""One peer's entry and the order of the news about it."""
+"""Membership entry of one peer."""
 
 from dataclasses import dataclass, field
 
@@ -17,25 +17,25 @@
 _CHART = load_chart("peer")
 
 
-def bucket_of(key: str) -> int:
-    """Return the bucket in which two views of an entry are compared."""
+def compute_bucket(key: str) -> int:
+    """Return the anti-entropy bucket of a key."""
     return xxh32_intdigest(key.encode()) % BUCKET_COUNT
 
 
-def lasting_digest(
+def hash_status(
     name: str, incarnation: int, generation: int, phase: Phase, refutation: int
 ) -> int:
-    """Hash what an instance says of itself."""
+    """Hash the status that an instance announces about itself."""
     text = f"{name}:{incarnation}:{generation}:{phase:d}:{refutation}"
     return xxh32_intdigest(text.encode())
 
 
 @dataclass(slots=True)
 class Member:
-    """What is known of one peer.
+    """State of one peer.
 
-    ``state`` steps through the chart ``peer``; the other fields are what the
-    peer said (``phase``, ``refutation``) and what others found (``liveness``).
+    ``state`` is a state of the chart ``peer``.  ``phase`` and ``refutation`` are
+    announced by the peer itself; ``liveness`` is determined by other instances.
     """
 
     name: str
@@ -48,21 +48,21 @@
     liveness: Liveness = Liveness.ALIVE
     accuser: str = ""
     state: str = _CHART.initial
-    listed: bool = False
-    listed_leaving: bool = False
+    is_listed: bool = False
+    is_listed_leaving: bool = False
     was_listed: bool = False
-    heard_since_s: float = 0.0
+    known_since_s: float = 0.0
     last_ack_s: float = float("-inf")
     died_s: float = 0.0
-    introduced_refutation: int = -1
-    """Refutation of this instance's own status that the peer confirmed."""
+    acknowledged_refutation: int = -1
+    """Refutation of this instance's own status that the peer acknowledged."""
     view: InstanceView | None = field(default=None, repr=False)
-    _digested: int = field(default=0, repr=False)
+    _digested_state: int = field(default=0, repr=False)
     _digest: int = field(default=0, repr=False)
 
     @property
-    def heard(self) -> bool:
-        """The incarnation is known."""
+    def is_identified(self) -> bool:
+        """Whether the incarnation is known."""
         return self.incarnation != 0
 
     @property
@@ -71,27 +71,27 @@
         return self.last_ack_s > float("-inf")
 
     @property
-    def accused(self) -> bool:
-        """Others found the incarnation suspect or dead, which it may refute."""
-        return self.heard and self.liveness is not Liveness.ALIVE
+    def is_reported_down(self) -> bool:
+        """Whether the incarnation is reported suspect or dead; it may refute this."""
+        return self.is_identified and self.liveness is not Liveness.ALIVE
 
     @property
-    def age_key(self) -> tuple[int, int]:
-        """Order of the incarnations of one name."""
+    def incarnation_order(self) -> tuple[int, int]:
+        """Sort key of the incarnations of one name."""
         return self.generation, self.incarnation
 
     @property
     def digest(self) -> int:
-        """Hash of what lasts; suspicion passes by itself and is left out."""
+        """Hash of the persistent status; the transient suspicion is excluded."""
         state = self.incarnation, self.generation, self.phase, self.refutation
-        digested = hash(state)
-        if digested != self._digested:
-            self._digested = digested
-            self._digest = lasting_digest(self.name, *state)
+        state_hash = hash(state)
+        if state_hash != self._digested_state:
+            self._digested_state = state_hash
+            self._digest = hash_status(self.name, *state)
         return self._digest
 
     def to_update(self) -> MemberUpdate:
-        """Return the news about this peer as they go over the wire."""
+        """Return the update that describes this peer."""
         return MemberUpdate(
             self.name,
             self.zone,
@@ -105,11 +105,11 @@
         )
 
     def to_short_update(self) -> ShortUpdate:
-        """Return what changes within an incarnation."""
+        """Return the fields that change within an incarnation."""
         return ShortUpdate(self.incarnation, self.phase, self.refutation, self.liveness)
 
     def to_view(self) -> InstanceView:
-        """Return what the library shows of this peer."""
+        """Return the public view of this peer."""
         return InstanceView(
             self.name,
             self.zone,
@@ -119,8 +119,8 @@
             self.phase is Phase.READY,
         )
 
-    def adopt(self, update: MemberUpdate, now_s: float) -> None:
-        """Start anew as the incarnation of the update."""
+    def reset_to_incarnation(self, update: MemberUpdate, now_s: float) -> None:
+        """Reset the entry to the incarnation of an update."""
         self.incarnation = update.incarnation
         self.generation = update.generation
         self.phase = Phase.JOINING
@@ -128,25 +128,25 @@
         self.liveness = Liveness.ALIVE
         self.accuser = ""
         self.state = _CHART.initial
-        self.listed_leaving = False
-        self.heard_since_s = now_s
+        self.is_listed_leaving = False
+        self.known_since_s = now_s
         self.last_ack_s = float("-inf")
-        self.introduced_refutation = -1
-        self.describe(update)
+        self.acknowledged_refutation = -1
+        self.set_zone_and_address(update)
 
-    def describe(self, source: MemberUpdate | ListedInstance) -> None:
-        """Take over zone and address."""
+    def set_zone_and_address(self, source: MemberUpdate | ListedInstance) -> None:
+        """Set zone and address from an update or a list entry."""
         self.zone = source.zone
         self.peer_address = source.peer_address
 
     def advance_phase(self, phase: Phase) -> None:
-        """Take over what the peer says of itself; never goes back."""
+        """Advance to a phase announced by the peer; a phase never decreases."""
         self.phase = max(self.phase, phase)
         if self.phase >= Phase.LEAVING:
             self._step("leave")
 
     def set_liveness(self, liveness: Liveness) -> None:
-        """Take over what was found, and step through the chart."""
+        """Set the liveness and apply the resulting chart events."""
         if liveness is not Liveness.DEAD:
             self._step("refute")
         if liveness is Liveness.SUSPECT:
@@ -154,14 +154,14 @@
         if liveness is Liveness.DEAD:
             self._step("declare_dead")
         self.liveness = liveness
-        if self.phase >= Phase.LEAVING or self.listed_leaving:
+        if self.phase >= Phase.LEAVING or self.is_listed_leaving:
             self._step("leave")
 
     def set_listed_leaving(self, leaving: bool) -> bool:
-        """Take over what the platform's list says; return whether it is new."""
-        if leaving == self.listed_leaving:
+        """Set whether the platform lists the peer as leaving; return if changed."""
+        if leaving == self.is_listed_leaving:
             return False
-        self.listed_leaving = leaving
+        self.is_listed_leaving = leaving
         if leaving:
             self._step("leave")
         elif self.phase < Phase.LEAVING:
--- a/endivepick/membership/_own.py
+++ b/endivepick/membership/_own.py
@@ -1,19 +1,19 @@
-"""What this instance says about itself."""
+"""Status that this instance announces about itself."""
 
-from endivepick.membership._member import lasting_digest
+from endivepick.membership._member import hash_status
 from endivepick.membership.peer_messages import Liveness, MemberUpdate, Phase
 from endivepick.membership.view import InstanceView, PeerState
 
 
 class OwnStatus:
-    """Entry of this instance itself, which alone writes it.
+    """Entry of this instance, written only by this instance.
 
     Parameters
     ----------
     me : InstanceView
         Name, zone, address and incarnation.
     generation : int
-        Start time in milliseconds; orders the incarnations of a name.
+        Start time in milliseconds; orders the incarnations of one name.
     """
 
     def __init__(self, me: InstanceView, generation: int) -> None:
@@ -27,7 +27,7 @@
         self.superseded_by = 0
 
     def to_update(self) -> MemberUpdate:
-        """Return the entry as it goes over the wire."""
+        """Return the update that describes this instance."""
         return MemberUpdate(
             self.name,
             self._me.zone,
@@ -41,12 +41,12 @@
 
     @property
     def digest(self) -> int:
-        """Hash of what lasts, as peers compute it."""
+        """Hash of the status, computed in the same way by peers."""
         state = self.incarnation, self.generation, self.phase, self.refutation
-        return lasting_digest(self.name, *state)
+        return hash_status(self.name, *state)
 
     def to_view(self) -> InstanceView:
-        """Return the entry as the library shows it."""
+        """Return the public view of this instance."""
         leaving = self.phase >= Phase.LEAVING or self.superseded_by != 0
         return InstanceView(
             self.name,
@@ -58,12 +58,12 @@
         )
 
     @property
-    def takes_roles(self) -> bool:
-        """Tell whether this instance may get roles."""
+    def is_eligible_for_roles(self) -> bool:
+        """Whether this instance may be assigned roles."""
         return self.phase is Phase.READY and self.superseded_by == 0
 
     def set_phase(self, phase: Phase) -> bool:
-        """Enter a later phase; return whether it is one."""
+        """Enter a phase; return whether it is later than the current one."""
         if phase <= self.phase:
             return False
         self.phase = phase
@@ -71,28 +71,32 @@
         return True
 
     def refute(self, update: MemberUpdate) -> bool:
-        """Answer news about this incarnation; return whether there is an answer."""
+        """Refute a suspicion or death of this incarnation; return if refuted."""
         if update.liveness is Liveness.ALIVE or update.refutation < self.refutation:
             return False
         self.refutation = update.refutation + 1
         return True
 
-    def meet_namesake(self, update: MemberUpdate) -> bool:
-        """Answer news about another incarnation of this name.
+    def resolve_name_conflict(self, update: MemberUpdate) -> bool:
+        """Handle an update about another incarnation of this name.
+
+        While this instance is joining, or if the other incarnation has ended, it
+        raises its generation above the other one.  Otherwise it is superseded by a
+        newer incarnation.
 
         Returns
         -------
         bool
-            Whether this incarnation now stands above the other; if not, and the
-            other one is younger, ``superseded_by`` is set.
+            Whether the generation was raised; if not, and the other incarnation is
+            newer, ``superseded_by`` is set.
         """
         if (update.generation, update.incarnation) < (
             self.generation,
             self.incarnation,
         ):
             return False
-        gone = update.liveness is Liveness.DEAD or update.phase is Phase.STOPPED
-        if self.joined and not gone:
+        has_ended = update.liveness is Liveness.DEAD or update.phase is Phase.STOPPED
+        if self.joined and not has_ended:
             self.superseded_by = update.incarnation
             return False
         self.generation = update.generation + 1
--- a/endivepick/membership/_questions.py
+++ b/endivepick/membership/_questions.py
@@ -1,18 +1,19 @@
-"""Whether an incarnation that somebody asks about is dead."""
+"""Queries whether an incarnation is dead."""
 
 from endivepick.membership._prober import Prober
 from endivepick.membership._table import MemberTable
 from endivepick.membership.settings import MembershipSettings
 
-_QUESTION_COUNT = 4096
+_MAX_QUERIES = 4096
 
 
-class DeathQuestions:
-    """Answers at once where the table knows, else finds out.
+class DeathQueries:
+    """Answers queries from the member table or, if it has no entry, by a probe.
 
-    Random incarnations have no order.  An unknown one of a known name is dead if
-    the name answers a later probe as another incarnation; one of an unknown name
-    is dead if nobody brings news of it for some time.
+    Incarnations are random numbers without an order.  An unknown incarnation of a
+    known name is dead if the name answers a later probe as another incarnation.  An
+    incarnation of an unknown name is dead if no update about it arrives within
+    ``unknown_dead_after_s``.
     """
 
     def __init__(
@@ -21,7 +22,7 @@
         self._settings = settings
         self._table = table
         self._prober = prober
-        self._asked: dict[tuple[str, int], float] = {}
+        self._first_asked_s: dict[tuple[str, int], float] = {}
 
     def is_dead(self, name: str, incarnation: int, now_s: float) -> bool:
         """Tell whether an incarnation was declared dead or superseded."""
@@ -30,24 +31,30 @@
             return self._table.is_dead(member)
         if incarnation in self._table.superseded:
             return True
-        asked_s = self._ask(name, incarnation, now_s)
-        if member is not None and member.heard and not self._table.is_dead(member):
+        asked_s = self._record_query(name, incarnation, now_s)
+        if (
+            member is not None
+            and member.is_identified
+            and not self._table.is_dead(member)
+        ):
             answered = member.last_ack_s > asked_s
             if not answered:
-                self._prober.hurry(name)
+                self._prober.probe_soon(name)
             return answered
         waited_s = now_s - asked_s
         joined = self._table.own.joined
         return joined and waited_s >= self._settings.unknown_dead_after_s
 
-    def _ask(self, name: str, incarnation: int, now_s: float) -> float:
-        if (name, incarnation) not in self._asked:
-            if len(self._asked) >= _QUESTION_COUNT:
-                del self._asked[next(iter(self._asked))]
-            self._asked[name, incarnation] = now_s
-        return self._asked[name, incarnation]
+    def _record_query(self, name: str, incarnation: int, now_s: float) -> float:
+        if (name, incarnation) not in self._first_asked_s:
+            if len(self._first_asked_s) >= _MAX_QUERIES:
+                del self._first_asked_s[next(iter(self._first_asked_s))]
+            self._first_asked_s[name, incarnation] = now_s
+        return self._first_asked_s[name, incarnation]
 
     def prune(self, oldest_s: float) -> None:
-        """Forget questions first asked before a time."""
-        for question in [q for q, asked_s in self._asked.items() if asked_s < oldest_s]:
-            del self._asked[question]
+        """Remove queries that were first made before a time."""
+        for question in [
+            q for q, asked_s in self._first_asked_s.items() if asked_s < oldest_s
+        ]:
+            del self._first_asked_s[question]
--- a/endivepick/membership/_rings.py
+++ b/endivepick/membership/_rings.py
@@ -1,4 +1,4 @@
-"""Who watches whom: a few fixed peers each, whatever the number of instances."""
+"""Selection of probe targets: a bounded number per instance."""
 
 from bisect import bisect_left
 from collections.abc import Callable, Iterator
@@ -7,14 +7,14 @@
 
 from endivepick.membership.settings import MembershipSettings
 
-_REBUILT_SHARE = 8
-"""One change for so many names at once, and a ring is sorted anew."""
-_RUN = 8
-"""Steps that are taken along a ring to find an instance of another zone."""
+_REBUILD_DIVISOR = 8
+"""A ring is sorted again if more than one in this many names changed at once."""
+_MAX_ZONE_STEPS = 8
+"""Longest search along a ring for an instance of another zone, in steps."""
 
 
 class _Ring:
-    """Names in the order of their hashes under one seed."""
+    """Names ordered by their hashes with one seed."""
 
     def __init__(self, seed: int) -> None:
         self._seed = seed
@@ -23,11 +23,11 @@
     def _position(self, name: str) -> int:
         return xxh64_intdigest(name.encode(), self._seed)
 
-    def fill(self, names: list[str]) -> None:
-        """Start anew with other names."""
+    def rebuild(self, names: list[str]) -> None:
+        """Replace all names."""
         self._names = sorted(names, key=self._position)
 
-    def put(self, name: str, present: bool) -> None:
+    def set_present(self, name: str, present: bool) -> None:
         """Add or remove a name."""
         index = self._index(name)
         known = self._names[index : index + 1] == [name]
@@ -39,21 +39,21 @@
     def _index(self, name: str) -> int:
         return bisect_left(self._names, self._position(name), key=self._position)
 
-    def around(self, name: str, step: int) -> Iterator[str]:
-        """Yield the names after (step 1) or before (step -1) a name, once each."""
+    def iterate_from(self, name: str, step: int) -> Iterator[str]:
+        """Yield the other names once, after (step 1) or before (step -1) a name."""
         index = self._index(name)
         for distance in range(1, len(self._names)):
             yield self._names[(index + step * distance) % len(self._names)]
 
 
-class WatchRings:
-    """Chooses the peers that an instance probes, so that each one is probed.
+class ProbeRings:
+    """Selects the peers that this instance probes, so that every peer is probed.
 
-    Every instance orders the names in the same rings.  In half of them, which
-    hold one zone each, an instance is watched by the one before it.  In the others
-    it is watched by the nearest before it in another zone.  So each instance has
-    as many watchers as there are rings, in its own zone and in others; one that
-    goes is replaced by the next, and all other pairs stay as they are.
+    All instances order the names in the same hash rings.  Half of the rings contain
+    a single zone each; in these an instance is probed by its predecessor.  In the
+    others it is probed by the nearest predecessor of another zone.  So each instance
+    is probed from its own zone and from others, once per ring.  An instance that
+    leaves is replaced by its neighbor; all other pairs are unchanged.
 
     Parameters
     ----------
@@ -67,78 +67,86 @@
         self._settings = settings
         self._name = name
         self._zone = zone
-        self._zones = {name: zone}
-        self._changed = {name}
+        self._zone_by_name = {name: zone}
+        self._changed_names = {name}
         self._targets: list[str] = []
-        inner = settings.watchers // 2
-        self._inner = [_Ring(seed) for seed in range(inner)]
-        self._outer = [_Ring(seed) for seed in range(inner, settings.watchers)]
+        same_zone_count = settings.watchers // 2
+        self._same_zone_rings = [_Ring(seed) for seed in range(same_zone_count)]
+        self._cross_zone_rings = [
+            _Ring(seed) for seed in range(same_zone_count, settings.watchers)
+        ]
 
     def __len__(self) -> int:
-        return len(self._zones)
+        return len(self._zone_by_name)
 
     def __contains__(self, name: str) -> bool:
-        return name in self._zones
+        return name in self._zone_by_name
 
     def add(self, name: str, zone: str) -> None:
-        """Add a peer that can watch and be watched, or change its zone."""
-        if self._zones.get(name) != zone:
-            self._zones[name] = zone
-            self._changed.add(name)
+        """Add a live peer, or change its zone."""
+        if self._zone_by_name.get(name) != zone:
+            self._zone_by_name[name] = zone
+            self._changed_names.add(name)
 
     def remove(self, name: str) -> None:
-        """Remove a peer that is suspect, dead or forgotten."""
-        if self._zones.pop(name, None) is not None:
-            self._changed.add(name)
-
-    def targets(self) -> list[str]:
-        """Return the peers that this instance watches."""
-        if self._changed:
-            self._update()
-            found = dict.fromkeys(self._found())
-            self._targets = list(found)
+        """Remove a peer that is suspect, dead or unknown."""
+        if self._zone_by_name.pop(name, None) is not None:
+            self._changed_names.add(name)
+
+    def select_targets(self) -> list[str]:
+        """Return the names of the peers that this instance probes."""
+        if self._changed_names:
+            self._update_rings()
+            targets = dict.fromkeys(self._iterate_targets())
+            self._targets = list(targets)
         return self._targets
 
-    def _update(self) -> None:
-        for ring in self._inner:
-            self._update_ring(ring, lambda name: self._zones.get(name) == self._zone)
-        for ring in self._outer:
-            self._update_ring(ring, lambda name: name in self._zones)
-        self._changed.clear()
+    def _update_rings(self) -> None:
+        for ring in self._same_zone_rings:
+            self._update_ring(
+                ring, lambda name: self._zone_by_name.get(name) == self._zone
+            )
+        for ring in self._cross_zone_rings:
+            self._update_ring(ring, lambda name: name in self._zone_by_name)
+        self._changed_names.clear()
 
     def _update_ring(self, ring: _Ring, belongs: Callable[[str], bool]) -> None:
-        if len(self._changed) * _REBUILT_SHARE > len(self._zones):
-            ring.fill([name for name in self._zones if belongs(name)])
+        if len(self._changed_names) * _REBUILD_DIVISOR > len(self._zone_by_name):
+            ring.rebuild([name for name in self._zone_by_name if belongs(name)])
             return
-        for name in self._changed:
-            ring.put(name, belongs(name))
-
-    def _found(self) -> Iterator[str]:
-        for ring in self._inner:
-            yield from self._first(ring, 1)
-        for ring in self._outer:
-            yield from self._of_other_zone(ring)
-
-    def _first(self, ring: _Ring, count: int) -> Iterator[str]:
-        for _, name in zip(range(count), ring.around(self._name, 1), strict=False):
+        for name in self._changed_names:
+            ring.set_present(name, belongs(name))
+
+    def _iterate_targets(self) -> Iterator[str]:
+        for ring in self._same_zone_rings:
+            yield from self._next_names(ring, 1)
+        for ring in self._cross_zone_rings:
+            yield from self._find_cross_zone_targets(ring)
+
+    def _next_names(self, ring: _Ring, count: int) -> Iterator[str]:
+        for _, name in zip(
+            range(count), ring.iterate_from(self._name, 1), strict=False
+        ):
             yield name
 
-    def _of_other_zone(self, ring: _Ring) -> Iterator[str]:
-        """Yield those for which this instance is the nearest of another zone."""
-        nearest = list(self._first(ring, _RUN))
-        if not nearest:
+    def _find_cross_zone_targets(self, ring: _Ring) -> Iterator[str]:
+        """Yield peers whose nearest predecessor of another zone is this instance."""
+        following = list(self._next_names(ring, _MAX_ZONE_STEPS))
+        if not following:
             return
-        zone = self._zones[nearest[0]]
+        zone = self._zone_by_name[following[0]]
         if zone == self._zone:
-            if self._is_end_of_run(ring):
-                yield nearest[0]
+            if self._is_last_of_zone_run(ring):
+                yield following[0]
             return
-        for name in nearest:
-            if self._zones[name] != zone:
+        for name in following:
+            if self._zone_by_name[name] != zone:
                 return
             yield name
 
-    def _is_end_of_run(self, ring: _Ring) -> bool:
-        """Tell whether the next one finds nobody of another zone before it."""
-        before = zip(range(_RUN - 1), ring.around(self._name, -1), strict=False)
-        return all(self._zones[name] == self._zone for _, name in before)
+    def _is_last_of_zone_run(self, ring: _Ring) -> bool:
+        """Tell whether the successor has no predecessor of another zone in reach."""
+        preceding = zip(
+            range(_MAX_ZONE_STEPS - 1), ring.iterate_from(self._name, -1), strict=False
+        )
+        return all(self._zone_by_name[name] == self._zone for _, name in preceding)
--- a/endivepick/membership/_spread.py
+++ b/endivepick/membership/_spread.py
@@ -1,4 +1,4 @@
-"""Bounded epidemic spread of updates that ride on other messages."""
+"""Gossip: bounded dissemination of updates piggybacked on other messages."""
 
 from collections.abc import Hashable, Iterator
 from itertools import islice
@@ -8,57 +8,58 @@
 Key = TypeVar("Key", bound=Hashable)
 
 
-class SpreadQueue(Generic[Key]):
-    """Keys of updates and how often each one still has to be sent.
+class GossipQueue(Generic[Key]):
+    """Queue of update keys with the number of remaining transmissions.
 
-    What was sent least often goes first, so that news do not wait for older ones.
+    Keys with the most remaining transmissions are sent first, so that new updates
+    are not delayed by older ones.
 
     Parameters
     ----------
     factor : int
-        Each update is sent ``factor * log2(peers)`` times.
+        Each update is sent ``factor * log2(peers)`` times, rounded up.
     """
 
     def __init__(self, factor: int) -> None:
         self._factor = factor
-        self._left: dict[Key, int] = {}
-        # Keys by how often they still have to be sent.
-        self._levels: dict[int, dict[Key, None]] = {}
+        self._remaining: dict[Key, int] = {}
+        # Keys by number of remaining transmissions.
+        self._keys_by_remaining: dict[int, dict[Key, None]] = {}
 
     def __len__(self) -> int:
-        return len(self._left)
+        return len(self._remaining)
 
     def __contains__(self, key: Key) -> bool:
-        return key in self._left
+        return key in self._remaining
 
     def put(self, key: Key, peer_count: int) -> None:
-        """Start to spread an update, or start it anew."""
-        self._set(key, self._factor * ceil(log2(peer_count + 2)))
+        """Add an update, or reset its remaining transmissions."""
+        self._set_remaining(key, self._factor * ceil(log2(peer_count + 2)))
 
     def discard(self, key: Key) -> None:
-        """Stop to spread an update."""
-        left = self._left.pop(key, 0)
-        if left:
-            level = self._levels[left]
-            del level[key]
-            if not level:
-                del self._levels[left]
+        """Remove an update."""
+        remaining = self._remaining.pop(key, 0)
+        if remaining:
+            keys_at_level = self._keys_by_remaining[remaining]
+            del keys_at_level[key]
+            if not keys_at_level:
+                del self._keys_by_remaining[remaining]
 
-    def _set(self, key: Key, left: int) -> None:
+    def _set_remaining(self, key: Key, remaining: int) -> None:
         self.discard(key)
-        if left > 0:
-            self._left[key] = left
-            self._levels.setdefault(left, {})[key] = None
+        if remaining > 0:
+            self._remaining[key] = remaining
+            self._keys_by_remaining.setdefault(remaining, {})[key] = None
 
     def take(self, count: int) -> list[Key]:
-        """Return up to ``count`` keys for one message, the newest first."""
-        if not self._left:
+        """Return up to ``count`` keys for one message, the least sent first."""
+        if not self._remaining:
             return []
-        keys = list(islice(self._newest_first(), count))
+        keys = list(islice(self._iterate_least_sent_first(), count))
         for key in keys:
-            self._set(key, self._left[key] - 1)
+            self._set_remaining(key, self._remaining[key] - 1)
         return keys
 
-    def _newest_first(self) -> Iterator[Key]:
-        for left in sorted(self._levels, reverse=True):
-            yield from self._levels[left]
+    def _iterate_least_sent_first(self) -> Iterator[Key]:
+        for remaining in sorted(self._keys_by_remaining, reverse=True):
+            yield from self._keys_by_remaining[remaining]
--- a/endivepick/membership/_suspicion.py
+++ b/endivepick/membership/_suspicion.py
@@ -1,9 +1,9 @@
-"""Time-outs between suspicion and death."""
+"""Suspicion timeouts."""
 
 from dataclasses import dataclass, field
 from math import ceil, log
 
-from endivepick.membership._losses import LossWatch
+from endivepick.membership._losses import MassLossDetector
 from endivepick.membership._member import Member
 from endivepick.membership.settings import MembershipSettings
 
@@ -15,25 +15,25 @@
 
 
 class SuspicionTimers:
-    """One timer for each suspected peer.
+    """Timers of the suspected peers; a peer is declared dead on expiry.
 
-    Independent accusers shorten a timer; a mass loss makes it longer.
+    Confirmations by independent accusers shorten a timer; a mass loss extends it.
     """
 
-    def __init__(self, settings: MembershipSettings, losses: LossWatch) -> None:
+    def __init__(self, settings: MembershipSettings, losses: MassLossDetector) -> None:
         self._settings = settings
         self._losses = losses
-        self._running: dict[str, _Suspicion] = {}
+        self._suspicions: dict[str, _Suspicion] = {}
 
     def start(self, name: str, now_s: float) -> None:
-        """Start a timer unless it runs."""
-        if name not in self._running:
-            self._running[name] = _Suspicion(now_s)
-            self._losses.lose(name)
+        """Start the timer of a peer unless it is running."""
+        if name not in self._suspicions:
+            self._suspicions[name] = _Suspicion(now_s)
+            self._losses.mark_lost(name)
 
     def confirm(self, name: str, accuser: str) -> bool:
-        """Count an accuser; return whether it was a new one that matters."""
-        suspicion = self._running.get(name)
+        """Record an accuser; return whether it is a new confirmation."""
+        suspicion = self._suspicions.get(name)
         if suspicion is None or not accuser or accuser in suspicion.accusers:
             return False
         if len(suspicion.accusers) > self._settings.suspect_confirmations:
@@ -42,37 +42,38 @@
         return True
 
     def stop(self, name: str) -> None:
-        """Stop a timer."""
-        self._running.pop(name, None)
+        """Stop the timer of a peer."""
+        self._suspicions.pop(name, None)
 
     def restart_all(self, now_s: float) -> None:
-        """Let all timers run from now, after a pause."""
-        for suspicion in self._running.values():
+        """Restart all timers, after a pause of this process."""
+        for suspicion in self._suspicions.values():
             suspicion.started_s = now_s
 
-    def expired(self, now_s: float, members: dict[str, Member]) -> list[str]:
-        """Return the names whose time is over."""
+    def find_expired(self, now_s: float, members: dict[str, Member]) -> list[str]:
+        """Return the names of the peers whose timers have expired."""
         return [
             name
-            for name, suspicion in self._running.items()
-            if now_s >= self._expiry_s(members[name], suspicion)
+            for name, suspicion in self._suspicions.items()
+            if now_s >= self._compute_expiry_s(members[name], suspicion)
         ]
 
-    def _expiry_s(self, member: Member, suspicion: _Suspicion) -> float:
+    def _compute_expiry_s(self, member: Member, suspicion: _Suspicion) -> float:
         settings = self._settings
-        if member.was_listed and not member.listed:
+        if member.was_listed and not member.is_listed:
             return suspicion.started_s + settings.suspect_min_s
-        if self._losses.is_mass(member.zone):
-            # All deaths of one second are one change for whoever acts on them.
+        if self._losses.is_mass_loss(member.zone):
+            # Rounding up to whole seconds batches the deaths, so that consumers
+            # process one change per second.
             return ceil(suspicion.started_s + settings.mass_dead_after_s)
-        return suspicion.started_s + self._limit_s(suspicion)
+        return suspicion.started_s + self._compute_timeout_s(suspicion)
 
-    def _limit_s(self, suspicion: _Suspicion) -> float:
+    def _compute_timeout_s(self, suspicion: _Suspicion) -> float:
         settings = self._settings
-        wanted = settings.suspect_confirmations
-        if wanted == 0:
+        confirmations_max = settings.suspect_confirmations
+        if confirmations_max == 0:
             return settings.suspect_min_s
-        confirmations = min(wanted, max(0, len(suspicion.accusers) - 1))
-        share = log(confirmations + 1) / log(wanted + 1)
+        confirmations = min(confirmations_max, max(0, len(suspicion.accusers) - 1))
+        reduction = log(confirmations + 1) / log(confirmations_max + 1)
         span_s = settings.suspect_max_s - settings.suspect_min_s
-        return settings.suspect_max_s - share * span_s
+        return settings.suspect_max_s - reduction * span_s
--- a/endivepick/membership/_table.py
+++ b/endivepick/membership/_table.py
@@ -1,16 +1,16 @@
-"""The table of peers and the rules by which news about them merge."""
+"""Member table and the rules for merging updates."""
 
 from types import MappingProxyType
 
 import msgspec
 
 from endivepick.membership._health import LocalHealth
-from endivepick.membership._losses import LossWatch
-from endivepick.membership._member import BUCKET_COUNT, Member, bucket_of
+from endivepick.membership._losses import MassLossDetector
+from endivepick.membership._member import BUCKET_COUNT, Member, compute_bucket
 from endivepick.membership._outbox import Outbox
 from endivepick.membership._own import OwnStatus
-from endivepick.membership._rings import WatchRings
-from endivepick.membership._spread import SpreadQueue
+from endivepick.membership._rings import ProbeRings
+from endivepick.membership._spread import GossipQueue
 from endivepick.membership._suspicion import SuspicionTimers
 from endivepick.membership.actions import PeerChanged, Superseded
 from endivepick.membership.peer_messages import (
@@ -23,13 +23,13 @@
 from endivepick.membership.view import InstanceView, ListedInstance, PeerState
 
 
-def _may_take_roles(view: InstanceView) -> bool:
+def _is_eligible_for_roles(view: InstanceView) -> bool:
     serving = view.state in (PeerState.ALIVE, PeerState.SUSPECT)
     return serving and view.ready
 
 
 class MemberTable:
-    """All peers by name; owns their entries and timers."""
+    """Entries and timers of all peers, by name."""
 
     def __init__(
         self, settings: MembershipSettings, own: OwnStatus, outbox: Outbox
@@ -42,19 +42,19 @@
         self.dead: dict[str, Member] = {}
         self.superseded: dict[int, tuple[str, float]] = {}
         self.health = LocalHealth(settings)
-        self.losses = LossWatch(settings)
-        self.rings = WatchRings(settings, own.name, own.to_view().zone)
+        self.losses = MassLossDetector(settings)
+        self.rings = ProbeRings(settings, own.name, own.to_view().zone)
         self.timers = SuspicionTimers(settings, self.losses)
-        self.spread: SpreadQueue[str] = SpreadQueue(settings.spread_factor)
-        self.spread_short: SpreadQueue[str] = SpreadQueue(settings.spread_factor)
+        self.gossip: GossipQueue[str] = GossipQueue(settings.spread_factor)
+        self.short_gossip: GossipQueue[str] = GossipQueue(settings.spread_factor)
         self._by_incarnation: dict[int, Member] = {}
         self._views: dict[str, InstanceView] = {}
-        self._takes_roles: set[str] = set()
-        self._live: tuple[str, ...] | None = None
-        self._show(own.name, own.to_view())
-        self._passes_on = True
+        self._eligible_names: set[str] = set()
+        self._cached_live_names: tuple[str, ...] | None = None
+        self._set_view(own.name, own.to_view())
+        self._gossip_enabled = True
 
-    # What others read
+    # Queries
 
     @property
     def view(self) -> MappingProxyType[str, InstanceView]:
@@ -63,60 +63,62 @@
 
     @property
     def live_names(self) -> tuple[str, ...]:
-        """Return the names that take roles, sorted."""
-        if self._live is None:
-            self._live = tuple(sorted(self._takes_roles))
-        return self._live
+        """Return the sorted names of the instances that may be assigned roles."""
+        if self._cached_live_names is None:
+            self._cached_live_names = tuple(sorted(self._eligible_names))
+        return self._cached_live_names
 
-    def update_of(self, name: str) -> MemberUpdate | None:
-        """Return the news about an instance, or None if there are none."""
+    def find_update(self, name: str) -> MemberUpdate | None:
+        """Return an update about an instance, or None if it is unknown."""
         if name == self.own.name:
             return self.own.to_update()
         member = self.members.get(name)
-        return member.to_update() if member and member.heard else None
+        return member.to_update() if member and member.is_identified else None
 
-    def take_news(self, count: int) -> list[MemberUpdate]:
-        """Return the piggy-backed updates of one message."""
+    def take_updates(self, count: int) -> list[MemberUpdate]:
+        """Return up to ``count`` updates to piggyback on one message."""
         names: list[str] = []
-        if not self._has_many_short:
-            others = min(len(self.spread), count // 2)
-            names += self.spread_short.take(count - others)
-        names += self.spread.take(count - len(names))
-        updates = [self.update_of(name) for name in names]
+        if not self._has_short_overflow:
+            others = min(len(self.gossip), count // 2)
+            names += self.short_gossip.take(count - others)
+        names += self.gossip.take(count - len(names))
+        updates = [self.find_update(name) for name in names]
         return [update for update in updates if update is not None]
 
-    def take_short(self) -> list[ShortUpdate]:
-        """Return the news of one message that are too many for updates."""
-        if not self._has_many_short:
+    def take_short_updates(self) -> list[ShortUpdate]:
+        """Return short updates for one message if too many are queued for full ones."""
+        if not self._has_short_overflow:
             return []
-        names = self.spread_short.take(self._settings.short_count)
+        names = self.short_gossip.take(self._settings.short_count)
         members = [self.members[name] for name in names]
         return [member.to_short_update() for member in members]
 
     @property
-    def _has_many_short(self) -> bool:
-        return len(self.spread_short) > self._settings.piggyback_count
+    def _has_short_overflow(self) -> bool:
+        return len(self.short_gossip) > self._settings.piggyback_count
 
     # Events
 
-    def merge(self, now_s: float, update: MemberUpdate, passed_on: bool = True) -> None:
-        """Take over news about an instance if they are newer.
+    def merge(
+        self, now_s: float, update: MemberUpdate, is_gossiped: bool = True
+    ) -> None:
+        """Merge an update about an instance if it is newer.
 
         Parameters
         ----------
         now_s : float
-            Present time, in seconds.
+            Current time, in seconds.
         update : MemberUpdate
-            The news.
-        passed_on : bool
-            Whether to spread them; False for what others know already.
+            The update.
+        is_gossiped : bool
+            Whether to gossip changes; False if other instances already know them.
         """
-        self._passes_on = passed_on
+        self._gossip_enabled = is_gossiped
         self._merge(now_s, update)
-        self._passes_on = True
+        self._gossip_enabled = True
 
     def merge_short(self, now_s: float, short: ShortUpdate) -> None:
-        """Take over short news; about an unknown incarnation they say nothing."""
+        """Merge a short update; ignore it if the incarnation is unknown."""
         if short.incarnation == self.own.incarnation:
             known = self.own.to_update()
         elif short.incarnation in self._by_incarnation:
@@ -142,103 +144,103 @@
         if member is None:
             member = self._insert(update.name, update.zone, update.peer_address)
         if member.incarnation == update.incarnation:
-            self._merge_same(now_s, member, update)
-        elif not member.heard or self._supersedes(update, member):
-            self._replace(now_s, member, update)
+            self._merge_same_incarnation(now_s, member, update)
+        elif not member.is_identified or self._supersedes(update, member):
+            self._replace_incarnation(now_s, member, update)
         else:
-            self._bury_incarnation(now_s, update.incarnation, update.name)
+            self._record_superseded(now_s, update.incarnation, update.name)
 
     def add_listed(self, now_s: float, entry: ListedInstance) -> Member:
-        """Add a peer that only the platform's list knows."""
+        """Add a peer that is only known from the platform's list."""
         member = self._insert(entry.name, entry.zone, entry.peer_address)
-        member.heard_since_s = now_s
-        self.losses.add(member.name, member.zone)
+        member.known_since_s = now_s
+        self.losses.mark_alive(member.name, member.zone)
         self.publish(member)
         return member
 
-    def describe(self, member: Member, entry: ListedInstance) -> None:
-        """Take over zone and address of a peer that only the list knows."""
-        member.describe(entry)
+    def update_listed_address(self, member: Member, entry: ListedInstance) -> None:
+        """Set zone and address of a peer that is only known from the list."""
+        member.set_zone_and_address(entry)
         if member.name in self.rings:
             self.rings.add(member.name, member.zone)
         self.publish(member)
 
     def suspect(self, now_s: float, name: str, accuser: str) -> None:
-        """Suspect a peer by an own finding."""
+        """Suspect a peer whose probe failed."""
         member = self.members.get(name)
         if member is None or member.liveness is Liveness.DEAD:
             return
         self._set_suspect(now_s, member, accuser)
 
     def declare_dead(self, now_s: float, name: str) -> None:
-        """Give a peer up, by an own time-out or by its own word."""
+        """Declare a peer dead after its suspicion timeout."""
         member = self.members[name]
         member.accuser = ""
         self._set_dead(now_s, member)
 
-    def forget(self, name: str) -> None:
-        """Drop the entry of a peer."""
+    def remove_member(self, name: str) -> None:
+        """Remove the entry of a peer."""
         member = self.members.pop(name)
         self._by_incarnation.pop(member.incarnation, None)
-        del self.buckets[bucket_of(name)][name]
+        del self.buckets[compute_bucket(name)][name]
         self.dead.pop(name, None)
         self.rings.remove(name)
         self.timers.stop(name)
-        self.spread.discard(name)
-        self.spread_short.discard(name)
+        self.gossip.discard(name)
+        self.short_gossip.discard(name)
         self.losses.remove(name)
         old = self._views.pop(name, None)
         if old is not None:
             self._outbox.add(PeerChanged(old, None))
-        self._set_takes_roles(name, False)
+        self._set_eligible(name, False)
 
-    def own_changed(self) -> None:
-        """Spread and show a change of this instance's own status."""
-        self.spread.put(self.own.name, len(self.members))
-        self._show(self.own.name, self.own.to_view())
+    def publish_own_status(self) -> None:
+        """Gossip and publish a change of this instance's own status."""
+        self.gossip.put(self.own.name, len(self.members))
+        self._set_view(self.own.name, self.own.to_view())
 
     def publish(self, member: Member) -> None:
-        """Show a change of a peer, if there is one to show."""
+        """Publish the view of a peer if it changed."""
         old = self._views.get(member.name)
         new = member.to_view()
         if old == new:
             return
-        self._show(member.name, new)
+        self._set_view(member.name, new)
         self._outbox.add(PeerChanged(old, new))
 
-    def _show(self, name: str, view: InstanceView) -> None:
+    def _set_view(self, name: str, view: InstanceView) -> None:
         self._views[name] = view
-        self._set_takes_roles(name, _may_take_roles(view))
+        self._set_eligible(name, _is_eligible_for_roles(view))
 
-    def _set_takes_roles(self, name: str, takes_roles: bool) -> None:
-        if takes_roles == (name in self._takes_roles):
+    def _set_eligible(self, name: str, is_eligible: bool) -> None:
+        if is_eligible == (name in self._eligible_names):
             return
-        self._live = None
-        if takes_roles:
-            self._takes_roles.add(name)
+        self._cached_live_names = None
+        if is_eligible:
+            self._eligible_names.add(name)
         else:
-            self._takes_roles.discard(name)
+            self._eligible_names.discard(name)
 
     def set_listed(self, member: Member, leaving: bool) -> bool:
-        """Take over whether the platform's list says that a peer leaves.
+        """Set whether the platform lists a peer as leaving.
 
         Returns
         -------
         bool
-            Whether that is new.
+            Whether the value changed.
         """
         is_new = member.set_listed_leaving(leaving)
         if is_new:
             self.publish(member)
         return is_new
 
-    # Rules
+    # Merge rules
 
     def _insert(self, name: str, zone: str, peer_address: str) -> Member:
         member = Member(name, zone, peer_address)
         self.members[name] = member
         self.rings.add(name, zone)
-        self.buckets[bucket_of(name)][name] = member
+        self.buckets[compute_bucket(name)][name] = member
         return member
 
     def _merge_own(self, update: MemberUpdate) -> None:
@@ -246,77 +248,85 @@
         if update.incarnation == own.incarnation:
             if own.refute(update):
                 self.health.worsen()
-                self.own_changed()
+                self.publish_own_status()
             return
         known = own.superseded_by
-        if own.meet_namesake(update):
-            self.own_changed()
+        if own.resolve_name_conflict(update):
+            self.publish_own_status()
         elif own.superseded_by != known:
             self._outbox.add(Superseded(own.superseded_by))
-            self._outbox.log("another incarnation took this name")
-            self.own_changed()
+            self._outbox.log("superseded by another incarnation of this name")
+            self.publish_own_status()
 
     def _supersedes(self, update: MemberUpdate, member: Member) -> bool:
-        return (update.generation, update.incarnation) > member.age_key
+        return (update.generation, update.incarnation) > member.incarnation_order
 
-    def _replace(self, now_s: float, member: Member, update: MemberUpdate) -> None:
-        if member.heard:
-            self._bury_incarnation(now_s, member.incarnation, member.name)
+    def _replace_incarnation(
+        self, now_s: float, member: Member, update: MemberUpdate
+    ) -> None:
+        if member.is_identified:
+            self._record_superseded(now_s, member.incarnation, member.name)
         self.timers.stop(member.name)
         self.dead.pop(member.name, None)
         self._by_incarnation.pop(member.incarnation, None)
-        member.adopt(update, now_s)
-        self.spread_short.discard(member.name)
+        member.reset_to_incarnation(update, now_s)
+        self.short_gossip.discard(member.name)
         self._by_incarnation[member.incarnation] = member
         self.rings.add(member.name, member.zone)
-        if self._passes_on:
-            self.spread.put(member.name, len(self.members))
-        self._merge_same(now_s, member, update, news=True)
+        if self._gossip_enabled:
+            self.gossip.put(member.name, len(self.members))
+        self._merge_same_incarnation(now_s, member, update, changed=True)
 
-    def _bury_incarnation(self, now_s: float, incarnation: int, name: str) -> None:
+    def _record_superseded(self, now_s: float, incarnation: int, name: str) -> None:
         self.superseded.pop(incarnation, None)
         self.superseded[incarnation] = (name, now_s)
 
-    def _merge_same(
-        self, now_s: float, member: Member, update: MemberUpdate, news: bool = False
+    def _merge_same_incarnation(
+        self, now_s: float, member: Member, update: MemberUpdate, changed: bool = False
     ) -> None:
         if update.generation > member.generation:
             member.generation = update.generation
-            news = True
+            changed = True
         if update.phase > member.phase:
             member.advance_phase(update.phase)
-            news = True
+            changed = True
         if update.refutation > member.refutation:
             member.refutation = update.refutation
             self._set_alive(member)
-            news = True
+            changed = True
         if update.refutation == member.refutation:
-            news |= self._merge_liveness(now_s, member, update)
+            changed |= self._merge_liveness(now_s, member, update)
         if member.phase is Phase.STOPPED and member.liveness is not Liveness.DEAD:
             self._set_dead(now_s, member)
-        if news:
-            self._spread_and_publish(member)
+        if changed:
+            self._gossip_and_publish(member)
 
     def _merge_liveness(
         self, now_s: float, member: Member, update: MemberUpdate
     ) -> bool:
         if update.liveness is Liveness.ALIVE:
             if member.liveness is Liveness.ALIVE:
-                self.losses.add(member.name, member.zone)
+                self.losses.mark_alive(member.name, member.zone)
             return False
         if member.liveness is Liveness.DEAD:
             return False
-        if update.liveness is Liveness.DEAD and self._believes_death(now_s, member):
+        if update.liveness is Liveness.DEAD and self._accepts_reported_death(
+            now_s, member
+        ):
             self._set_dead(now_s, member)
             return True
         return self._set_suspect(now_s, member, update.accuser)
 
-    def _believes_death(self, now_s: float, member: Member) -> bool:
-        """Doubt a death by hearsay against own evidence or in a mass loss."""
-        self.losses.lose(member.name)
+    def _accepts_reported_death(self, now_s: float, member: Member) -> bool:
+        """Tell whether a death reported by a peer is accepted.
+
+        It only counts as a suspicion if a recent probe was answered, or in a mass
+        loss.
+        """
+        self.losses.mark_lost(member.name)
         if now_s - member.last_ack_s < self._settings.fresh_evidence_s:
             return False
-        return not self.losses.is_mass(member.zone)
+        return not self.losses.is_mass_loss(member.zone)
 
     def _set_alive(self, member: Member) -> None:
         member.accuser = ""
@@ -324,41 +334,41 @@
         self.timers.stop(member.name)
         self.dead.pop(member.name, None)
         self.rings.add(member.name, member.zone)
-        self.losses.add(member.name, member.zone)
+        self.losses.mark_alive(member.name, member.zone)
 
     def _set_suspect(self, now_s: float, member: Member, accuser: str) -> bool:
-        began = member.liveness is Liveness.ALIVE
-        if began:
+        is_new_suspicion = member.liveness is Liveness.ALIVE
+        if is_new_suspicion:
             member.set_liveness(Liveness.SUSPECT)
             self.rings.remove(member.name)
-            self.losses.add(member.name, member.zone)
+            self.losses.mark_alive(member.name, member.zone)
             self.timers.start(member.name, now_s)
             self._outbox.log("suspects a peer", member.name)
         confirmed = self.timers.confirm(member.name, accuser)
         if confirmed:
             member.accuser = accuser
-        if began or confirmed:
-            self._spread_and_publish(member)
-        return began or confirmed
+        if is_new_suspicion or confirmed:
+            self._gossip_and_publish(member)
+        return is_new_suspicion or confirmed
 
     def _set_dead(self, now_s: float, member: Member) -> None:
         member.set_liveness(Liveness.DEAD)
         member.died_s = now_s
         self.timers.stop(member.name)
-        self.losses.bury(member.name, now_s)
+        self.losses.mark_dead(member.name, now_s)
         self.dead[member.name] = member
         self.rings.remove(member.name)
         self._outbox.log("declares a peer dead", member.name)
-        self._spread_and_publish(member)
+        self._gossip_and_publish(member)
 
-    def _spread_and_publish(self, member: Member) -> None:
-        if member.heard and self._passes_on:
-            # Others may not know an incarnation that is still being introduced.
-            known = member.name not in self.spread
-            queue = self.spread_short if known else self.spread
+    def _gossip_and_publish(self, member: Member) -> None:
+        if member.is_identified and self._gossip_enabled:
+            # Peers may not know an incarnation whose full update is still queued.
+            known = member.name not in self.gossip
+            queue = self.short_gossip if known else self.gossip
             queue.put(member.name, len(self.members))
         self.publish(member)
 
     def is_dead(self, member: Member) -> bool:
-        """Tell whether a peer is given up."""
+        """Tell whether a peer is declared dead."""
         return member.state == PeerState.DEAD.value
--- a/endivepick/membership/actions.py
+++ b/endivepick/membership/actions.py
@@ -1,4 +1,4 @@
-"""What the membership asks its surroundings to do."""
+"""Actions that the membership requests from its caller."""
 
 from dataclasses import dataclass
 
@@ -36,7 +36,7 @@
 
 @dataclass(frozen=True)
 class SendToSeed:
-    """Send a message to whatever instance stands at an address; it may be lost.
+    """Send a message to the instance at an address; it may be lost.
 
     Attributes
     ----------
@@ -52,14 +52,14 @@
 
 @dataclass(frozen=True)
 class PeerChanged:
-    """The belief about a peer changed.
+    """The view of a peer changed.
 
     Attributes
     ----------
     old : InstanceView or None
-        Belief before; None if the peer is new.
+        Previous view; None if the peer is new.
     new : InstanceView or None
-        Belief now; None if the peer is forgotten.
+        New view; None if the peer was removed.
     """
 
     old: InstanceView | None
@@ -68,7 +68,7 @@
 
 @dataclass(frozen=True)
 class Superseded:
-    """Another incarnation took this instance's name: stop as planned.
+    """Another incarnation uses the name of this instance: begin a planned stop.
 
     Attributes
     ----------
@@ -81,7 +81,7 @@
 
 @dataclass(frozen=True)
 class LeaveRequested:
-    """The platform lists this instance as leaving: stop as planned."""
+    """The platform lists this instance as leaving: begin a planned stop."""
 
 
 @dataclass(frozen=True)
@@ -91,9 +91,9 @@
     Attributes
     ----------
     text : str
-        Short sentence with the part's prefix.
+        Message with the prefix ``membership:``.
     peer : str
-        Name of the peer that it is about, empty if none.
+        Name of the peer concerned, empty if none.
     """
 
     text: str
@@ -102,7 +102,7 @@
 
 @dataclass(frozen=True)
 class PeerProbeFailed:
-    """A probe of this instance got no answer in time.
+    """A probe sent by this instance failed.
 
     Attributes
     ----------
@@ -111,13 +111,13 @@
     waited_s : float
         Time since the probe was sent, in seconds.
     longest_gap_s : float
-        Longest time between two ticks of this instance meanwhile, in seconds: if it
-        is long, this instance was late rather than the peer.
+        Longest time between two ticks of this instance since then, in seconds; a
+        large value indicates a delay of this instance rather than of the peer.
     answered_before_s : float
         Time since the last answered probe was sent, in seconds; infinite if none
         was answered.
     helpers, reports : int
-        Peers that were asked to probe as well, and those that have answered.
+        Peers asked for an indirect probe, and reports received from them.
     """
 
     name: str
@@ -130,7 +130,7 @@
 
 @dataclass(frozen=True)
 class PeerProbeAnsweredLate:
-    """The answer to a failed probe has come.
+    """The answer to a failed probe arrived after its deadline.
 
     Attributes
     ----------
--- a/endivepick/membership/core.py
+++ b/endivepick/membership/core.py
@@ -1,18 +1,18 @@
-"""The membership: events in, actions out."""
+"""Membership protocol as a deterministic core without input or output."""
 
 from collections.abc import Iterable, Mapping
 
-from endivepick.membership._departed import DepartedLog
+from endivepick.membership._departed import HandOverLog
 from endivepick.membership._outbox import Outbox
 from endivepick.membership._own import OwnStatus
 from endivepick.membership._prober import Prober
-from endivepick.membership._questions import DeathQuestions
-from endivepick.membership._seeds import Seeds
-from endivepick.membership._sync import Synchroniser
+from endivepick.membership._questions import DeathQueries
+from endivepick.membership._seeds import SeedContacts
+from endivepick.membership._sync import AntiEntropy
 from endivepick.membership._table import MemberTable
 from endivepick.membership.actions import Action, LeaveRequested
 from endivepick.membership.peer_messages import (
-    UNASKED,
+    UNSOLICITED,
     Ack,
     LeaveWish,
     MembershipMessage,
@@ -33,20 +33,20 @@
 
 
 class Membership:
-    """What one instance believes about the others.
+    """View that one instance has of all others.
 
-    It has no socket, clock or randomness of its own; each event gets the time
-    and returns the actions to carry out.  Wrong beliefs cost a hop or balance,
-    never safety.
+    The core has no socket, clock or random generator; each event is passed the time
+    and returns the actions to perform.  A wrong view costs an additional hop or
+    load balance, but never safety.
 
     Parameters
     ----------
     settings : MembershipSettings
-        Periods, time-outs and bounds.
+        Periods, timeouts and limits.
     me : InstanceView
-        This instance; with ``ready=False`` it takes no role until ``set_ready``.
+        This instance; with ``ready=False`` it gets no role until ``set_ready``.
     generation : int
-        Wall-clock start time in milliseconds; orders incarnations of one name.
+        Wall-clock start time in milliseconds; orders the incarnations of one name.
 
     Examples
     --------
@@ -70,27 +70,27 @@
         self._outbox = Outbox()
         self._own = OwnStatus(me, generation)
         self._table = MemberTable(settings, self._own, self._outbox)
-        self._departed = DepartedLog(settings)
-        parts = (settings, self._table, self._departed, self._outbox)
+        self._handovers = HandOverLog(settings)
+        parts = (settings, self._table, self._handovers, self._outbox)
         self._prober = Prober(*parts)
-        self._sync = Synchroniser(*parts)
-        self._seeds = Seeds(settings, self._table, self._outbox)
+        self._anti_entropy = AntiEntropy(*parts)
+        self._seeds = SeedContacts(settings, self._table, self._outbox)
         self._now_s: float | None = None
         self._started_s = 0.0
         self._next_prune_s = float("-inf")
-        self._questions = DeathQuestions(settings, self._table, self._prober)
+        self._death_queries = DeathQueries(settings, self._table, self._prober)
         self._leave_requested = False
 
-    # What others read
+    # Queries
 
     @property
     def joined(self) -> bool:
-        """A peer's whole view has arrived, or nobody could be asked."""
+        """Whether a peer's full view has arrived, or no peer could provide it."""
         return self._own.joined
 
     @property
     def own_health_score(self) -> int:
-        """Signs of own trouble, from 0 (none) to ``health_max``."""
+        """Local health score, from 0 (healthy) to ``health_max``."""
         return self._table.health.score
 
     def view(self) -> Mapping[str, InstanceView]:
@@ -98,50 +98,51 @@
         return self._table.view
 
     def live_names(self) -> tuple[str, ...]:
-        """Return the names that take roles, sorted, this one included.
+        """Return the sorted names of the instances that may be assigned roles.
 
-        These are heard, ready, and alive or suspect; not leaving, not dead.
+        These are ready, and alive or suspect; leaving and dead ones are excluded.
+        This instance is included if it is ready.
         """
         return self._table.live_names
 
     def is_incarnation_dead(self, name: str, incarnation: int) -> bool:
         """Tell whether an incarnation was declared dead or superseded.
 
-        An incarnation that nobody knows is first looked for: its name is probed,
-        and it counts as dead once the name answers as another incarnation, or
-        stays unknown for ``unknown_dead_after_s``.
+        The name of an unknown incarnation is probed first.  The incarnation counts
+        as dead once the name answers as another incarnation, or when the name stays
+        unknown for ``unknown_dead_after_s``.
         """
         if name == self._own.name:
             return incarnation != self._own.incarnation
-        return self._questions.is_dead(name, incarnation, self._now_s or 0.0)
+        return self._death_queries.is_dead(name, incarnation, self._now_s or 0.0)
 
     def successor_of(self, incarnation: int, service: str) -> tuple[str, int] | None:
-        """Return name and incarnation that hold what an incarnation handed over."""
-        return self._departed.successor_of(incarnation, service)
+        """Return name and incarnation of the holder after a handover, or None."""
+        return self._handovers.successor_of(incarnation, service)
 
     # Events
 
     def tick(self, now_s: float, random_number: int) -> list[Action]:
-        """Let time pass.
+        """Process timers.
 
         Parameters
         ----------
         now_s : float
-            Present time of a clock that neither goes back nor stops, in seconds.
+            Current time of a monotonic clock, in seconds; the clock must not stop.
         random_number : int
-            Fresh random number of 64 bits.
+            New 64-bit random number.
 
         Returns
         -------
         list of Action
-            What to do now.
+            Actions to perform.
         """
-        self._enter(now_s)
-        self._sync.tick(now_s, random_number)
+        self._advance_time(now_s)
+        self._anti_entropy.tick(now_s, random_number)
         self._seeds.tick(now_s, random_number)
         if self._prober.tick(now_s, random_number):
             self._table.losses.tick(now_s)
-            for name in self._table.timers.expired(now_s, self._table.members):
+            for name in self._table.timers.find_expired(now_s, self._table.members):
                 self._table.declare_dead(now_s, name)
         if now_s >= self._next_prune_s:
             self._next_prune_s = now_s + _PRUNE_PERIOD_S
@@ -151,9 +152,9 @@
     def on_list(
         self, now_s: float, entries: Iterable[ListedInstance], age_s: float = 0.0
     ) -> list[Action]:
-        """Take the platform's list of instances, which lags by ``age_s``."""
-        self._enter(now_s)
-        self._seeds.needed = False
+        """Handle the platform's list of instances, read ``age_s`` seconds ago."""
+        self._advance_time(now_s)
+        self._seeds.is_needed = False
         listed = {entry.name: entry for entry in entries}
         me = listed.pop(self._own.name, None)
         if me is not None and me.leaving:
@@ -162,7 +163,7 @@
             self._merge_listed(now_s, entry, now_s - age_s)
         for member in list(self._table.members.values()):
             if member.name not in listed:
-                self._unlist(member.name)
+                self._mark_unlisted(member.name)
         if not listed:
             self._own.joined = True
         return self._outbox.drain()
@@ -170,14 +171,14 @@
     def on_message(
         self, now_s: float, sender: str, incarnation: int, message: MembershipMessage
     ) -> list[Action]:
-        """Take a message of a peer."""
-        self._enter(now_s)
+        """Handle a message of a peer."""
+        self._advance_time(now_s)
         match message:
             case Ping():
-                self._merge_news(now_s, message)
+                self._merge_updates(now_s, message)
                 self._prober.on_ping(now_s, sender, incarnation, message)
             case Ack():
-                self._merge_news(now_s, message)
+                self._merge_updates(now_s, message)
                 self._prober.on_ack(now_s, sender, incarnation, message)
             case PingRequest():
                 self._prober.on_ping_request(now_s, sender, message)
@@ -187,80 +188,84 @@
                 self._prober.on_report(message)
             case SyncRequest():
                 self._table.merge(now_s, message.me)
-                self._sync.on_request(now_s, sender, message)
+                self._anti_entropy.on_request(now_s, sender, message)
             case SyncPage():
-                self._sync.on_page(now_s, sender, message)
+                self._anti_entropy.on_page(now_s, sender, message)
             case SyncDigest():
-                self._sync.on_digest(now_s, sender, message)
+                self._anti_entropy.on_digest(now_s, sender, message)
             case LeaveWish():
                 self._request_leave(message.incarnation == self._own.incarnation)
         return self._outbox.drain()
 
     def direct_failure(self, now_s: float, name: str) -> list[Action]:
-        """Take evidence of a failed send: the peer is probed, and answered again."""
-        self._enter(now_s)
+        """Handle a failed send: probe the peer and resend the last answer to it."""
+        self._advance_time(now_s)
         if name in self._table.members and name not in self._table.dead:
-            self._prober.hurry(name)
-            self._prober.answer_again(name)
+            self._prober.probe_soon(name)
+            self._prober.resend_answer(name)
         return self._outbox.drain()
 
     def set_ready(self, now_s: float) -> list[Action]:
-        """Announce that this instance takes roles."""
+        """Announce that this instance may be assigned roles."""
         return self._announce_phase(now_s, Phase.READY)
 
     def leave(self, now_s: float) -> list[Action]:
-        """Announce the planned stop: no new role, but what is held is served."""
+        """Announce the planned stop: no new roles, existing flows are served."""
         return self._announce_phase(now_s, Phase.LEAVING)
 
     def stop(self, now_s: float) -> list[Action]:
-        """Tell some peers that this instance ends now; the last event."""
-        self._enter(now_s)
+        """Announce the end of this instance to some peers; the last event."""
+        self._advance_time(now_s)
         if self._own.set_phase(Phase.STOPPED):
-            self._table.own_changed()
-        handed_over = self._departed.entries_of(self._own.incarnation, now_s)
-        farewell = SyncPage(0, [], [self._own.to_update()], handed_over, UNASKED)
+            self._table.publish_own_status()
+        handed_over = self._handovers.entries_of_incarnation(
+            self._own.incarnation, now_s
+        )
+        stop_notice = SyncPage(0, [], [self._own.to_update()], handed_over, UNSOLICITED)
         for name in self._table.live_names[: self._settings.piggyback_count]:
-            self._outbox.send(name, farewell)
+            self._outbox.send(name, stop_notice)
         return self._outbox.drain()
 
     def announce_hand_over(
         self, service: str, name: str, incarnation: int
     ) -> list[Action]:
-        """Record that this instance handed a service's flows to a successor."""
+        """Record the handover of a service's flows to a successor."""
         now_s = self._now_s or 0.0
-        giver = self._own.incarnation
-        self._departed.announce(now_s, giver, service, (name, incarnation))
+        own_incarnation = self._own.incarnation
+        self._handovers.record_handover(
+            now_s, own_incarnation, service, (name, incarnation)
+        )
         return self._outbox.drain()
 
-    # Parts
+    # Implementation
 
-    def _enter(self, now_s: float) -> None:
+    def _advance_time(self, now_s: float) -> None:
         if self._now_s is None:
             self._started_s = now_s
         elif now_s - self._now_s > self._settings.pause_s:
-            self._outbox.log("was paused, restarts all timers")
-            self._table.health.distrust()
+            self._outbox.log("pause detected; restarting all timers")
+            self._table.health.set_worst()
             self._table.timers.restart_all(now_s)
-            self._prober.restart(now_s)
+            self._prober.drop_open_probes(now_s)
         self._now_s = now_s
-        self._departed.peer_count = len(self._table.members)
+        self._handovers.peer_count = len(self._table.members)
 
-    def _merge_news(self, now_s: float, message: Ping | Ack) -> None:
+    def _merge_updates(self, now_s: float, message: Ping | Ack) -> None:
         for update in message.updates:
             self._table.merge(now_s, update)
         for short in message.short_updates:
             self._table.merge_short(now_s, short)
-        for news in message.handed_over:
-            self._departed.merge(now_s, news)
+        for handover in message.handed_over:
+            self._handovers.merge(now_s, handover)
 
     def _announce_phase(self, now_s: float, phase: Phase) -> list[Action]:
-        self._enter(now_s)
+        self._advance_time(now_s)
         if self._own.set_phase(phase):
-            self._table.own_changed()
+            self._table.publish_own_status()
         return self._outbox.drain()
 
-    def _request_leave(self, is_meant: bool) -> None:
-        if is_meant and not self._leave_requested:
+    def _request_leave(self, is_addressed: bool) -> None:
+        if is_addressed and not self._leave_requested:
             self._leave_requested = True
             self._outbox.add(LeaveRequested())
 
@@ -270,32 +275,32 @@
         member = self._table.members.get(entry.name)
         if member is None:
             member = self._table.add_listed(now_s, entry)
-            self._prober.hurry(entry.name)
-        member.listed = True
+            self._prober.probe_soon(entry.name)
+        member.is_listed = True
         member.was_listed = True
-        if not member.heard:
-            self._table.describe(member, entry)
-        elif member.heard_since_s <= snapshot_s:
+        if not member.is_identified:
+            self._table.update_listed_address(member, entry)
+        elif member.known_since_s <= snapshot_s:
             is_new = self._table.set_listed(member, entry.leaving)
             if is_new and entry.leaving:
-                # It may read the list much later itself.
+                # The peer itself may read the list much later.
                 self._outbox.send(entry.name, LeaveWish(member.incarnation))
 
-    def _unlist(self, name: str) -> None:
+    def _mark_unlisted(self, name: str) -> None:
         member = self._table.members[name]
-        member.listed = False
-        if not member.heard:
-            self._table.forget(name)
+        member.is_listed = False
+        if not member.is_identified:
+            self._table.remove_member(name)
 
     def _prune(self, now_s: float) -> None:
         settings = self._settings
         oldest_s = now_s - settings.dead_kept_s
         for member in list(self._table.dead.values()):
-            if not member.listed and member.died_s < oldest_s:
-                self._table.forget(member.name)
+            if not member.is_listed and member.died_s < oldest_s:
+                self._table.remove_member(member.name)
         self._prune_superseded(oldest_s)
-        self._departed.prune(now_s)
-        self._questions.prune(oldest_s)
+        self._handovers.prune(now_s)
+        self._death_queries.prune(oldest_s)
 
     def _prune_superseded(self, oldest_s: float) -> None:
         superseded = self._table.superseded
--- a/endivepick/membership/measure.py
+++ b/endivepick/membership/measure.py
@@ -1,9 +1,9 @@
-"""Measures what the membership costs; prints one JSON line for each figure.
+"""Measures the cost of the membership; prints one JSON line per measurement.
 
 Run it as ``python -m endivepick.membership.measure``.  The core of one node is
-driven directly, and its peers are made up: each answers every probe, and one of
-them probes the node in each period.  Bytes are those of encoded envelopes,
-without the framing below.
+driven directly with simulated peers: each answers every probe, and one of them
+probes the node in each period.  Byte counts are those of encoded envelopes, without
+the framing of lower layers.
 """
 
 import time
@@ -16,7 +16,7 @@
 import msgspec
 
 from endivepick.core.wire import Envelope, encode_envelope
-from endivepick.membership._loop import TICK_S, Loop
+from endivepick.membership._loop import TICK_S, SimulatedFleet
 from endivepick.membership.actions import Action, Send
 from endivepick.membership.core import Membership
 from endivepick.membership.measure_fleet import LINK_IDLE_S
@@ -40,18 +40,18 @@
 _MICROSECONDS = 1e6
 _ZONES = 4
 _SETTLE_S = 65.0
-"""Until the news of the start have been passed on."""
+"""Time until the updates of the start have been disseminated."""
 
 
-class _Meter:
-    """Processor time and number of calls of one kind."""
+class _CallTimer:
+    """Processor time and number of calls of one function."""
 
     def __init__(self) -> None:
         self.calls = 0
         self.total_s = 0.0
 
     def run(self, call: Callable[[], list[Action]]) -> list[Action]:
-        """Call and add up."""
+        """Run a call and add its processor time."""
         started_s = time.process_time()
         actions = call()
         self.total_s += time.process_time() - started_s
@@ -60,30 +60,30 @@
 
     @property
     def mean_us(self) -> float:
-        """Mean time of a call, in microseconds."""
+        """Mean processor time per call, in microseconds."""
         return round(self.total_s / max(1, self.calls) * _MICROSECONDS, 2)
 
 
-class _Node:
-    """One core among made-up peers."""
+class _SimulatedNode:
+    """One core with simulated peers."""
 
     def __init__(self, size: int, seed: int) -> None:
         self.random = Random(seed)
         self.now_s = 0.0
         me = InstanceView("entry-0", "z0", 1, "127.0.0.1:1", PeerState.ALIVE)
         self.core = Membership(MembershipSettings(), me)
-        self.updates = {u.name: u for u in map(_update, range(1, size))}
+        self.updates = {u.name: u for u in map(_make_update, range(1, size))}
         self.names = list(self.updates)
-        self.watchers = _watchers(self.names, self.random)
+        self.watchers = _choose_watchers(self.names, self.random)
         self.partners: set[str] = set()
         self.sent_messages = 0
         self.sent_bytes = 0
         self.sync_bytes = 0
-        self.tick_meter = _Meter()
-        self.message_meter = _Meter()
+        self.tick_timer = _CallTimer()
+        self.message_timer = _CallTimer()
 
-    def fill(self) -> None:
-        """Give the core its peers, as on join."""
+    def add_peers(self) -> None:
+        """Add all peers to the core, as on join."""
         entries = [ListedInstance(u.name, u.zone, u.peer_address) for u in self.peers]
         self.core.on_list(self.now_s, entries)
         page = SyncPage(0, [], self.peers, [])
@@ -95,29 +95,29 @@
         return list(self.updates.values())
 
     def reset(self) -> None:
-        """Start to count anew."""
+        """Reset all counters."""
         self.sent_messages = self.sent_bytes = self.sync_bytes = 0
         self.partners.clear()
-        self.tick_meter = _Meter()
-        self.message_meter = _Meter()
+        self.tick_timer = _CallTimer()
+        self.message_timer = _CallTimer()
 
     def run(self, duration_s: float) -> None:
-        """Let time pass, with one probe of a peer in each period."""
+        """Run for a time span, with one incoming probe per period."""
         settings = MembershipSettings()
         per_period = round(settings.probe_period_s / TICK_S)
         for number in range(round(duration_s / TICK_S)):
             self.now_s += TICK_S
             tick = partial(self.core.tick, self.now_s, self.random.getrandbits(64))
-            self._handle(self.tick_meter.run(tick))
+            self._handle(self.tick_timer.run(tick))
             if number % per_period == 0:
                 name = self.random.choice(self.watchers)
                 self.receive(name, Ping(number, 1, 0, [], []))
 
     def receive(self, name: str, message: MembershipMessage) -> None:
-        """Give the core a message of a peer."""
+        """Deliver a message of a peer to the core."""
         incarnation = self.updates[name].incarnation
         call = partial(self.core.on_message, self.now_s, name, incarnation, message)
-        self._handle(self.message_meter.run(call))
+        self._handle(self.message_timer.run(call))
 
     def _handle(self, actions: list[Action]) -> None:
         for action in actions:
@@ -134,15 +134,15 @@
                 self.receive(action.to_name, Ack(action.message.sequence, [], []))
 
 
-def _watchers(names: list[str], random: Random) -> list[str]:
-    """Return who probes the node: in a large fleet a few."""
+def _choose_watchers(names: list[str], random: Random) -> list[str]:
+    """Return the names of the peers that probe the node."""
     settings = MembershipSettings()
     if len(names) < settings.all_probed_up_to:
         return names
     return random.sample(names, settings.watchers)
 
 
-def _update(number: int) -> MemberUpdate:
+def _make_update(number: int) -> MemberUpdate:
     return MemberUpdate(
         f"entry-{number}",
         f"z{number % _ZONES}",
@@ -156,12 +156,12 @@
 
 
 def measure_cost(size: int, duration_s: float = 120.0, seed: int = 1) -> dict:
-    """Measure one node among ``size`` instances, nothing changing.
+    """Measure one node in a fleet of ``size`` instances without changes.
 
     Parameters
     ----------
     size : int
-        Instances, this one included.
+        Number of instances, including this node.
     duration_s : float
         Simulated time, in seconds.
     seed : int
@@ -170,14 +170,14 @@
     Returns
     -------
     dict
-        Rates per second of simulated time, processor time in microseconds,
-        memory of the core's peers in bytes, and ``partners``: peers that the node
-        sent to in the last ``LINK_IDLE_S``.
+        Rates per second of simulated time, processor time in microseconds, memory
+        per peer in bytes, and ``partners``: the number of peers that the node sent
+        to in the last ``LINK_IDLE_S``.
     """
     tracemalloc.start()
-    node = _Node(size, seed)
+    node = _SimulatedNode(size, seed)
     before_bytes, _ = tracemalloc.get_traced_memory()
-    node.fill()
+    node.add_peers()
     after_bytes, _ = tracemalloc.get_traced_memory()
     tracemalloc.stop()
     node.run(_SETTLE_S)
@@ -185,7 +185,7 @@
     node.run(duration_s - LINK_IDLE_S)
     node.partners.clear()
     node.run(LINK_IDLE_S)
-    busy_s = node.tick_meter.total_s + node.message_meter.total_s
+    busy_s = node.tick_timer.total_s + node.message_timer.total_s
     return {
         "measure": "cost",
         "size": size,
@@ -194,17 +194,17 @@
         "sent_messages_per_s": round(node.sent_messages / duration_s, 2),
         "sent_bytes_per_s": round(node.sent_bytes / duration_s, 1),
         "of_it_digest_bytes_per_s": round(node.sync_bytes / duration_s, 1),
-        "tick_us": node.tick_meter.mean_us,
-        "message_us": node.message_meter.mean_us,
+        "tick_us": node.tick_timer.mean_us,
+        "message_us": node.message_timer.mean_us,
         "core_share_percent": round(100 * busy_s / duration_s, 3),
         "bytes_per_peer": round((after_bytes - before_bytes) / (size - 1)),
     }
 
 
 def measure_change(size: int, seed: int = 1, changes: int = 6) -> dict:
-    """Measure what the news about one peer costs a node until it is spread."""
-    node = _Node(size, seed)
-    node.fill()
+    """Measure the cost of disseminating an update about one peer, for one node."""
+    node = _SimulatedNode(size, seed)
+    node.add_peers()
     node.run(_SETTLE_S)
     node.reset()
     node.run(60.0)
@@ -214,7 +214,7 @@
         fields = msgspec.structs.asdict(peer)
         fields.update(refutation=1, phase=Phase.LEAVING)
         node.receive(peer.name, Ping(1, 1, 0, [MemberUpdate(**fields)], []))
-    message_us = node.message_meter.mean_us
+    message_us = node.message_timer.mean_us
     node.run(60.0)
     return {
         "measure": "change",
@@ -225,21 +225,21 @@
     }
 
 
-def _page_in(actions: list[Action]) -> SyncPage:
+def _find_page(actions: list[Action]) -> SyncPage:
     messages = [action.message for action in actions if isinstance(action, Send)]
     return next(message for message in messages if isinstance(message, SyncPage))
 
 
 def measure_join(size: int, seed: int = 1) -> dict:
-    """Measure the whole view that a node gives to one that joins."""
-    node = _Node(size, seed)
-    node.fill()
+    """Measure the full view that a node sends to a joining one."""
+    node = _SimulatedNode(size, seed)
+    node.add_peers()
     cursor, pages, largest_bytes, total_bytes = 0, 0, 0, 0
-    me = _update(0)
+    me = _make_update(0)
     name = node.names[0]
     while True:
         actions = node.core.on_message(0.0, name, 2, SyncRequest(cursor, me))
-        page = _page_in(actions)
+        page = _find_page(actions)
         size_bytes = len(encode_envelope(Envelope("entry-0", 2**63, 2**60, page)))
         pages += 1
         total_bytes += size_bytes
@@ -256,51 +256,51 @@
     }
 
 
-def _loop(size: int, loss: float, seed: int) -> Loop:
-    loop = Loop(seed, loss)
+def _start_fleet(size: int, loss: float, seed: int) -> SimulatedFleet:
+    fleet = SimulatedFleet(seed, loss)
     for number in range(size):
-        loop.add(f"entry-{number}", f"z{number % _ZONES}")
-    loop.list_all()
-    loop.run(10.0)
-    return loop
+        fleet.add(f"entry-{number}", f"z{number % _ZONES}")
+    fleet.deliver_list()
+    fleet.run(10.0)
+    return fleet
 
 
-def _is_dead_at(loop: Loop, name: str, observers: int) -> Callable[[], bool]:
+def _is_dead_at(fleet: SimulatedFleet, name: str, observers: int) -> Callable[[], bool]:
     def is_met() -> bool:
-        views = [node.view()[name] for node in loop.nodes.values()]
+        views = [node.view()[name] for node in fleet.nodes.values()]
         return sum(view.state is PeerState.DEAD for view in views) >= observers
 
     return is_met
 
 
 def measure_detection(size: int = 9, loss: float = 0.05, kills: int = 100) -> dict:
-    """Measure the time from a kill until the first and the last peer know.
+    """Measure the time until the first and the last peer detect a killed node.
 
     Parameters
     ----------
     size : int
-        Instances.
+        Number of instances.
     loss : float
         Share of messages that are lost.
     kills : int
-        Trials, each in a new fleet with its own seed.
+        Number of trials, each in a new fleet with its own seed.
 
     Returns
     -------
     dict
-        Percentiles in seconds, and deaths of instances that lived.
+        Percentiles in seconds, and the number of live instances declared dead.
     """
     firsts, lasts, false_deaths = [], [], 0
     for seed in range(kills):
-        loop = _loop(size, loss, seed)
-        loop.run(loop.random.random())
-        victim = f"entry-{loop.random.randrange(size)}"
-        loop.kill(victim)
-        first_s = loop.run_until(_is_dead_at(loop, victim, 1), 60.0)
-        rest_s = loop.run_until(_is_dead_at(loop, victim, size - 1), 60.0)
+        fleet = _start_fleet(size, loss, seed)
+        fleet.run(fleet.random.random())
+        victim = f"entry-{fleet.random.randrange(size)}"
+        fleet.kill(victim)
+        first_s = fleet.run_until(_is_dead_at(fleet, victim, 1), 60.0)
+        rest_s = fleet.run_until(_is_dead_at(fleet, victim, size - 1), 60.0)
         firsts.append(first_s)
         lasts.append(first_s + rest_s)
-        false_deaths += _count_false_deaths(loop, victim)
+        false_deaths += _count_false_deaths(fleet, victim)
     return {
         "measure": "detection",
         "size": size,
@@ -312,26 +312,26 @@
     }
 
 
-def _count_false_deaths(loop: Loop, victim: str) -> int:
-    found = 0
-    for _, _, action in loop.actions:
+def _count_false_deaths(fleet: SimulatedFleet, victim: str) -> int:
+    death_count = 0
+    for _, _, action in fleet.actions:
         view = getattr(action, "new", None)
         if view is not None and view.state is PeerState.DEAD:
-            found += view.name != victim
-    return found
+            death_count += view.name != victim
+    return death_count
 
 
 def measure_quiet(size: int = 9, loss: float = 0.05, duration_s: float = 3600) -> dict:
-    """Count suspicions and deaths in a fleet in which nobody fails."""
-    loop = _loop(size, loss, 1)
-    loop.actions.clear()
+    """Count suspicions and deaths in a fleet without failures."""
+    fleet = _start_fleet(size, loss, 1)
+    fleet.actions.clear()
     suspected = 0
     for _ in range(round(duration_s / 60)):
-        loop.run(60.0)
-        views = [getattr(action, "new", None) for _, _, action in loop.actions]
+        fleet.run(60.0)
+        views = [getattr(action, "new", None) for _, _, action in fleet.actions]
         suspected += sum(v is not None and v.state is PeerState.SUSPECT for v in views)
         dead = sum(v is not None and v.state is PeerState.DEAD for v in views)
-        loop.actions.clear()
+        fleet.actions.clear()
         if dead:
             break
     return {
@@ -356,17 +356,17 @@
 
 
 def run(sizes: tuple[int, ...] = SIZES, kills: int = 100) -> None:
-    """Print all figures, one JSON line each."""
+    """Run all measurements; print one JSON line for each."""
     for size in sizes:
-        _print(measure_cost(size))
-        _print(measure_change(size))
-        _print(measure_join(size))
+        _print_figures(measure_cost(size))
+        _print_figures(measure_change(size))
+        _print_figures(measure_join(size))
     for size in (8, 9):
-        _print(measure_detection(size, kills=kills))
-    _print(measure_quiet())
+        _print_figures(measure_detection(size, kills=kills))
+    _print_figures(measure_quiet())
 
 
-def _print(figures: dict) -> None:
+def _print_figures(figures: dict) -> None:
     print(msgspec.json.encode(figures).decode(), flush=True)
 
 
--- a/endivepick/membership/peer_messages.py
+++ b/endivepick/membership/peer_messages.py
@@ -1,6 +1,6 @@
-"""Messages of the membership between instances, tags 64 to 79.
+"""Membership messages between instances, tags 64 to 79.
 
-The envelope around each message names the sender and its incarnation.
+The envelope of each message contains the name and incarnation of the sender.
 """
 
 from enum import IntEnum
@@ -9,7 +9,7 @@
 import msgspec
 
 __all__ = [
-    "UNASKED",
+    "UNSOLICITED",
     "Ack",
     "HandedOver",
     "LeaveWish",
@@ -27,16 +27,16 @@
 ]
 
 
-UNASKED = 2**64 - 1
-"""Marks a page that answers no request."""
+UNSOLICITED = 2**64 - 1
+"""Value of ``SyncPage.answered`` for a page that answers no request."""
 _Counter = Annotated[int, msgspec.Meta(ge=0, lt=2**62)]
-"""Number that may be increased and still fits the wire."""
+"""Counter with room for increments within the 64-bit encoding."""
 _Incarnation = Annotated[int, msgspec.Meta(ge=0)]
 _Text = Annotated[str, msgspec.Meta(max_length=255)]
 
 
 class Phase(IntEnum):
-    """What an instance says about itself; only grows within an incarnation."""
+    """Phase announced by an instance; never decreases within an incarnation."""
 
     JOINING = 0
     READY = 1
@@ -45,7 +45,7 @@
 
 
 class Liveness(IntEnum):
-    """What others say about an instance; the higher one wins, until refuted."""
+    """Liveness determined by other instances; the highest wins until refuted."""
 
     ALIVE = 0
     SUSPECT = 1
@@ -53,25 +53,25 @@
 
 
 class MemberUpdate(msgspec.Struct, frozen=True, array_like=True):
-    """News about one instance.
+    """Update about one instance.
 
     Attributes
     ----------
     name, zone, peer_address : str
-        As in its settings.
+        Name, zone and address from its settings.
     incarnation : int
         Random number drawn at its start.
     generation : int
-        Orders the incarnations of one name; the higher one supersedes.
+        Orders the incarnations of one name; a higher one supersedes a lower one.
     phase : Phase
-        What it said about itself.
+        Phase announced by the instance.
     refutation : int
-        Counts what the instance said about itself; a higher one overrides
-        ``liveness`` of a lower one.
+        Counter incremented by the instance with each announcement; a higher value
+        overrides the ``liveness`` of a lower one.
     liveness : Liveness
-        What others found.
+        Liveness determined by other instances.
     accuser : str
-        Who suspects it; empty if nobody does.
+        Name of the instance that suspects it; empty if none.
     """
 
     name: _Text
@@ -86,18 +86,18 @@
 
 
 class ShortUpdate(msgspec.Struct, frozen=True, array_like=True):
-    """News about an incarnation that the receiver knows.
+    """Update about an incarnation that the receiver knows.
 
     Attributes
     ----------
     incarnation : int
         The incarnation.
     phase : Phase
-        What it said about itself.
+        Phase announced by the instance.
     refutation : int
-        Highest one that the sender knows of it.
+        Highest refutation known to the sender.
     liveness : Liveness
-        What others found.
+        Liveness determined by other instances.
     """
 
     incarnation: _Incarnation
@@ -107,12 +107,12 @@
 
 
 class HandedOver(msgspec.Struct, frozen=True, array_like=True):
-    """An incarnation handed the flows of a service to a successor.
+    """Handover of the flows of a service from an incarnation to a successor.
 
     Attributes
     ----------
     incarnation : int
-        Incarnation of the giver.
+        Incarnation that handed over the flows.
     service : str
         Name of the service.
     to_name : str
@@ -120,9 +120,10 @@
     to_incarnation : int
         Incarnation of the successor.
     order : int
-        Larger than the order of every earlier hand-over to the giver.
+        Larger than the order of every handover of the service that ``incarnation``
+        knew of.
     remaining_s : int
-        How long the entry stays of use, in seconds.
+        Remaining lifetime of the entry, in seconds.
     """
 
     incarnation: _Incarnation
@@ -134,20 +135,21 @@
 
 
 class Ping(msgspec.Struct, frozen=True, array_like=True, tag=64):
-    """Ask for a sign of life.
+    """Probe of a peer.
 
     Attributes
     ----------
     sequence : int
-        Number that comes back in the answer.
+        Number that is repeated in the answer.
     known_incarnation, known_refutation : int
-        What the sender knows of the receiver, which answers with news only.
+        What the sender knows of the receiver; the answer contains the receiver's
+        status only if it differs.
     updates : list of MemberUpdate
-        Piggy-backed news.
+        Piggybacked updates.
     handed_over : list of HandedOver
-        Piggy-backed hand-overs.
+        Piggybacked handovers.
     short_updates : list of ShortUpdate
-        Piggy-backed news that are too many for ``updates``.
+        Piggybacked short updates, used if too many are queued for ``updates``.
     """
 
     sequence: _Counter
@@ -168,14 +170,14 @@
 
 
 class PingRequest(msgspec.Struct, frozen=True, array_like=True, tag=66):
-    """Ask a peer to probe another instance."""
+    """Request for an indirect probe of another instance."""
 
     sequence: _Counter
     name: _Text
 
 
 class ProbeReport(msgspec.Struct, frozen=True, array_like=True, tag=67):
-    """Answer to ``PingRequest``, also when the instance was not reached."""
+    """Result of a ``PingRequest``, sent also if the instance was not reached."""
 
     sequence: _Counter
     name: _Text
@@ -184,7 +186,7 @@
 
 
 class SyncRequest(msgspec.Struct, frozen=True, array_like=True, tag=68):
-    """Ask for one page of all that a peer knows; ``cursor`` starts at 0."""
+    """Request for one page of a peer's full view; ``cursor`` starts at 0."""
 
     cursor: _Counter
     me: MemberUpdate
@@ -196,16 +198,16 @@
     Attributes
     ----------
     next_cursor : int
-        Where the next page starts; 0 after the last one.
+        Bucket at which the next page starts; 0 after the last page.
     wanted : list of int
-        Buckets of which the sender wants the receiver's entries.
+        Buckets whose entries the sender requests from the receiver.
     members : list of MemberUpdate
-        Entries of the membership.
+        Membership entries.
     handed_over : list of HandedOver
-        Entries of the hand-overs.
+        Handover entries.
     answered : int
-        Incarnation whose ``SyncRequest`` it answers, or ``UNASKED``; 0 from a build
-        that does not tell.
+        Incarnation whose ``SyncRequest`` it answers, or ``UNSOLICITED``; 0 from
+        builds without this field.
     """
 
     next_cursor: _Counter
@@ -216,14 +218,14 @@
 
 
 class SyncDigest(msgspec.Struct, frozen=True, array_like=True, tag=70):
-    """Compare two views: one hash for each bucket of entries."""
+    """Digest for comparing two views: one hash per bucket of entries."""
 
     members: list[int]
     handed_over: list[int]
 
 
 class LeaveWish(msgspec.Struct, frozen=True, array_like=True, tag=71):
-    """Tell an incarnation that the platform's list names it as leaving."""
+    """Notifies an incarnation that the platform lists it as leaving."""
 
     incarnation: _Incarnation
 
--- a/endivepick/membership/settings.py
+++ b/endivepick/membership/settings.py
@@ -1,4 +1,4 @@
-"""Settings of the failure detection."""
+"""Settings of the membership protocol."""
 
 from dataclasses import dataclass
 
@@ -7,77 +7,81 @@
 
 @dataclass(frozen=True)
 class MembershipSettings:
-    """Periods, time-outs and bounds of the membership.
+    """Periods, timeouts and limits of the membership protocol.
 
     Attributes
     ----------
     probe_period_s : float
-        Time between two probes that this instance starts, whatever the number of
-        peers, in seconds.
+        Time between two probes sent by this instance, in seconds; independent of
+        the number of peers.
     probe_timeout_s : float
-        Time after which peers are asked to probe as well, in seconds.
+        Time after which indirect probes are requested, in seconds.
     probe_deadline_s : float
         Time after which a probe has failed, in seconds.
     first_contact_s : float
         Time after which a probe of an incarnation that has not answered before has
-        failed, in seconds: the connections have to be set up as well.
+        failed, in seconds; it includes the time to establish connections.
     indirect_probes : int
-        Peers that are asked to probe as well.
+        Number of peers that are asked for an indirect probe.
     watchers : int
-        Peers that probe an instance, and that it probes on average; half of them
-        in its own zone.
+        Number of peers that probe an instance, and that it probes on average; half
+        of them are in its own zone.
     all_probed_up_to : int
-        In a fleet of at most as many instances everybody probes everybody.
+        Largest fleet in which every instance probes all others.
     suspect_min_s, suspect_max_s : float
-        Time from suspicion to death, with and without confirmations, in seconds.
+        Suspicion timeout with all and without any confirmations, in seconds.
     suspect_confirmations : int
-        Independent suspicions after which ``suspect_min_s`` holds.
+        Number of independent confirmations after which ``suspect_min_s`` applies.
     mass_count : int
-        Fewer lost peers than this are never a mass loss.
+        Minimum number of lost peers in a mass loss.
     mass_share : float
-        A larger share of the peers, or of a zone's, lost at once is a mass loss.
+        Share of all peers, or of the peers of a zone, above which a simultaneous
+        loss is a mass loss.
     mass_dead_after_s : float
-        Time from suspicion to death in a mass loss, in seconds.
+        Suspicion timeout in a mass loss, in seconds.
     mass_window_s : float
-        How long a dead peer counts as lost at the same time, in seconds.
+        Time for which a dead peer counts towards a mass loss, in seconds.
     fresh_evidence_s : float
-        A death by hearsay is only a suspicion this long after an own probe was
-        answered, in seconds.
+        Time after an answered probe during which a death reported by others only
+        counts as a suspicion, in seconds.
     pause_s : float
-        A longer gap between two events means that this instance was paused.
+        Longest gap between two events, in seconds; after a longer one this instance
+        is considered to have been paused.
     health_max : int
-        Probe time-outs grow up to ``1 + health_max`` times on own trouble.
+        Highest local health score; probe timeouts are extended by a factor of up to
+        ``1 + health_max``.
     dead_probe_period_s : float
-        Time between two probes of dead peers, in seconds; in a fleet above
-        ``all_probed_up_to`` each dead peer gets as many a period from all together.
+        Time between two probes of dead peers, in seconds.  In a fleet larger than
+        ``all_probed_up_to``, all instances together send at most that many probes
+        per period to each dead peer.
     dead_kept_s : float
-        Time for which dead peers are remembered, in seconds.
+        Time for which dead peers are stored, in seconds.
     dead_kept_count : int
-        Dead incarnations that are remembered at most.
+        Maximum number of stored superseded incarnations.
     departed_kept_s : float
-        Time for which hand-overs are remembered: the token lifetime, in seconds.
+        Time for which handovers are stored, in seconds; equals the token lifetime.
     departed_kept_count : int
-        Hand-overs that are remembered at most.
+        Maximum number of stored handovers.
     piggyback_count : int
-        Updates of peers, and of hand-overs, that one message carries at most.
+        Maximum number of peer updates, and of handovers, per message.
     short_count : int
-        Known peers that one message names in short, when there are news of more
-        than ``piggyback_count`` of them.
+        Maximum number of short updates per message; they are used when updates of
+        more than ``piggyback_count`` known peers are queued.
     spread_factor : int
-        Each update is sent this many times the binary logarithm of the number of
-        peers.
+        Each update is sent ``spread_factor * log2(peers)`` times, rounded up.
     join_retry_s : float
-        Time until the next peer is asked for its view, in seconds.
+        Time between two join requests, in seconds.
     join_timeout_s : float
-        Time after which an instance goes on without an answer, in seconds.
+        Time after which an instance continues without a peer's view, in seconds.
     sync_period_s : float
-        Time between two comparisons with a random peer, in seconds.
+        Time between two digest exchanges with a random peer, in seconds.
     sync_page_entries : int
-        Entries at which a page ends; it exceeds them by one bucket at most.
+        Number of entries after which a page ends; the last bucket may exceed it.
     unknown_dead_after_s : float
-        Time after which an incarnation that nobody knows counts as dead, in seconds.
+        Time after which an unknown incarnation counts as dead, in seconds.
     seed_addresses : tuple of str
-        ``host:port`` of peers to ask while the platform's list cannot be had.
+        ``host:port`` of peers that are contacted while the platform's list is
+        unavailable.
     """
 
     probe_period_s: float = 0.25
--- a/endivepick/membership/tests/_fleet.py
+++ b/endivepick/membership/tests/_fleet.py
@@ -1,4 +1,4 @@
-"""Fleets for the tests of the membership, and news drawn at random."""
+"""Fleets and hypothesis strategies for the membership tests."""
 
 from hypothesis import strategies as st
 
@@ -7,7 +7,7 @@
     PeerChanged,
     PeerState,
 )
-from endivepick.membership._loop import Loop
+from endivepick.membership._loop import SimulatedFleet
 from endivepick.membership.peer_messages import (
     Ack,
     HandedOver,
@@ -28,36 +28,36 @@
 ZONES = ("fukuoka", "kumamoto", "kagoshima")
 
 
-def started(count=9, seed=1, only_own=SETTINGS, **network):
-    """Start a fleet; ``only_own`` are the settings of its first instance."""
-    loop = Loop(seed, **network)
+def start_fleet(count=9, seed=1, first_settings=SETTINGS, **network):
+    """Start a fleet; ``first_settings`` are the settings of its first instance."""
+    fleet = SimulatedFleet(seed, **network)
     for number in range(count):
-        own = only_own if number == 0 else SETTINGS
-        loop.add(f"entry-{number}", ZONES[number % 3], own)
-    loop.list_all()
-    loop.run_until(lambda: everybody_sees(loop, count), 30)
-    return loop
+        own = first_settings if number == 0 else SETTINGS
+        fleet.add(f"entry-{number}", ZONES[number % 3], own)
+    fleet.deliver_list()
+    fleet.run_until(lambda: all_see_live_count(fleet, count), 30)
+    return fleet
 
 
-def everybody_sees(loop, count):
-    return all(len(node.live_names()) == count for node in loop.nodes.values())
+def all_see_live_count(fleet, count):
+    return all(len(node.live_names()) == count for node in fleet.nodes.values())
 
 
-def deaths(loop):
+def find_deaths(fleet):
     return [
         (at_s, observer, action.new.name)
-        for at_s, observer, action in loop.actions
+        for at_s, observer, action in fleet.actions
         if isinstance(action, PeerChanged)
         and action.new is not None
         and action.new.state is PeerState.DEAD
     ]
 
 
-def count_of(loop, kind):
-    return sum(isinstance(action, kind) for _, _, action in loop.actions)
+def count_actions(fleet, kind):
+    return sum(isinstance(action, kind) for _, _, action in fleet.actions)
 
 
-def random_update(name, incarnation=5, generation=1, phase=1, refutation=0, dead=0):
+def make_update(name, incarnation=5, generation=1, phase=1, refutation=0, dead=0):
     return MemberUpdate(
         name,
         "thamel",
@@ -70,9 +70,9 @@
     )
 
 
-def updates():
+def update_strategy():
     return st.builds(
-        random_update,
+        make_update,
         st.sampled_from(["b", "c", "entry-0", "entry-1"]),
         st.integers(0, 3),
         st.just(1),
@@ -82,12 +82,12 @@
     )
 
 
-OLDER = [(name, number) for name in ("b", "c") for number in (1, 2, 3)]
+KNOWN_INCARNATIONS = [(name, number) for name in ("b", "c") for number in (1, 2, 3)]
 
 
-def messages():
+def message_strategy():
     number = st.integers(0, 2**40)
-    news = st.lists(updates(), max_size=3)
+    update_lists = st.lists(update_strategy(), max_size=3)
     hand_over = st.builds(
         HandedOver, number, st.just("notes"), st.just("b"), number, number, number
     )
@@ -97,12 +97,12 @@
     short = st.builds(ShortUpdate, st.integers(0, 9), kinds[0], number, kinds[1])
     shorts = st.lists(short, max_size=3)
     message = st.one_of(
-        st.builds(Ping, number, number, number, news, hand_overs, shorts),
-        st.builds(Ack, number, news, hand_overs, shorts),
+        st.builds(Ping, number, number, number, update_lists, hand_overs, shorts),
+        st.builds(Ack, number, update_lists, hand_overs, shorts),
         st.builds(PingRequest, number, st.sampled_from(["b", "entry-1"])),
-        st.builds(ProbeReport, number, st.just("entry-1"), st.booleans(), news),
-        st.builds(SyncRequest, number, updates()),
-        st.builds(SyncPage, number, wanted, news, hand_overs),
+        st.builds(ProbeReport, number, st.just("entry-1"), st.booleans(), update_lists),
+        st.builds(SyncRequest, number, update_strategy()),
+        st.builds(SyncPage, number, wanted, update_lists, hand_overs),
         st.builds(SyncDigest, wanted, wanted),
         st.builds(LeaveWish, number),
     )
--- a/endivepick/membership/tests/test_detection.py
+++ b/endivepick/membership/tests/test_detection.py
@@ -14,7 +14,7 @@
     Send,
     core,
 )
-from endivepick.membership._loop import Loop
+from endivepick.membership._loop import SimulatedFleet
 from endivepick.membership.peer_messages import (
     Ack,
     Ping,
@@ -22,11 +22,11 @@
 )
 from endivepick.membership.tests._fleet import (
     SETTINGS,
-    count_of,
-    deaths,
-    everybody_sees,
-    random_update,
-    started,
+    all_see_live_count,
+    count_actions,
+    find_deaths,
+    make_update,
+    start_fleet,
 )
 
 
@@ -43,18 +43,18 @@
         self.assertEqual(doctest.testmod(core).failed, 0)
 
     def test_killed_instance_is_found_dead_by_all(self):
-        loop = started(loss=0.05)
-        dead = loop.me["entry-4"].incarnation
-        loop.kill("entry-4")
-        took_s = loop.run_until(
+        fleet = start_fleet(loss=0.05)
+        dead = fleet.identities["entry-4"].incarnation
+        fleet.kill("entry-4")
+        took_s = fleet.run_until(
             lambda: all(
                 node.is_incarnation_dead("entry-4", dead)
-                for node in loop.nodes.values()
+                for node in fleet.nodes.values()
             ),
             30,
         )
         self.assertLess(took_s, SETTINGS.suspect_max_s)
-        self.assertEqual({name for _, _, name in deaths(loop)}, {"entry-4"})
+        self.assertEqual({name for _, _, name in find_deaths(fleet)}, {"entry-4"})
 
     @settings(derandomize=True, max_examples=8, deadline=None)
     @given(
@@ -63,77 +63,85 @@
         st.sampled_from([0.002, 0.04]),
     )
     def test_nobody_is_ejected_by_loss_and_delay(self, seed, loss, max_delay_s):
-        loop = started(seed=seed, loss=loss, max_delay_s=max_delay_s)
-        loop.run(60)
-        self.assertEqual(deaths(loop), [])
+        fleet = start_fleet(seed=seed, loss=loss, max_delay_s=max_delay_s)
+        fleet.run(60)
+        self.assertEqual(find_deaths(fleet), [])
 
     def test_messages_do_not_grow_with_the_fleet(self):
         rates = []
         for count in (9, 36):
-            loop = started(count)
-            loop.run(30)
-            loop.actions.clear()
-            loop.run(20)
-            rates.append(len(loop.actions) / 20 / count)
+            fleet = start_fleet(count)
+            fleet.run(30)
+            fleet.actions.clear()
+            fleet.run(20)
+            rates.append(len(fleet.actions) / 20 / count)
         self.assertLess(max(rates), 10.0)
 
-    def test_direct_failure_hurries_the_probe(self):
-        loop = started()
-        loop.run(5)
-        loop.kill("entry-4")
-        node = loop.nodes["entry-0"]
-        loop.carry_out("entry-0", node.direct_failure(loop.now_s, "entry-4"))
-        loop.run(0.4)
+    def test_send_failure_triggers_a_probe(self):
+        fleet = start_fleet()
+        fleet.run(5)
+        fleet.kill("entry-4")
+        node = fleet.nodes["entry-0"]
+        fleet.apply_actions("entry-0", node.direct_failure(fleet.now_s, "entry-4"))
+        fleet.run(0.4)
         self.assertIs(node.view()["entry-4"].state, PeerState.SUSPECT)
 
     def test_probe_is_sent_again_when_its_link_was_not_up(self):
-        loop = started()
-        loop.run(5)
+        fleet = start_fleet()
+        fleet.run(5)
         lost = set()
 
         def loses_first(sender, receiver):
             first = sender == "entry-0" and receiver not in lost
             if first:
                 lost.add(receiver)
-                node = loop.nodes[sender]
-                loop.carry_out(sender, node.direct_failure(loop.now_s, receiver))
+                node = fleet.nodes[sender]
+                fleet.apply_actions(sender, node.direct_failure(fleet.now_s, receiver))
             return first
 
-        before = count_of(loop, PeerChanged)
-        loop.is_cut = loses_first
-        loop.run(10)
+        before = count_actions(fleet, PeerChanged)
+        fleet.is_cut = loses_first
+        fleet.run(10)
         self.assertEqual(len(lost), 8)
-        self.assertEqual(count_of(loop, PeerChanged), before)
+        self.assertEqual(count_actions(fleet, PeerChanged), before)
 
     def test_answer_is_sent_again_when_its_link_was_not_up(self):
-        """A living instance was suspected: it could not answer the first probe."""
-        loop = started(2)
-        node = loop.nodes["entry-0"]
-        before = count_of(loop, PeerChanged)
+        """The first answer is lost while the connection is being established.
+
+        Without a retransmission the live instance would be suspected.
+        """
+        fleet = start_fleet(2)
+        node = fleet.nodes["entry-0"]
+        before = count_actions(fleet, PeerChanged)
         for _ in range(40):
-            loop.run(1.01)
-            link_is_up_s = loop.now_s + 0.1
+            fleet.run(1.01)
+            link_is_up_s = fleet.now_s + 0.1
 
             def has_no_link(sender, receiver, up_s=link_is_up_s):
-                missing = sender == "entry-0" and loop.now_s < up_s
+                missing = sender == "entry-0" and fleet.now_s < up_s
                 if missing:
-                    loop.carry_out(sender, node.direct_failure(loop.now_s, receiver))
+                    fleet.apply_actions(
+                        sender, node.direct_failure(fleet.now_s, receiver)
+                    )
                 return missing
 
-            loop.is_cut = has_no_link
-        self.assertEqual(count_of(loop, PeerChanged), before)
+            fleet.is_cut = has_no_link
+        self.assertEqual(count_actions(fleet, PeerChanged), before)
 
     def test_peer_that_answers_a_later_probe_is_not_suspected_for_a_lost_one(self):
-        """A living instance was suspected when its first probe had been lost."""
-        loop = started(3)
-        node = loop.nodes["entry-0"]
-        peer = loop.me["entry-1"]
-        loop.run_until(lambda: "entry-1" in pinged(node.tick(loop.now_s, 1)), 5)
-        asked = PingRequest(1, "entry-1")
-        helped_s = loop.now_s + 0.1
+        """A probe lost on a new connection is no evidence after a later answer.
+
+        Otherwise the live instance would be suspected.
+        """
+        fleet = start_fleet(3)
+        node = fleet.nodes["entry-0"]
+        peer = fleet.identities["entry-1"]
+        fleet.run_until(lambda: "entry-1" in pinged(node.tick(fleet.now_s, 1)), 5)
+        request = PingRequest(1, "entry-1")
+        helped_s = fleet.now_s + 0.1
         [ping] = [
             action.message
-            for action in node.on_message(helped_s, "entry-2", 1, asked)
+            for action in node.on_message(helped_s, "entry-2", 1, request)
             if isinstance(action, Send)
         ]
         answer = Ack(ping.sequence, [], [])
@@ -141,12 +149,12 @@
         node.tick(helped_s + 0.2, 1)
         self.assertIs(node.view()["entry-1"].state, PeerState.ALIVE)
 
-    def test_late_answer_is_told_with_what_the_suspicion_rested_on(self):
-        loop = started(2)
-        loop.run(5)
-        node = loop.nodes["entry-0"]
-        peer = loop.me["entry-1"]
-        ticks = (loop.now_s + 0.05 * step for step in range(1, 100))
+    def test_late_answer_is_reported_after_the_failed_probe(self):
+        fleet = start_fleet(2)
+        fleet.run(5)
+        node = fleet.nodes["entry-0"]
+        peer = fleet.identities["entry-1"]
+        ticks = (fleet.now_s + 0.05 * step for step in range(1, 100))
         pings = []
         while not pings:
             sent_s = next(ticks)
@@ -172,140 +180,146 @@
         self.assertAlmostEqual(late.waited_s, 0.4)
 
     def test_first_contact_may_take_longer_than_a_probe(self):
-        """A living instance was suspected while its connections were set up."""
-        loop = Loop(seed=1)
-        loop.add("entry-0", "fukuoka")
-        loop.add("entry-1", "kumamoto")
+        """Establishing connections takes longer than ``probe_deadline_s``.
+
+        With that deadline the live instance would be suspected.
+        """
+        fleet = SimulatedFleet(seed=1)
+        fleet.add("entry-0", "fukuoka")
+        fleet.add("entry-1", "kumamoto")
 
         def has_no_link(sender, receiver):
-            missing = loop.now_s < 0.6
+            missing = fleet.now_s < 0.6
             if missing:
-                node = loop.nodes[sender]
-                loop.carry_out(sender, node.direct_failure(loop.now_s, receiver))
+                node = fleet.nodes[sender]
+                fleet.apply_actions(sender, node.direct_failure(fleet.now_s, receiver))
             return missing
 
-        loop.is_cut = has_no_link
-        loop.list_all()
-        loop.run(5)
+        fleet.is_cut = has_no_link
+        fleet.deliver_list()
+        fleet.run(5)
         suspected = [
             action.new.name
-            for _, _, action in loop.actions
+            for _, _, action in fleet.actions
             if isinstance(action, PeerChanged)
             and action.new is not None
             and action.new.state is PeerState.SUSPECT
         ]
         self.assertEqual(suspected, [])
-        self.assertTrue(everybody_sees(loop, 2))
+        self.assertTrue(all_see_live_count(fleet, 2))
 
     def test_lost_rack_is_dropped_and_the_rest_stay(self):
-        loop = started(12)
+        fleet = start_fleet(12)
         for name in ("entry-0", "entry-3", "entry-6", "entry-9"):
-            loop.kill(name)
-        loop.run_until(lambda: everybody_sees(loop, 8), 20)
+            fleet.kill(name)
+        fleet.run_until(lambda: all_see_live_count(fleet, 8), 20)
         lost = {"entry-0", "entry-3", "entry-6", "entry-9"}
-        self.assertEqual({name for _, _, name in deaths(loop)}, lost)
-
-    def test_list_that_drops_a_suspect_ends_the_wait(self):
-        loop = started(3)
-        loop.run(2)
-        loop.kill("entry-1")
-        loop.kill("entry-2")
-        loop.list_all()
-        took_s = loop.run_until(lambda: everybody_sees(loop, 1), 20)
+        self.assertEqual({name for _, _, name in find_deaths(fleet)}, lost)
+
+    def test_suspect_missing_from_the_list_is_declared_dead_early(self):
+        fleet = start_fleet(3)
+        fleet.run(2)
+        fleet.kill("entry-1")
+        fleet.kill("entry-2")
+        fleet.deliver_list()
+        took_s = fleet.run_until(lambda: all_see_live_count(fleet, 1), 20)
         self.assertLess(took_s, SETTINGS.mass_dead_after_s - 2)
 
 
 class MassLossTest(unittest.TestCase):
-    def test_cut_zone_is_held_then_dropped_on_both_sides_and_comes_back(self):
-        loop = started()
-        loop.run(5)
-        cut = {name for name, me in loop.me.items() if me.zone == "kumamoto"}
-        loop.is_cut = lambda sender, receiver: (sender in cut) != (receiver in cut)
-        began_s = loop.now_s
-        loop.run_until(
+    def test_partitioned_zone_is_declared_dead_late_and_rejoins(self):
+        fleet = start_fleet()
+        fleet.run(5)
+        cut = {name for name, me in fleet.identities.items() if me.zone == "kumamoto"}
+        fleet.is_cut = lambda sender, receiver: (sender in cut) != (receiver in cut)
+        began_s = fleet.now_s
+        fleet.run_until(
             lambda: all(
-                set(node.live_names()) == (cut if name in cut else set(loop.me) - cut)
-                for name, node in loop.nodes.items()
+                set(node.live_names())
+                == (cut if name in cut else set(fleet.identities) - cut)
+                for name, node in fleet.nodes.items()
             ),
             30,
         )
-        early = [at_s for at_s, _, _ in deaths(loop) if at_s < began_s + 6.0]
-        self.assertLessEqual(len({name for _, _, name in deaths(loop)}), 9)
+        early = [at_s for at_s, _, _ in find_deaths(fleet) if at_s < began_s + 6.0]
+        self.assertLessEqual(len({name for _, _, name in find_deaths(fleet)}), 9)
         self.assertEqual(early, [])
-        loop.run(30)
-        loop.is_cut = lambda sender, receiver: False
-        loop.run_until(lambda: everybody_sees(loop, 9), 30)
+        fleet.run(30)
+        fleet.is_cut = lambda sender, receiver: False
+        fleet.run_until(lambda: all_see_live_count(fleet, 9), 30)
 
-    def test_paused_instance_wakes_without_declaring_others_dead(self):
+    def test_resumed_instance_declares_no_others_dead(self):
         for pause_s in (2.0, 30.0):
-            loop = started()
-            loop.run(5)
-            loop.paused.add("entry-2")
-            loop.run(pause_s)
-            loop.resume("entry-2")
-            loop.run_until(lambda loop=loop: everybody_sees(loop, 9), 30)
-            loop.run(20)
-            observers = {observer for _, observer, _ in deaths(loop)}
+            fleet = start_fleet()
+            fleet.run(5)
+            fleet.paused.add("entry-2")
+            fleet.run(pause_s)
+            fleet.resume("entry-2")
+            fleet.run_until(lambda fleet=fleet: all_see_live_count(fleet, 9), 30)
+            fleet.run(20)
+            observers = {observer for _, observer, _ in find_deaths(fleet)}
             self.assertNotIn("entry-2", observers)
-            self.assertTrue({name for _, _, name in deaths(loop)} <= {"entry-2"})
-
-    def test_pause_restarts_the_time_of_a_suspect(self):
-        loop = started()
-        loop.run(5)
-        node = loop.nodes["entry-0"]
-        known = loop.me["entry-1"].incarnation
-        accused = random_update("entry-1", known, dead=1)
-        node.on_message(loop.now_s, "entry-2", 1, Ack(0, [accused], []))
+            self.assertTrue({name for _, _, name in find_deaths(fleet)} <= {"entry-2"})
+
+    def test_pause_restarts_suspicion_timers(self):
+        fleet = start_fleet()
+        fleet.run(5)
+        node = fleet.nodes["entry-0"]
+        known = fleet.identities["entry-1"].incarnation
+        accused = make_update("entry-1", known, dead=1)
+        node.on_message(fleet.now_s, "entry-2", 1, Ack(0, [accused], []))
         self.assertIs(node.view()["entry-1"].state, PeerState.SUSPECT)
-        node.tick(loop.now_s + 60, 1)
+        node.tick(fleet.now_s + 60, 1)
         self.assertIs(node.view()["entry-1"].state, PeerState.SUSPECT)
 
-    def test_woken_instance_gives_its_probes_more_time(self):
-        loop = started()
-        loop.run(5)
-        loop.paused.add("entry-0")
-        loop.run(5)
-        loop.is_cut = lambda sender, receiver: "entry-0" in (sender, receiver)
-        loop.resume("entry-0")
-        loop.run(1.0)
-        self.assertEqual(set(loop.states("entry-0").values()), {PeerState.ALIVE})
-        loop.is_cut = lambda sender, receiver: False
-        node = loop.nodes["entry-0"]
-        loop.run_until(lambda: node.own_health_score == 0, 20)
-
-    def test_death_by_hearsay_is_doubted_after_an_own_answer(self):
-        loop = started(3)
-        loop.run(5)
-        node = loop.nodes["entry-0"]
-        accused = random_update("entry-1", loop.me["entry-1"].incarnation, dead=2)
-        node.on_message(loop.now_s, "entry-2", 1, Ack(0, [accused], []))
+    def test_resumed_instance_extends_probe_timeouts(self):
+        fleet = start_fleet()
+        fleet.run(5)
+        fleet.paused.add("entry-0")
+        fleet.run(5)
+        fleet.is_cut = lambda sender, receiver: "entry-0" in (sender, receiver)
+        fleet.resume("entry-0")
+        fleet.run(1.0)
+        self.assertEqual(set(fleet.states("entry-0").values()), {PeerState.ALIVE})
+        fleet.is_cut = lambda sender, receiver: False
+        node = fleet.nodes["entry-0"]
+        fleet.run_until(lambda: node.own_health_score == 0, 20)
+
+    def test_reported_death_is_a_suspicion_after_a_recent_answer(self):
+        fleet = start_fleet(3)
+        fleet.run(5)
+        node = fleet.nodes["entry-0"]
+        accused = make_update(
+            "entry-1", fleet.identities["entry-1"].incarnation, dead=2
+        )
+        node.on_message(fleet.now_s, "entry-2", 1, Ack(0, [accused], []))
         self.assertIs(node.view()["entry-1"].state, PeerState.SUSPECT)
 
-    def test_death_of_most_of_a_zone_by_hearsay_is_doubted(self):
+    def test_reported_deaths_of_most_of_a_zone_are_suspicions(self):
         slow = MembershipSettings(probe_deadline_s=60.0, fresh_evidence_s=0.0)
-        loop = started(only_own=slow)
-        node = loop.nodes["entry-0"]
+        fleet = start_fleet(first_settings=slow)
+        node = fleet.nodes["entry-0"]
         accused = [
-            random_update(name, me.incarnation, dead=2)
-            for name, me in loop.me.items()
+            make_update(name, me.incarnation, dead=2)
+            for name, me in fleet.identities.items()
             if name != "entry-0"
         ]
-        node.on_message(loop.now_s, "entry-2", 1, Ack(0, accused, []))
-        dead = [n for n, s in loop.states("entry-0").items() if s is PeerState.DEAD]
-        in_zone = Counter(loop.me[name].zone for name in dead)
+        node.on_message(fleet.now_s, "entry-2", 1, Ack(0, accused, []))
+        dead = [n for n, s in fleet.states("entry-0").items() if s is PeerState.DEAD]
+        in_zone = Counter(fleet.identities[name].zone for name in dead)
         self.assertLessEqual(max(in_zone.values()), 1)
-        loop.run_until(lambda: everybody_sees(loop, 9), 30)
+        fleet.run_until(lambda: all_see_live_count(fleet, 9), 30)
 
     def test_instance_that_hears_nobody_does_not_eject_the_others(self):
-        loop = started()
-        loop.run(5)
-        loop.is_cut = lambda sender, receiver: receiver == "entry-2"
-        loop.run(40)
-        others = [name for name in loop.nodes if name != "entry-2"]
+        fleet = start_fleet()
+        fleet.run(5)
+        fleet.is_cut = lambda sender, receiver: receiver == "entry-2"
+        fleet.run(40)
+        others = [name for name in fleet.nodes if name != "entry-2"]
         for name in others:
-            live = set(loop.nodes[name].live_names())
+            live = set(fleet.nodes[name].live_names())
             self.assertEqual(live, set(others))
-        by_others = [d for d in deaths(loop) if d[1] != "entry-2"]
+        by_others = [d for d in find_deaths(fleet) if d[1] != "entry-2"]
         self.assertEqual({name for _, _, name in by_others}, {"entry-2"})
 
 
--- a/endivepick/membership/tests/test_joining.py
+++ b/endivepick/membership/tests/test_joining.py
@@ -6,44 +6,44 @@
 )
 from endivepick.membership.tests._fleet import (
     ZONES,
-    count_of,
-    everybody_sees,
-    started,
+    all_see_live_count,
+    count_actions,
+    start_fleet,
 )
 
 
 class SeedsTest(unittest.TestCase):
-    """Restarted instances that get no list from the platform."""
+    """Instances that restart without the list of the platform."""
 
-    def restarted(self, loop, names):
-        addresses = tuple(me.peer_address for me in loop.me.values())
+    def restarted(self, fleet, names):
+        addresses = tuple(me.peer_address for me in fleet.identities.values())
         settings = MembershipSettings(seed_addresses=addresses)
         for name in names:
-            loop.kill(name)
-        return [loop.add(name, ZONES[0], settings, generation=2) for name in names]
+            fleet.kill(name)
+        return [fleet.add(name, ZONES[0], settings, generation=2) for name in names]
 
     def test_whole_zone_finds_the_others(self):
-        loop = started()
-        nodes = self.restarted(loop, ["entry-0", "entry-3", "entry-6"])
-        loop.run_until(lambda: all(node.joined for node in nodes), 30)
-        loop.run_until(lambda: everybody_sees(loop, 9), 30)
+        fleet = start_fleet()
+        nodes = self.restarted(fleet, ["entry-0", "entry-3", "entry-6"])
+        fleet.run_until(lambda: all(node.joined for node in nodes), 30)
+        fleet.run_until(lambda: all_see_live_count(fleet, 9), 30)
 
-    def test_newcomers_that_know_only_each_other_go_on_asking(self):
-        loop = started()
+    def test_joining_instances_that_know_only_each_other_contact_seeds(self):
+        fleet = start_fleet()
         names = ["entry-0", "entry-3", "entry-6"]
-        loop.is_cut = lambda sender, receiver: (sender in names) != (receiver in names)
-        nodes = self.restarted(loop, names)
-        loop.run_until(lambda: all(len(n.live_names()) == 3 for n in nodes), 30)
-        loop.run(60)
-        loop.is_cut = lambda sender, receiver: False
-        loop.run_until(lambda: everybody_sees(loop, 9), 30)
-
-    def test_nobody_is_asked_once_there_was_a_list(self):
-        loop = started()
-        self.restarted(loop, ["entry-0"])
-        loop.list_all()
-        loop.run(5)
-        self.assertEqual(count_of(loop, SendToSeed), 0)
+        fleet.is_cut = lambda sender, receiver: (sender in names) != (receiver in names)
+        nodes = self.restarted(fleet, names)
+        fleet.run_until(lambda: all(len(n.live_names()) == 3 for n in nodes), 30)
+        fleet.run(60)
+        fleet.is_cut = lambda sender, receiver: False
+        fleet.run_until(lambda: all_see_live_count(fleet, 9), 30)
+
+    def test_no_seed_is_contacted_after_a_list(self):
+        fleet = start_fleet()
+        self.restarted(fleet, ["entry-0"])
+        fleet.deliver_list()
+        fleet.run(5)
+        self.assertEqual(count_actions(fleet, SendToSeed), 0)
 
 
 if __name__ == "__main__":
--- a/endivepick/membership/tests/test_rings.py
+++ b/endivepick/membership/tests/test_rings.py
@@ -2,7 +2,7 @@
 from collections import Counter
 
 from endivepick.membership import MembershipSettings, PeerState, Send
-from endivepick.membership._rings import WatchRings
+from endivepick.membership._rings import ProbeRings
 from endivepick.membership.measure_fleet import settled_fleet
 from endivepick.membership.peer_messages import Ping
 
@@ -17,24 +17,24 @@
 
 
 def watched(fleet, lost=()):
-    """Return by name whom it watches."""
+    """Return the names that each instance probes."""
     present = {name: zone for name, zone in fleet.items() if name not in lost}
-    found = {}
+    names_by_instance = {}
     for own, own_zone in present.items():
-        rings = WatchRings(SETTINGS, own, own_zone)
+        rings = ProbeRings(SETTINGS, own, own_zone)
         for name, zone in present.items():
             rings.add(name, zone)
-        found[own] = set(rings.targets())
-    return found
+        names_by_instance[own] = set(rings.select_targets())
+    return names_by_instance
 
 
 def watchers(fleet, lost=()):
-    """Return by name who watches it."""
-    found = {name: set() for name in fleet if name not in lost}
+    """Return the names of the instances that probe each instance."""
+    names_by_instance = {name: set() for name in fleet if name not in lost}
     for own, names in watched(fleet, lost).items():
         for name in names:
-            found[name].add(own)
-    return found
+            names_by_instance[name].add(own)
+    return names_by_instance
 
 
 class RingsTest(unittest.TestCase):
@@ -54,60 +54,63 @@
                 zones = Counter(fleet[watcher] == fleet[name] for watcher in names)
                 self.assertGreaterEqual(min(zones[True], zones[False]), 2, name)
 
-    def test_a_lost_zone_leaves_watchers_to_all_and_is_watched_itself(self):
+    def test_each_is_probed_from_outside_a_lost_zone(self):
         fleet = FLEETS["two zones"]
         lost = {name for name, zone in fleet.items() if zone == "z0"}
         for name, names in watchers(fleet).items():
             self.assertGreaterEqual(len(names - lost), 2, name)
 
-    def test_one_that_goes_changes_few_pairs(self):
+    def test_removal_changes_few_pairs(self):
         fleet = FLEETS["equal zones"]
         before, after = watched(fleet), watched(fleet, {"entry-7"})
         changed = [name for name in after if before[name] != after[name]]
         self.assertLessEqual(len(changed), 2 * SETTINGS.watchers)
 
-    def test_the_order_of_news_does_not_matter(self):
+    def test_the_order_of_changes_does_not_matter(self):
         fleet = FLEETS["equal zones"]
-        rings = WatchRings(SETTINGS, "entry-0", "z0")
+        rings = ProbeRings(SETTINGS, "entry-0", "z0")
         for name in reversed(fleet):
             rings.add(name, "elsewhere")
-            rings.targets()
+            rings.select_targets()
         for name in list(fleet)[1::2]:
             rings.remove(name)
-        rings.targets()
+        rings.select_targets()
         for name, zone in fleet.items():
             rings.add(name, zone)
-        self.assertEqual(set(rings.targets()), watched(fleet)["entry-0"])
+        self.assertEqual(set(rings.select_targets()), watched(fleet)["entry-0"])
 
 
 class LargeFleetTest(unittest.TestCase):
     SIZE = 54
 
     def setUp(self):
-        self.loop = settled_fleet(self.SIZE, zones=3)
+        self.simulated_fleet = settled_fleet(self.SIZE, zones=3)
 
     def deaths(self):
-        news = [getattr(action, "new", None) for _, _, action in self.loop.actions]
-        return {n.name for n in news if n and n.state is PeerState.DEAD}
+        views = [
+            getattr(action, "new", None)
+            for _, _, action in self.simulated_fleet.actions
+        ]
+        return {n.name for n in views if n and n.state is PeerState.DEAD}
 
     def wait_until_live(self, count):
-        nodes = self.loop.nodes.values()
-        self.loop.run_until(
+        nodes = self.simulated_fleet.nodes.values()
+        self.simulated_fleet.run_until(
             lambda: all(len(node.live_names()) == count for node in nodes), 90
         )
 
     def lose(self, names):
         for name in names:
-            self.loop.kill(name)
+            self.simulated_fleet.kill(name)
         self.wait_until_live(self.SIZE - len(names))
-        self.loop.run(20)
+        self.simulated_fleet.run(20)
         self.assertEqual(self.deaths(), set(names))
 
     def test_links_do_not_grow_with_the_fleet(self):
-        self.loop.run(30)
+        self.simulated_fleet.run(30)
         sent = [
             (name, action.to_name)
-            for _, name, action in self.loop.actions
+            for _, name, action in self.simulated_fleet.actions
             if isinstance(action, Send)
         ]
         links = Counter(name for name, _ in set(sent))
@@ -121,48 +124,58 @@
     def test_lost_zone_is_dropped_and_the_rest_stay(self):
         self.lose([f"entry-{number}" for number in range(0, self.SIZE, 3)])
 
-    def test_watchers_of_one_that_are_lost_with_it_hide_it_from_nobody(self):
+    def test_instance_lost_together_with_its_watchers_is_detected(self):
         victim = "entry-5"
-        nodes = self.loop.nodes.items()
-        lost = [n for n, node in nodes if victim in node._table.rings.targets()]
+        nodes = self.simulated_fleet.nodes.items()
+        lost = [n for n, node in nodes if victim in node._table.rings.select_targets()]
         self.assertGreaterEqual(len(lost), 3)
         self.lose([*lost, victim])
 
     def test_cut_zone_comes_back(self):
-        away = {name for name, me in self.loop.me.items() if me.zone == "z1"}
-        self.loop.is_cut = lambda one, other: (one in away) != (other in away)
-        self.loop.run(40)
-        for name, node in self.loop.nodes.items():
-            mine = away if name in away else set(self.loop.me) - away
-            self.assertEqual(set(node.live_names()), mine)
-        self.loop.is_cut = lambda one, other: False
+        cut_off = {
+            name
+            for name, me in self.simulated_fleet.identities.items()
+            if me.zone == "z1"
+        }
+        self.simulated_fleet.is_cut = lambda one, other: (
+            (one in cut_off) != (other in cut_off)
+        )
+        self.simulated_fleet.run(40)
+        for name, node in self.simulated_fleet.nodes.items():
+            expected = (
+                cut_off
+                if name in cut_off
+                else set(self.simulated_fleet.identities) - cut_off
+            )
+            self.assertEqual(set(node.live_names()), expected)
+        self.simulated_fleet.is_cut = lambda one, other: False
         self.wait_until_live(self.SIZE)
 
-    def test_paused_instance_wakes_without_declaring_others_dead(self):
-        self.loop.paused.add("entry-2")
-        self.loop.run(20)
-        self.loop.resume("entry-2")
+    def test_resumed_instance_declares_no_others_dead(self):
+        self.simulated_fleet.paused.add("entry-2")
+        self.simulated_fleet.run(20)
+        self.simulated_fleet.resume("entry-2")
         self.wait_until_live(self.SIZE)
-        self.loop.run(20)
+        self.simulated_fleet.run(20)
         self.assertLessEqual(self.deaths(), {"entry-2"})
 
-    def test_loss_ejects_nobody(self):
-        self.loop.loss = 0.1
-        self.loop.run(90)
+    def test_message_loss_causes_no_death(self):
+        self.simulated_fleet.loss = 0.1
+        self.simulated_fleet.run(90)
         self.assertEqual(self.deaths(), set())
 
     def test_a_dead_peer_is_not_probed_by_all(self):
         self.lose(["entry-2"])
-        self.loop.actions.clear()
-        self.loop.run(20)
+        self.simulated_fleet.actions.clear()
+        self.simulated_fleet.run(20)
         probes = [
             action
-            for _, _, action in self.loop.actions
+            for _, _, action in self.simulated_fleet.actions
             if isinstance(action, Send)
             and action.to_name == "entry-2"
             and isinstance(action.message, Ping)
         ]
-        # Each of the 53 others would ask 0.8 times a second.
+        # Without the limit each of the 53 others would probe 0.8 times per second.
         self.assertLess(len(probes) / 20, 32)
         self.assertGreater(len(probes), 0)
 
--- a/endivepick/membership/view.py
+++ b/endivepick/membership/view.py
@@ -1,4 +1,4 @@
-"""What an instance believes about its peers."""
+"""Views of instances that the membership provides."""
 
 from dataclasses import dataclass
 from enum import Enum
@@ -7,13 +7,13 @@
 
 
 class PeerState(Enum):
-    """State of a peer, as far as this instance knows."""
+    """State of a peer as seen by this instance."""
 
     ALIVE = "alive"
     SUSPECT = "suspect"
-    """No answer lately; keeps its roles until it is declared dead."""
+    """A probe failed; the peer keeps its roles until it is declared dead."""
     LEAVING = "leaving"
-    """Planned stop: takes no new role, still serves what it holds."""
+    """Planned stop: the peer gets no new roles but serves its existing flows."""
     DEAD = "dead"
 
 
@@ -22,7 +22,7 @@
 
 @dataclass(frozen=True)
 class InstanceView:
-    """One instance, seen from another.
+    """View of one instance.
 
     Attributes
     ----------
@@ -31,13 +31,13 @@
     zone : str
         Its availability zone.
     incarnation : int
-        Random number drawn at its start; 0 while it has not been heard from.
+        Random number drawn at its start; 0 while it is unknown.
     peer_address : str
         ``host:port`` for peer messages.
     state : PeerState
-        Present belief.
+        Current state.
     ready : bool
-        It has joined and takes roles.
+        Whether it has joined and may be assigned roles.
     """
 
     name: str
@@ -49,7 +49,7 @@
 
     @property
     def joining(self) -> bool:
-        """Whether it was heard and will take roles once it is ready."""
+        """Whether it is known and may be assigned roles once it is ready."""
         return bool(self.incarnation) and not self.ready and self.state in _PRESENT
 
 
@@ -66,7 +66,7 @@
     peer_address : str
         ``host:port`` for peer messages.
     leaving : bool
-        The platform means to stop it.
+        Whether the platform requests its planned stop.
     """
 
     name: str
