--- a/endivepick/membership/measure.py
+++ b/endivepick/membership/measure.py
@@ -15,7 +15,7 @@
 import fire
 import msgspec
 
-from endivepick.core.wire import Envelope, encode_envelope
+from endivepick.core.peer_envelope import Envelope, encode_envelope
 from endivepick.membership._loop import TICK_S, SimulatedFleet
 from endivepick.membership.actions import Action, Send
 from endivepick.membership.core import Membership
--- a/endivepick/membership/measure_fleet.py
+++ b/endivepick/membership/measure_fleet.py
@@ -11,7 +11,7 @@
 import fire
 import msgspec
 
-from endivepick.core.wire import Envelope, encode_envelope
+from endivepick.core.peer_envelope import Envelope, encode_envelope
 from endivepick.membership._loop import SimulatedFleet
 from endivepick.membership.actions import PeerChanged, Send
 from endivepick.membership.peer_messages import Ping, SyncPage
--- a/endivepick/membership/tests/test_healing.py
+++ b/endivepick/membership/tests/test_healing.py
@@ -4,7 +4,7 @@
 from hypothesis import strategies as st
 
 from endivepick.core.chart import load_chart
-from endivepick.core.codec import decode_struct, encode_struct
+from endivepick.core.packet_codec import decode_struct, encode_struct
 from endivepick.membership import (
     ListedInstance,
     Membership,
