--- a/endivepick/core/instance.py
+++ b/endivepick/core/instance.py
@@ -208,7 +208,7 @@
 
     def _has_joining_peer(self) -> bool:
         views = self.membership.view().values()
-        return any(view.joining for view in views if view.name != self.me.name)
+        return any(view.is_joining for view in views if view.name != self.me.name)
 
     def start(self) -> list[Action]:
         """Start the lifecycle; call this once all sockets are bound."""
@@ -236,13 +236,13 @@
             case PeerSendFailed(name=name):
                 self._peer_failed = True
                 return self._members.translate(
-                    self.membership.direct_failure(now_s, name), now_s
+                    self.membership.on_send_failure(now_s, name), now_s
                 )
             case InstancesListed(entries=entries, age_s=age_s):
                 self._writers.set_listed_instances(
                     frozenset(entry.name for entry in entries)
                 )
-                news = self.membership.on_list(now_s, entries, age_s)
+                news = self.membership.on_instance_list(now_s, entries, age_s)
                 return self._members.translate(news, now_s)
             case ObjectsListed(listed=listed):
                 return self.configuration.handle(ListReceived(listed), now_s)
--- a/endivepick/core/membership_peers.py
+++ b/endivepick/core/membership_peers.py
@@ -36,9 +36,9 @@
         """Tell whether an incarnation is known to be dead."""
         return self._membership.is_incarnation_dead(name, incarnation)
 
-    def successor_of(self, incarnation: int, service: str) -> Identity | None:
+    def find_successor(self, incarnation: int, service: str) -> Identity | None:
         """Return the successor of an incarnation for a service's flows, or None."""
-        successor = self._membership.successor_of(incarnation, service)
+        successor = self._membership.find_successor(incarnation, service)
         return Identity(*successor) if successor else None
 
     def incarnation_of(self, name: str) -> int:
--- a/endivepick/core/relay.py
+++ b/endivepick/core/relay.py
@@ -43,7 +43,7 @@
     def is_incarnation_dead(self, name: str, incarnation: int) -> bool:
         """Return whether an incarnation is known to have ended."""
 
-    def successor_of(self, incarnation: int, service: str) -> Identity | None:
+    def find_successor(self, incarnation: int, service: str) -> Identity | None:
         """Return the instance that took over a service's flows, if any."""
 
     def incarnation_of(self, name: str) -> int:
@@ -122,7 +122,7 @@
 
     def resolve_holder(self, holder: Identity, service: str) -> FlowLocation:
         """Return the location of a service's flows, given a former holder."""
-        successor = self._peers.successor_of(holder.incarnation, service)
+        successor = self._peers.find_successor(holder.incarnation, service)
         holder = successor or holder
         if holder == self._me:
             return Holder(holder)
--- a/endivepick/core/tests/test_bad_input.py
+++ b/endivepick/core/tests/test_bad_input.py
@@ -65,7 +65,7 @@
         stored = StoredObject(kind, name, 1, body)
         core.handle(ObjectsListed(ObjectList(kind, 1, (stored,))), NOW_S)
     core.handle(ObjectsListed(ObjectList("instance", 1, ())), NOW_S)
-    core.membership.on_list(NOW_S, [])
+    core.membership.on_instance_list(NOW_S, [])
     core.handle(Tick(), NOW_S)
     return core
 
--- a/endivepick/membership/_sync.py
+++ b/endivepick/membership/_anti_entropy.py
@@ -2,10 +2,10 @@
 
 from random import Random
 
-from endivepick.membership._departed import HandOverLog
+from endivepick.membership._handover_log import HandOverLog
 from endivepick.membership._member import BUCKET_COUNT, Member, compute_bucket
+from endivepick.membership._member_table import MemberTable
 from endivepick.membership._outbox import Outbox
-from endivepick.membership._table import MemberTable
 from endivepick.membership.peer_messages import (
     UNSOLICITED,
     HandedOver,
--- a/endivepick/membership/_questions.py
+++ b/endivepick/membership/_death_queries.py
@@ -1,7 +1,7 @@
 """Queries whether an incarnation is dead."""
 
+from endivepick.membership._member_table import MemberTable
 from endivepick.membership._prober import Prober
-from endivepick.membership._table import MemberTable
 from endivepick.membership.settings import MembershipSettings
 
 _MAX_QUERIES = 4096
--- a/endivepick/membership/_departed.py
+++ b/endivepick/membership/_handover_log.py
@@ -4,8 +4,8 @@
 
 from xxhash import xxh32_intdigest
 
+from endivepick.membership._gossip_queue import GossipQueue
 from endivepick.membership._member import BUCKET_COUNT, compute_bucket
-from endivepick.membership._spread import GossipQueue
 from endivepick.membership.peer_messages import HandedOver
 from endivepick.membership.settings import MembershipSettings
 
@@ -97,7 +97,7 @@
         if len(self._entries) >= self._settings.departed_kept_count:
             self._remove(next(iter(self._entries)))
 
-    def successor_of(self, incarnation: int, service: str) -> tuple[str, int] | None:
+    def find_successor(self, incarnation: int, service: str) -> tuple[str, int] | None:
         """Return the last holder in the chain of handovers, or None.
 
         Two instances may have announced handovers concurrently, so a lower order
--- a/endivepick/membership/_loop.py
+++ b/endivepick/membership/_simulated_fleet.py
@@ -71,7 +71,7 @@
             if name in self.nodes
         ]
         for name, node in self.nodes.items():
-            self.apply_actions(name, node.on_list(self.now_s, entries, age_s))
+            self.apply_actions(name, node.on_instance_list(self.now_s, entries, age_s))
 
     def apply_actions(self, name: str, actions: list[Action]) -> None:
         """Record the actions of a node and send its messages."""
--- a/endivepick/membership/measure_fleet.py
+++ b/endivepick/membership/measure_fleet.py
@@ -12,7 +12,7 @@
 import msgspec
 
 from endivepick.core.peer_envelope import Envelope, encode_envelope
-from endivepick.membership._loop import SimulatedFleet
+from endivepick.membership._simulated_fleet import SimulatedFleet
 from endivepick.membership.actions import PeerChanged, Send
 from endivepick.membership.peer_messages import Ping, SyncPage
 from endivepick.membership.view import PeerState
--- a/endivepick/membership/tests/test_detection.py
+++ b/endivepick/membership/tests/test_detection.py
@@ -14,7 +14,7 @@
     Send,
     core,
 )
-from endivepick.membership._loop import SimulatedFleet
+from endivepick.membership._simulated_fleet import SimulatedFleet
 from endivepick.membership.peer_messages import (
     Ack,
     Ping,
@@ -82,7 +82,7 @@
         fleet.run(5)
         fleet.kill("entry-4")
         node = fleet.nodes["entry-0"]
-        fleet.apply_actions("entry-0", node.direct_failure(fleet.now_s, "entry-4"))
+        fleet.apply_actions("entry-0", node.on_send_failure(fleet.now_s, "entry-4"))
         fleet.run(0.4)
         self.assertIs(node.view()["entry-4"].state, PeerState.SUSPECT)
 
@@ -96,7 +96,7 @@
             if first:
                 lost.add(receiver)
                 node = fleet.nodes[sender]
-                fleet.apply_actions(sender, node.direct_failure(fleet.now_s, receiver))
+                fleet.apply_actions(sender, node.on_send_failure(fleet.now_s, receiver))
             return first
 
         before = count_actions(fleet, PeerChanged)
@@ -121,7 +121,7 @@
                 missing = sender == "entry-0" and fleet.now_s < up_s
                 if missing:
                     fleet.apply_actions(
-                        sender, node.direct_failure(fleet.now_s, receiver)
+                        sender, node.on_send_failure(fleet.now_s, receiver)
                     )
                 return missing
 
@@ -192,7 +192,7 @@
             missing = fleet.now_s < 0.6
             if missing:
                 node = fleet.nodes[sender]
-                fleet.apply_actions(sender, node.direct_failure(fleet.now_s, receiver))
+                fleet.apply_actions(sender, node.on_send_failure(fleet.now_s, receiver))
             return missing
 
         fleet.is_cut = has_no_link
--- a/endivepick/membership/tests/test_healing.py
+++ b/endivepick/membership/tests/test_healing.py
@@ -11,7 +11,7 @@
     PeerState,
     Send,
 )
-from endivepick.membership._loop import SimulatedFleet
+from endivepick.membership._simulated_fleet import SimulatedFleet
 from endivepick.membership.peer_messages import (
     Ack,
     HandedOver,
@@ -62,10 +62,10 @@
         fleet = SimulatedFleet()
         node = fleet.add("a", "thamel")
         unknown = ListedInstance("ghost", "thamel", "127.0.0.1:9")
-        fleet.apply_actions("a", node.on_list(0.0, [unknown]))
+        fleet.apply_actions("a", node.on_instance_list(0.0, [unknown]))
         self.assertIn("ghost", node.view())
         self.assertNotIn("ghost", node.live_names())
-        fleet.apply_actions("a", node.on_list(0.0, []))
+        fleet.apply_actions("a", node.on_instance_list(0.0, []))
         self.assertNotIn("ghost", node.view())
 
     @settings(derandomize=True, max_examples=200)
@@ -107,7 +107,7 @@
         node.on_message(fleet.now_s, "entry-1", 1, SyncPage(0, [], [lost], [moved]))
         self.assertIs(node.view()["late"].state, PeerState.LEAVING)
         other = fleet.nodes["entry-2"]
-        fleet.run_until(lambda: other.successor_of(77, "notes") is not None, 40)
+        fleet.run_until(lambda: other.find_successor(77, "notes") is not None, 40)
 
     def test_entries_of_pages_are_not_gossiped(self):
         fleet = start_fleet(3)
--- a/endivepick/membership/tests/test_planned_stop.py
+++ b/endivepick/membership/tests/test_planned_stop.py
@@ -7,7 +7,7 @@
     PeerState,
     Send,
 )
-from endivepick.membership._loop import SimulatedFleet
+from endivepick.membership._simulated_fleet import SimulatedFleet
 from endivepick.membership.peer_messages import (
     LeaveWish,
 )
@@ -54,7 +54,7 @@
             for name, me in fleet.identities.items()
         ]
         for _ in range(2):
-            list_actions = fleet.nodes["entry-0"].on_list(fleet.now_s, entries)
+            list_actions = fleet.nodes["entry-0"].on_instance_list(fleet.now_s, entries)
             fleet.apply_actions("entry-0", list_actions)
             fleet.run(1)
         wishes = [
@@ -120,10 +120,10 @@
         first, last = fleet.identities["entry-0"], fleet.identities["entry-2"]
         for node in fleet.nodes.values():
             self.assertEqual(
-                node.successor_of(first.incarnation, "notes"),
+                node.find_successor(first.incarnation, "notes"),
                 ("entry-2", last.incarnation),
             )
-            self.assertIsNone(node.successor_of(first.incarnation, "packs"))
+            self.assertIsNone(node.find_successor(first.incarnation, "packs"))
 
     def test_chain_of_concurrent_handovers(self):
         fleet = start_fleet(3)
@@ -135,7 +135,7 @@
             )
         fleet.run(5)
         for node in fleet.nodes.values():
-            successor = node.successor_of(me["entry-0"], "notes")
+            successor = node.find_successor(me["entry-0"], "notes")
             self.assertEqual(successor, ("entry-2", me["entry-2"]))
 
     def test_stop_notice_contains_the_last_handover(self):
@@ -147,7 +147,7 @@
         fleet.kill("entry-0")
         fleet.run(3)
         for node in fleet.nodes.values():
-            successor = node.successor_of(
+            successor = node.find_successor(
                 fleet.identities["entry-0"].incarnation, "notes"
             )
             self.assertEqual(successor, ("entry-1", destination.incarnation))
@@ -159,7 +159,7 @@
         node = fleet.nodes["entry-2"]
         me = fleet.identities["entry-0"]
         for name in ("entry-0", "entry-1"):
-            successor = node.successor_of(fleet.identities[name].incarnation, "notes")
+            successor = node.find_successor(fleet.identities[name].incarnation, "notes")
             self.assertEqual(successor, ("entry-0", me.incarnation))
 
     def test_hand_overs_are_forgotten_after_the_token_lifetime(self):
@@ -171,9 +171,9 @@
         fleet.run(5)
         self.hand_over(fleet, "a", "b")
         source = fleet.identities["a"].incarnation
-        self.assertIsNotNone(fleet.nodes["c"].successor_of(source, "notes"))
+        self.assertIsNotNone(fleet.nodes["c"].find_successor(source, "notes"))
         fleet.run(90)
-        self.assertIsNone(fleet.nodes["c"].successor_of(source, "notes"))
+        self.assertIsNone(fleet.nodes["c"].find_successor(source, "notes"))
 
 
 if __name__ == "__main__":
