--- a/endivepick/client/__init__.py
+++ b/endivepick/client/__init__.py
@@ -1,4 +1,4 @@
-"""Caller library: opens flows and sends requests through the fabric."""
+"""Caller library: open flows and send requests through the fabric."""
 
 from endivepick.client.caller import Caller, Flow, PendingRequest, open_caller
 from endivepick.client.errors import (
--- a/endivepick/client/_core/__init__.py
+++ b/endivepick/client/_core/__init__.py
@@ -1,6 +1,7 @@
-"""Caller's side of the protocol: events in, actions out.
+"""Protocol core of the caller: takes events and returns actions.
 
-Nothing here has a socket, a clock or randomness of its own.
+The core uses no socket, clock or random numbers, so that a simulated clock can
+drive it reproducibly.
 """
 
 from endivepick.client._core.actions import (
--- a/endivepick/client/_core/actions.py
+++ b/endivepick/client/_core/actions.py
@@ -1,4 +1,4 @@
-"""What goes into and comes out of the core."""
+"""Inputs and actions of the protocol core."""
 
 from collections import Counter
 from dataclasses import dataclass, field
@@ -29,15 +29,15 @@
     Attributes
     ----------
     request_id : int
-        Number by which the program knows the request.
+        Identifier of the request in the program.
     flow_id : int
         Flow to send it on.
     head : RequestHead
-        The request itself.
+        Method, path, headers and body.
     idempotent : bool
-        Whether it may run more than once.
+        Whether the request may run more than once.
     deadline_at_s : float
-        When the program stops waiting, on the core's clock.
+        Deadline of the request, on the core's clock.
     """
 
     request_id: int
@@ -56,7 +56,7 @@
 
 @dataclass(frozen=True, slots=True)
 class FlowOpened:
-    """The flow asked for by ``open_id`` is open."""
+    """The flow requested with ``open_id`` is open."""
 
     open_id: int
     flow_id: int
@@ -64,7 +64,7 @@
 
 @dataclass(frozen=True, slots=True)
 class OpenFailed:
-    """The flow asked for by ``open_id`` will not be opened."""
+    """The opening of the flow requested with ``open_id`` failed."""
 
     open_id: int
     error: OpenError
@@ -72,7 +72,7 @@
 
 @dataclass(frozen=True, slots=True)
 class HeadArrived:
-    """Status and headers of a stream are known."""
+    """The status and headers of a stream arrived."""
 
     request_id: int
     head: StreamHead
@@ -80,7 +80,7 @@
 
 @dataclass(frozen=True, slots=True)
 class EventArrived:
-    """The next event of a stream."""
+    """The next event of a stream arrived."""
 
     request_id: int
     event: StreamEvent
@@ -88,7 +88,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Completed:
-    """A request has ended; nothing more comes for it."""
+    """A request ended; no further action refers to it."""
 
     request_id: int
     result: Answer | RequestError
@@ -96,20 +96,20 @@
 
 @dataclass(frozen=True, slots=True)
 class WriteLog:
-    """Write an event into the log.
+    """Write a log event.
 
     Attributes
     ----------
     name : str
         Name of the event.
     message : str
-        Short sentence.
+        Text of the log event.
     flow_id : int
-        Flow that it is about.
+        Flow that the event concerns.
     binding : int or None
-        Binding of its token, if known.
+        Binding of the flow's token, if known.
     seq : int
-        Request number; 0 for an event of the flow.
+        Request number; 0 for an event of the flow itself.
     """
 
     name: str
@@ -132,29 +132,29 @@
 
 @dataclass(slots=True)
 class Outbox:
-    """Collects actions and counts.
+    """Collects the actions and counts of the core.
 
     Attributes
     ----------
     actions : list
-        Actions since the last `drain`.
+        Actions since the last `take_actions`.
     counts : collections.Counter
-        What was dropped or repeated, by name.
+        Counts of dropped and repeated packets, by name.
     """
 
     actions: list[Action] = field(default_factory=list)
     counts: Counter[str] = field(default_factory=Counter)
 
     def send(self, packet: CallerPacket) -> None:
-        """Add a datagram."""
+        """Add an action that sends a packet."""
         self.actions.append(SendDatagram(encode_packet(packet)))
 
     def emit(self, action: Action) -> None:
         """Add an action."""
         self.actions.append(action)
 
-    def drain(self) -> list[Action]:
-        """Take all actions out."""
+    def take_actions(self) -> list[Action]:
+        """Remove and return all actions."""
         actions = self.actions
         self.actions = []
         return actions
--- a/endivepick/client/_core/caller_core.py
+++ b/endivepick/client/_core/caller_core.py
@@ -1,4 +1,4 @@
-"""All flows of one caller."""
+"""Protocol core of a caller: openings, flows and packet dispatch."""
 
 from collections import Counter
 
@@ -10,7 +10,7 @@
     Outbox,
     RequestCall,
 )
-from endivepick.client._core.context import FlowContext, Repeat
+from endivepick.client._core.context import FlowContext, RepeatedPacket
 from endivepick.client._core.flow import FlowState, RequestPacket
 from endivepick.client._core.opening import Opening
 from endivepick.client._core.request import RequestState
@@ -30,15 +30,15 @@
 
 __all__ = ["CallerCore"]
 
-REMEMBERED_OPENINGS = 4096
+MAX_REMEMBERED_OPENINGS = 4096
 NOT_OPENED = 0
 
 
 class CallerCore:
-    """The caller's side of the protocol.
+    """Protocol core of a caller.
 
-    Each call returns the actions that it causes. Times are seconds on any clock
-    that does not go back.
+    Each call returns the actions that it causes. Times are seconds on any
+    monotonic clock.
 
     Parameters
     ----------
@@ -57,22 +57,20 @@
         self._outbox = Outbox()
         self._timers = Timers()
         self._openings: dict[int, Opening] = {}
-        self._opened: dict[int, int] = {}
+        self._flow_ids_by_open_id: dict[int, int] = {}
         self._flows: dict[int, FlowState] = {}
         self._requests: dict[int, tuple[FlowState, RequestState]] = {}
 
     @property
     def counts(self) -> Counter[str]:
-        """What was dropped or repeated, by name."""
+        """Counts of dropped and repeated packets, by name."""
         return self._outbox.counts
 
     @property
     def next_tick_at_s(self) -> float:
-        """When `tick` has something to do; infinite if never."""
+        """Time at which `tick` is due next; infinite if no timer is set."""
         return self._timers.next_at_s
 
-    # Calls of the program
-
     def open(
         self, open_id: int, service: str, deadline_at_s: float, now_s: float
     ) -> list[Action]:
@@ -84,14 +82,14 @@
         return self.tick(now_s)
 
     def abandon(self, open_id: int, now_s: float) -> list[Action]:
-        """Give an opening up; a flow that comes of it is closed."""
+        """Abandon an opening; a flow that it still opens is closed."""
         opening = self._openings.get(open_id)
         if opening is not None:
             opening.end()
             self._timers.cancel(opening)
-            self._forget_opening(open_id, NOT_OPENED)
+            self._finish_opening(open_id, NOT_OPENED)
             return []
-        return self.close(self._opened.get(open_id, NOT_OPENED), now_s)
+        return self.close(self._flow_ids_by_open_id.get(open_id, NOT_OPENED), now_s)
 
     def request(self, call: RequestCall, now_s: float) -> list[Action]:
         """Send a request on an open flow."""
@@ -99,54 +97,52 @@
         if flow is None:
             error = NotRun("the flow is closed")
             self._outbox.emit(Completed(call.request_id, error))
-            return self._drain()
+            return self._take_actions()
         request = flow.request(call, now_s)
         if request is not None:
             self._requests[call.request_id] = (flow, request)
-        return self._drain()
+        return self._take_actions()
 
     def cancel(self, request_id: int, now_s: float) -> list[Action]:
-        """Give a request up; does nothing if it has ended."""
+        """Cancel a request; a request that has ended is ignored."""
         flow, request = self._requests.get(request_id, (None, None))
         if flow is not None and request is not None and not request.ended:
             request.cancel(now_s)
-            flow.settle(now_s)
-        return self._drain()
+            flow.start_requests(now_s)
+        return self._take_actions()
 
     def close(self, flow_id: int, now_s: float) -> list[Action]:
-        """Close a flow; its requests end as cancelled."""
+        """Close a flow and cancel its requests."""
         flow = self._flows.pop(flow_id, None)
         if flow is not None:
             flow.close(now_s)
-        return self._drain()
-
-    # Events
+        return self._take_actions()
 
     def tick(self, now_s: float) -> list[Action]:
-        """Do what is due."""
+        """Run the timers that are due."""
         while (item := self._timers.pop_due(now_s)) is not None:
             item.on_due(now_s)
             self._timers.update(item)
-            self._settle(item, now_s)
-        return self._drain()
+            self._finish_due(item, now_s)
+        return self._take_actions()
 
-    def _settle(self, item: object, now_s: float) -> None:
+    def _finish_due(self, item: object, now_s: float) -> None:
         match item:
             case RequestState() if item.ended:
                 flow, _ = self._requests[item.call.request_id]
-                flow.settle(now_s)
+                flow.start_requests(now_s)
             case Opening() if item.ended:
-                self._forget_opening(item.open_id, NOT_OPENED)
+                self._finish_opening(item.open_id, NOT_OPENED)
 
     def datagram(self, datagram: bytes, now_s: float) -> list[Action]:
-        """Take a datagram; one that makes no sense is counted and dropped."""
+        """Process a datagram; an invalid one is counted and dropped."""
         try:
             packet = decode_instance_packet(datagram)
         except PacketInvalidError as error:
             self.counts[f"invalid_{error.reason}"] += 1
             return []
         self._on_packet(packet, now_s)
-        return self._drain()
+        return self._take_actions()
 
     def _on_packet(self, packet: InstancePacket, now_s: float) -> None:
         match packet:
@@ -166,16 +162,14 @@
         else:
             flow.on_packet(packet, now_s)
 
-    # Opening
-
     def _on_opened(self, packet: Opened, now_s: float) -> None:
         opening = self._openings.get(packet.open_id)
         if opening is None:
-            self._on_opened_again(packet, now_s)
+            self._on_duplicate_opened(packet, now_s)
             return
         opening.end()
         self._timers.cancel(opening)
-        self._forget_opening(packet.open_id, packet.flow_id)
+        self._finish_opening(packet.open_id, packet.flow_id)
         context = FlowContext(
             settings=self._settings,
             outbox=self._outbox,
@@ -189,13 +183,13 @@
         self._flows[packet.flow_id] = flow
         self._outbox.emit(FlowOpened(packet.open_id, packet.flow_id))
 
-    def _on_opened_again(self, packet: Opened, now_s: float) -> None:
+    def _on_duplicate_opened(self, packet: Opened, now_s: float) -> None:
         self.counts["opened_again"] += 1
-        used = self._opened.get(packet.open_id)
-        if used is None or used == packet.flow_id:
+        known_flow_id = self._flow_ids_by_open_id.get(packet.open_id)
+        if known_flow_id is None or known_flow_id == packet.flow_id:
             return
-        closing = Repeat(FlowClosed(packet.token), self._outbox, now_s)
-        self._timers.update(closing)
+        repeated = RepeatedPacket(FlowClosed(packet.token), self._outbox, now_s)
+        self._timers.update(repeated)
 
     def _on_open_refused(self, packet: OpenRefusedPacket) -> None:
         opening = self._openings.get(packet.open_id)
@@ -204,18 +198,18 @@
             return
         opening.end()
         self._timers.cancel(opening)
-        self._forget_opening(packet.open_id, NOT_OPENED)
+        self._finish_opening(packet.open_id, NOT_OPENED)
         error = OpenRefused(packet.reason, max(0, packet.retry_after_ms))
         self._outbox.emit(OpenFailed(packet.open_id, error))
 
-    def _forget_opening(self, open_id: int, flow_id: int) -> None:
+    def _finish_opening(self, open_id: int, flow_id: int) -> None:
         self._openings.pop(open_id, None)
-        self._opened[open_id] = flow_id
-        if len(self._opened) > REMEMBERED_OPENINGS:
-            del self._opened[next(iter(self._opened))]
+        self._flow_ids_by_open_id[open_id] = flow_id
+        if len(self._flow_ids_by_open_id) > MAX_REMEMBERED_OPENINGS:
+            del self._flow_ids_by_open_id[next(iter(self._flow_ids_by_open_id))]
 
-    def _drain(self) -> list[Action]:
-        actions = self._outbox.drain()
+    def _take_actions(self) -> list[Action]:
+        actions = self._outbox.take_actions()
         for action in actions:
             if isinstance(action, Completed):
                 self._requests.pop(action.request_id, None)
--- a/endivepick/client/_core/collector.py
+++ b/endivepick/client/_core/collector.py
@@ -1,4 +1,4 @@
-"""What is made of the parts of an answer: a body, or the events of a stream."""
+"""Collectors that turn the parts of an answer into a body or stream events."""
 
 from dataclasses import dataclass, field
 
@@ -12,11 +12,11 @@
 __all__ = ["AnswerUnusableError", "BodyCollector", "Collector", "StreamCollector"]
 
 LAST_EVENT_ID = "Last-Event-ID"
-FIRST_STATUS_WITHOUT_STREAM = 300
+MIN_NON_STREAM_STATUS = 300
 
 
 class AnswerUnusableError(Exception):
-    """The answer arrived but cannot be handed on."""
+    """The answer arrived but cannot be delivered to the program."""
 
 
 def _decode_head(data: bytes) -> AnswerHead:
@@ -28,12 +28,12 @@
 
 @dataclass(slots=True)
 class BodyCollector:
-    """Collects a whole body.
+    """Collects a complete body.
 
     Parameters
     ----------
     max_answer_bytes : int
-        Longest body, in bytes.
+        Maximum size of the body, in bytes.
     """
 
     max_answer_bytes: int
@@ -42,7 +42,7 @@
     _size_bytes: int = 0
 
     def add(self, index: int, data: bytes) -> None:
-        """Take the next part in order."""
+        """Add the next part in order."""
         if index == 0:
             self._head = _decode_head(data)
             return
@@ -52,29 +52,29 @@
         self._chunks.append(data)
 
     def finish(self) -> Answer:
-        """Return the whole answer."""
+        """Return the complete answer."""
         return Answer(self._head.status, self._head.headers, b"".join(self._chunks))
 
     def restart(self) -> None:
-        """Drop everything: the answer begins anew."""
+        """Discard the collected body, because the answer starts again."""
         self._chunks = []
         self._size_bytes = 0
 
-    def resumed(self, head: RequestHead) -> RequestHead:
-        """Return the request to send after the owner was lost."""
+    def build_resumed_request(self, head: RequestHead) -> RequestHead:
+        """Return the request to send again after the owner was lost."""
         return head
 
 
 @dataclass(slots=True)
 class StreamCollector:
-    """Hands the events of a stream on as they arrive.
+    """Emits the events of a stream as they arrive.
 
     Parameters
     ----------
     request_id : int
-        Request that the events belong to.
+        Request of the stream.
     outbox : Outbox
-        Where they go.
+        Outbox that receives the events.
     """
 
     request_id: int
@@ -83,13 +83,13 @@
     _parser: EventParser = field(default_factory=EventParser)
 
     def add(self, index: int, data: bytes) -> None:
-        """Take the next part in order."""
+        """Add the next part in order."""
         if index == 0:
             self._head = _decode_head(data)
             head = StreamHead(self._head.status, self._head.headers)
             self.outbox.emit(HeadArrived(self.request_id, head))
             return
-        if self._head.status >= FIRST_STATUS_WITHOUT_STREAM:
+        if self._head.status >= MIN_NON_STREAM_STATUS:
             return
         try:
             for event in self._parser.feed(data):
@@ -98,15 +98,15 @@
             raise AnswerUnusableError("event is longer than 1 MB") from error
 
     def finish(self) -> Answer:
-        """Return status and headers; the events were handed on."""
+        """Return the status and headers; the events were emitted before."""
         return Answer(self._head.status, self._head.headers)
 
     def restart(self) -> None:
-        """Go on after the last whole event."""
+        """Discard an incomplete event; the stream resumes after the last whole one."""
         self._parser.restart()
 
-    def resumed(self, head: RequestHead) -> RequestHead:
-        """Return the request that goes on after the last whole event."""
+    def build_resumed_request(self, head: RequestHead) -> RequestHead:
+        """Return the request that resumes the stream after the last whole event."""
         last_event_id = self._parser.last_event_id
         if not last_event_id:
             return head
--- a/endivepick/client/_core/context.py
+++ b/endivepick/client/_core/context.py
@@ -1,4 +1,4 @@
-"""What the requests of one flow share."""
+"""State shared by a flow and its requests, and packets sent without a reply."""
 
 from dataclasses import dataclass
 
@@ -7,31 +7,31 @@
 from endivepick.client.settings import CallerSettings
 from endivepick.core.messages import CallerPacket
 
-__all__ = ["FlowContext", "Repeat"]
+__all__ = ["FlowContext", "RepeatedPacket"]
 
 REPEAT_AFTER_S = (0.05, 0.2)
 
 
 @dataclass(slots=True)
 class FlowContext:
-    """Shared by a flow and its requests.
+    """State shared by a flow and its requests.
 
     Attributes
     ----------
     settings : CallerSettings
         Settings of the caller.
     outbox : Outbox
-        Where actions go.
+        Outbox that receives the actions.
     timers : Timers
         Timers of the caller.
     round_trip : RoundTrip
-        Estimate for this flow.
+        Round trip estimate of the flow.
     flow_id : int
-        The flow.
+        Identifier of the flow.
     token : bytes
-        Present token.
+        Current token of the flow.
     binding : int
-        Its binding.
+        Binding of the current token.
     """
 
     settings: CallerSettings
@@ -43,33 +43,35 @@
     binding: int
 
     def log(self, name: str, message: str, seq: int = 0) -> None:
-        """Write an event of the flow, or of one of its requests."""
+        """Log an event of the flow or of one of its requests."""
         entry = WriteLog(name, message, self.flow_id, self.binding, seq)
         self.outbox.emit(entry)
 
 
-class Repeat:
-    """Sends a packet that nobody confirms once, and twice again.
+class RepeatedPacket:
+    """Sends a packet that has no acknowledgement three times.
+
+    The repetitions make up for the loss of a datagram.
 
     Parameters
     ----------
     packet : CallerPacket
-        The packet; receiving it more than once does no harm.
+        Packet to send; it must be idempotent for the receiver.
     outbox : Outbox
-        Where it goes.
+        Outbox that receives the packet.
     now_s : float
-        Time, in seconds.
+        Current time, in seconds.
     """
 
     def __init__(self, packet: CallerPacket, outbox: Outbox, now_s: float) -> None:
         self._packet = packet
         self._outbox = outbox
-        self._left_s = [now_s + after_s for after_s in REPEAT_AFTER_S]
-        self.due_at_s = self._left_s.pop(0)
-        self.listed_at_s = NEVER_S
+        self._remaining_s = [now_s + after_s for after_s in REPEAT_AFTER_S]
+        self.due_at_s = self._remaining_s.pop(0)
+        self.queued_at_s = NEVER_S
         outbox.send(packet)
 
     def on_due(self, now_s: float) -> None:
         """Send the packet again."""
         self._outbox.send(self._packet)
-        self.due_at_s = self._left_s.pop(0) if self._left_s else NEVER_S
+        self.due_at_s = self._remaining_s.pop(0) if self._remaining_s else NEVER_S
--- a/endivepick/client/_core/event_stream.py
+++ b/endivepick/client/_core/event_stream.py
@@ -1,4 +1,4 @@
-"""Server-sent events, parsed from the body of an answer."""
+"""Parser of server-sent events in the body of an answer."""
 
 from collections.abc import Iterator
 from dataclasses import dataclass, field
@@ -11,7 +11,7 @@
 
 
 class EventTooLongError(Exception):
-    """One event is longer than the parser collects."""
+    """An event exceeds the maximum size."""
 
 
 @dataclass(slots=True)
@@ -21,7 +21,7 @@
     Attributes
     ----------
     last_event_id : str
-        Id of the last whole event; a stream goes on after it.
+        Id of the last whole event, from which a stream is resumed.
 
     Examples
     --------
@@ -33,32 +33,32 @@
     """
 
     last_event_id: str = ""
-    _rest: bytes = b""
+    _incomplete_line: bytes = b""
     _id: str = ""
     _event: str = ""
     _data: list[str] = field(default_factory=list)
     _data_bytes: int = 0
 
     def feed(self, chunk: bytes) -> Iterator[StreamEvent]:
-        """Take bytes and yield the events that they complete.
+        """Parse bytes and yield the events that they complete.
 
         Raises
         ------
         EventTooLongError
             If an event exceeds 1 MB.
         """
-        lines = (self._rest + chunk).split(b"\n")
-        self._rest = lines.pop()
-        if len(self._rest) + self._data_bytes > MAX_EVENT_BYTES:
+        lines = (self._incomplete_line + chunk).split(b"\n")
+        self._incomplete_line = lines.pop()
+        if len(self._incomplete_line) + self._data_bytes > MAX_EVENT_BYTES:
             raise EventTooLongError
         for line in lines:
-            event = self._take_line(line.rstrip(b"\r").decode("utf-8", "replace"))
+            event = self._parse_line(line.rstrip(b"\r").decode("utf-8", "replace"))
             if event is not None:
                 yield event
 
     def restart(self) -> None:
-        """Forget a half event: the stream goes on after the last whole one."""
-        self._rest = b""
+        """Discard an incomplete event; the stream resumes after the last whole one."""
+        self._incomplete_line = b""
         self._id = self.last_event_id
         self._clear_event()
 
@@ -67,7 +67,7 @@
         self._data = []
         self._data_bytes = 0
 
-    def _take_line(self, line: str) -> StreamEvent | None:
+    def _parse_line(self, line: str) -> StreamEvent | None:
         if not line:
             return self._finish_event()
         name, _, value = line.partition(":")
--- a/endivepick/client/_core/holes.py
+++ b/endivepick/client/_core/holes.py
@@ -1,139 +1,146 @@
-"""Parts of an answer that are missing although a later one arrived."""
+"""Detection of lost parts of an answer."""
 
 from collections import deque
 from collections.abc import Iterable
 from dataclasses import dataclass, field
 
-__all__ = ["HoleList"]
+__all__ = ["MissingParts"]
 
 REORDER_PARTS = 3
-"""A part counts as lost once this many later ones arrived."""
+"""A part counts as lost once this many later parts arrived."""
 REORDER_WAIT_MAX_S = 0.02
 REORDER_WAIT_FACTOR = 1.25
-MAX_LISTED = 64
-"""Most parts that one report lists."""
-MAX_REMEMBERED = 1024
+MAX_REPORTED_PARTS = 64
+"""Maximum number of parts that one report lists."""
+MAX_LATE_PARTS = 1024
 
 
 @dataclass(slots=True)
-class _Hole:
-    noticed_at_s: float
-    asked_at_s: float = 0.0
-    asked_count: int = 0
+class _MissingPart:
+    detected_at_s: float
+    reported_at_s: float = 0.0
+    report_count: int = 0
 
 
 @dataclass(slots=True)
-class HoleList:
-    """Decides when a missing part counts as lost.
+class MissingParts:
+    """Tracks missing parts and decides when they count as lost.
 
-    A path that reorders makes parts look lost. Such a mistake shows when the
-    part arrives twice; after that, parts are given the time that the late one
-    took.
+    A part is missing if a later one arrived. On a path that reorders packets,
+    delayed parts can be reported as lost by mistake. Such a false loss shows when
+    the part arrives twice; the wait before a part counts as lost is then extended
+    to 1.25 times the delay of that part, at most 20 ms.
 
     Attributes
     ----------
     reorder_parts : int
-        How many later parts have to arrive first.
+        Number of later parts that must arrive before a part counts as lost.
     reorder_wait_s : float
-        How long to wait as well, in seconds; 0 until the path reordered.
+        Additional wait, in seconds; 0 until a false loss is detected.
     """
 
     reorder_parts: int = REORDER_PARTS
     reorder_wait_s: float = 0.0
-    _holes: dict[int, _Hole] = field(default_factory=dict)
-    _not_asked: deque[int] = field(default_factory=deque)
-    _late_s: dict[int, float] = field(default_factory=dict)
+    _parts: dict[int, _MissingPart] = field(default_factory=dict)
+    _unreported: deque[int] = field(default_factory=deque)
+    _late_by_s: dict[int, float] = field(default_factory=dict)
 
     def __len__(self) -> int:
-        return len(self._holes)
+        return len(self._parts)
 
-    def open(self, indexes: Iterable[int], now_s: float) -> None:
-        """Note parts that were skipped."""
+    def add(self, indexes: Iterable[int], now_s: float) -> None:
+        """Add parts that were skipped."""
         for index in indexes:
-            self._holes[index] = _Hole(now_s)
-            self._not_asked.append(index)
+            self._parts[index] = _MissingPart(now_s)
+            self._unreported.append(index)
 
-    def fill(self, index: int, now_s: float) -> None:
-        """Note that a missing part arrived."""
-        hole = self._holes.pop(index, None)
-        if hole is None or not hole.asked_count:
+    def on_arrival(self, index: int, now_s: float) -> None:
+        """Remove a missing part that arrived."""
+        part = self._parts.pop(index, None)
+        if part is None or not part.report_count:
             return
-        self._late_s[index] = now_s - hole.noticed_at_s
-        if len(self._late_s) > MAX_REMEMBERED:
-            del self._late_s[next(iter(self._late_s))]
-
-    def asked_once_at_s(self, index: int) -> float | None:
-        """Return when a missing part was asked for, if that was just once."""
-        hole = self._holes.get(index)
-        if hole is None or hole.asked_count != 1:
+        self._late_by_s[index] = now_s - part.detected_at_s
+        if len(self._late_by_s) > MAX_LATE_PARTS:
+            del self._late_by_s[next(iter(self._late_by_s))]
+
+    def reported_once_at_s(self, index: int) -> float | None:
+        """Return when a missing part was reported, if it was reported only once."""
+        part = self._parts.get(index)
+        if part is None or part.report_count != 1:
             return None
-        return hole.asked_at_s
+        return part.reported_at_s
 
-    def learn_from_duplicate(self, index: int) -> bool:
-        """Wait longer if a part that was asked for came twice."""
-        late_s = self._late_s.pop(index, None)
-        if late_s is None:
+    def on_duplicate(self, index: int) -> bool:
+        """Extend the wait if a part that was reported as lost arrived twice.
+
+        Returns
+        -------
+        bool
+            Whether the reported loss was a false one.
+        """
+        late_by_s = self._late_by_s.pop(index, None)
+        if late_by_s is None:
             return False
-        wanted_s = max(self.reorder_wait_s, late_s * REORDER_WAIT_FACTOR)
+        wanted_s = max(self.reorder_wait_s, late_by_s * REORDER_WAIT_FACTOR)
         self.reorder_wait_s = min(wanted_s, REORDER_WAIT_MAX_S)
         return True
 
-    def has_new_loss(self, last_judged: int, now_s: float) -> bool:
-        """Tell whether a part counts as lost that was never asked for.
+    def has_unreported_loss(self, last_eligible: int, now_s: float) -> bool:
+        """Return whether a part counts as lost that was not reported yet.
 
         Parameters
         ----------
-        last_judged : int
-            Later parts are given more time.
+        last_eligible : int
+            Highest part that may count as lost.
         now_s : float
-            Time, in seconds.
+            Current time, in seconds.
         """
-        while self._not_asked and self._not_asked[0] not in self._holes:
-            self._not_asked.popleft()
-        if not self._not_asked:
+        while self._unreported and self._unreported[0] not in self._parts:
+            self._unreported.popleft()
+        if not self._unreported:
             return False
-        index = self._not_asked[0]
-        return index <= last_judged and self._waited(self._holes[index], now_s)
+        index = self._unreported[0]
+        return index <= last_eligible and self._has_waited(self._parts[index], now_s)
 
-    def _waited(self, hole: _Hole, now_s: float) -> bool:
-        return now_s - hole.noticed_at_s >= self.reorder_wait_s
+    def _has_waited(self, part: _MissingPart, now_s: float) -> bool:
+        return now_s - part.detected_at_s >= self.reorder_wait_s
 
-    def ask(
-        self, last_judged: int, now_s: float, repeat_s: float
+    def collect_lost(
+        self, last_eligible: int, now_s: float, repeat_s: float
     ) -> tuple[list[int], int]:
-        """Return the parts to list, and how many of them are new.
+        """Return the lost parts to report, and how many of them are new.
 
         Parameters
         ----------
-        last_judged : int
-            Later parts are given more time.
+        last_eligible : int
+            Highest part that may count as lost.
         now_s : float
-            Time, in seconds.
+            Current time, in seconds.
         repeat_s : float
-            A part that was listed more recently is not listed again.
+            Minimum time before a part is reported again, in seconds.
         """
-        listed: list[int] = []
-        new = 0
-        for index, hole in self._holes.items():
-            if len(listed) == MAX_LISTED or index > last_judged:
+        reported: list[int] = []
+        new_count = 0
+        for index, part in self._parts.items():
+            if len(reported) == MAX_REPORTED_PARTS or index > last_eligible:
                 break
-            if not self._may_ask(hole, now_s, repeat_s):
+            if not self._may_report(part, now_s, repeat_s):
                 continue
-            new += not hole.asked_count
-            hole.asked_at_s = now_s
-            hole.asked_count += 1
-            listed.append(index)
-        self._forget_asked()
-        return listed, new
-
-    def _may_ask(self, hole: _Hole, now_s: float, repeat_s: float) -> bool:
-        if hole.asked_count:
-            return now_s - hole.asked_at_s >= repeat_s
-        return self._waited(hole, now_s)
-
-    def _forget_asked(self) -> None:
-        while self._not_asked:
-            hole = self._holes.get(self._not_asked[0])
-            if hole is not None and not hole.asked_count:
+            new_count += not part.report_count
+            part.reported_at_s = now_s
+            part.report_count += 1
+            reported.append(index)
+        self._drop_reported()
+        return reported, new_count
+
+    def _may_report(self, part: _MissingPart, now_s: float, repeat_s: float) -> bool:
+        if part.report_count:
+            return now_s - part.reported_at_s >= repeat_s
+        return self._has_waited(part, now_s)
+
+    def _drop_reported(self) -> None:
+        while self._unreported:
+            part = self._parts.get(self._unreported[0])
+            if part is not None and not part.report_count:
                 return
-            self._not_asked.popleft()
+            self._unreported.popleft()
--- a/endivepick/client/_core/opening.py
+++ b/endivepick/client/_core/opening.py
@@ -1,4 +1,4 @@
-"""Opening of a flow: sent again until an instance answers."""
+"""Opening of a flow, retransmitted until an instance answers."""
 
 from endivepick.client._core.actions import OpenFailed, Outbox
 from endivepick.client._core.timing import NEVER_S, Backoff
@@ -12,25 +12,25 @@
 
 
 class Opening:
-    """Sends ``Open`` with the same id until it is answered or too late.
+    """Sends ``Open`` with one id until it is answered or the deadline passes.
 
     Parameters
     ----------
     packet : Open
-        The packet.
+        Packet to send.
     deadline_at_s : float
-        When to give up.
+        Deadline of the opening, in seconds.
     outbox : Outbox
-        Where packets go.
+        Outbox that receives the packets.
     now_s : float
-        Time, in seconds.
+        Current time, in seconds.
 
     Attributes
     ----------
     open_id : int
         Id of the packet.
     ended : bool
-        Whether the answer, or the deadline, has come.
+        Whether the opening was answered, abandoned or timed out.
     """
 
     def __init__(
@@ -39,14 +39,14 @@
         self.ended = False
         self.open_id = packet.open_id
         self.due_at_s = now_s
-        self.listed_at_s = NEVER_S
+        self.queued_at_s = NEVER_S
         self._packet = packet
         self._deadline_at_s = deadline_at_s
         self._outbox = outbox
         self._backoff = Backoff(packet.open_id, OPEN_RESEND_MAX_S)
 
     def on_due(self, now_s: float) -> None:
-        """Send the packet again or give up."""
+        """Retransmit the packet, or fail at the deadline."""
         if now_s >= self._deadline_at_s:
             error = OpenTimedOut(self._packet.service)
             self._outbox.emit(OpenFailed(self._packet.open_id, error))
@@ -57,6 +57,6 @@
         self.due_at_s = min(next_at_s, self._deadline_at_s)
 
     def end(self) -> None:
-        """Stop sending."""
+        """Stop the retransmission."""
         self.ended = True
         self.due_at_s = NEVER_S
--- a/endivepick/client/_core/request.py
+++ b/endivepick/client/_core/request.py
@@ -1,4 +1,4 @@
-"""One request, from its first part to its end."""
+"""State of one request, from its first part to its result."""
 
 from endivepick.client._core.actions import Completed, RequestCall
 from endivepick.client._core.attempt import Attempt
@@ -9,7 +9,12 @@
     StreamCollector,
 )
 from endivepick.client._core.context import FlowContext
-from endivepick.client._core.timing import NEVER_S, Backoff, clamp_retry_s, spread
+from endivepick.client._core.timing import (
+    NEVER_S,
+    Backoff,
+    clamp_retry_s,
+    compute_jitter,
+)
 from endivepick.client.errors import GaveUp, NotRun, OutcomeUnknown, RequestError
 from endivepick.client.model import Answer
 from endivepick.core.chart import load_chart
@@ -24,40 +29,41 @@
 __all__ = ["RequestState"]
 
 _CHART = load_chart("request")
-REISSUE_SPREAD_S = 0.01
+REISSUE_JITTER_S = 0.01
 PAIRS_FROM_S = 0.2
-"""Wait from which a part or poll is repeated twice, in seconds.
+"""Shortest wait after which a part or poll is repeated twice, in seconds.
 
-The fabric goes on to send a share of all datagrams to an instance that was just
-killed; the loss of one repetition would cost the whole next wait.
+The fabric continues to send a share of all datagrams to an instance that was just
+killed. Without the second repetition, the loss of one would cost the whole next
+wait.
 """
 
 
 class RequestState:
-    """Drives one request; follows the chart ``request``.
+    """State of one request; follows the state chart ``request``.
 
     Parameters
     ----------
     call : RequestCall
-        What to send.
+        Request of the program.
     context : FlowContext
-        What the flow's requests share.
+        State shared by the requests of the flow.
     seed : int
-        Seed of the spread of its intervals.
+        Seed of the jitter of the request's intervals.
 
     Attributes
     ----------
     state : str
-        State of the chart.
+        Current state of the chart.
     due_at_s : float
-        When `on_due` has to be called.
+        Time at which `on_due` is called next.
     """
 
     def __init__(self, call: RequestCall, context: FlowContext, seed: int) -> None:
         self.call = call
         self.state = _CHART.initial
         self.due_at_s = call.deadline_at_s
-        self.listed_at_s = NEVER_S
+        self.queued_at_s = NEVER_S
         self._context = context
         self._seed = seed
         self._may_have_run = False
@@ -73,12 +79,12 @@
 
     @property
     def ended(self) -> bool:
-        """Whether nothing more happens."""
+        """Whether the request has ended."""
         return self.state in _CHART.final
 
     @property
-    def unconfirmed(self) -> bool:
-        """Whether the owner may not know the request yet."""
+    def is_unconfirmed(self) -> bool:
+        """Whether the owner may not have received the whole request yet."""
         return self.state == "sending"
 
     @property
@@ -86,22 +92,20 @@
         """Size of the encoded request."""
         return self._attempt.payload_bytes
 
-    # Calls of the program and the clock
-
     def start(self, seq: int, now_s: float) -> None:
-        """Send the first parts under a number."""
+        """Send the first parts under the request number ``seq``."""
         self._attempt.seq = seq
         self._step("send")
         self._begin_sending(now_s)
 
     def cancel(self, now_s: float) -> None:
-        """Give up because the program wants it."""
-        self._give_up("cancel", now_s, OutcomeUnknown("cancelled"), "cancelled")
+        """Cancel the request on behalf of the program."""
+        self._abandon("cancel", now_s, OutcomeUnknown("cancelled"), "cancelled")
 
     def on_due(self, now_s: float) -> None:
-        """Repeat what was not answered, or give up at the deadline."""
+        """Retransmit or poll, or abandon the request at the deadline."""
         if now_s >= self.call.deadline_at_s:
-            self._give_up(
+            self._abandon(
                 "expire", now_s, GaveUp(), "deadline passed before it was sent"
             )
         elif self.state == "sending":
@@ -113,22 +117,20 @@
         else:
             self.due_at_s = self.call.deadline_at_s
 
-    def _give_up(
+    def _abandon(
         self, event: str, now_s: float, error: RequestError, unsent_reason: str
     ) -> None:
         if self._attempt.seq == 0:
             self._end(event, NotRun(unsent_reason))
             return
-        self._log("request_given_up", "request given up")
+        self._log("request_given_up", "request abandoned")
         self._attempt.cancel(now_s)
         self._end(event, error)
 
-    # Packets
-
     def on_accepted(self, now_s: float) -> None:
-        """Stop sending parts and begin to wait, or go on to wait."""
+        """Stop sending parts and wait for the answer."""
         if self.state != "sending":
-            self._skip_second_poll(now_s)
+            self._end_poll_pair(now_s)
             return
         self._attempt.on_accepted(now_s)
         self._step("accept")
@@ -136,13 +138,13 @@
         self._backoff = Backoff(self._seed, limit_s, PAIRS_FROM_S)
         self._schedule(now_s + self._context.settings.poll_min_s)
 
-    def _skip_second_poll(self, now_s: float) -> None:
-        """Poll at the usual pace: the owner has answered."""
-        if self._backoff.skip_second():
+    def _end_poll_pair(self, now_s: float) -> None:
+        """Skip the second poll of a pair, because the owner has answered."""
+        if self._backoff.end_pair():
             self._schedule(now_s + self._backoff.next_s(self._poll_base_s))
 
     def on_progress(self, packet: RequestProgress, now_s: float) -> None:
-        """Send the parts that the owner misses."""
+        """Send the parts that the owner lacks."""
         if self.state == "sending":
             self._step("progress")
             if self._attempt.on_progress(packet, now_s):
@@ -155,19 +157,19 @@
             self._context.outbox.counts["stale_progress"] += 1
 
     def on_part(self, packet: AnswerPart, now_s: float) -> None:
-        """Take a part of the answer."""
+        """Process a part of the answer."""
         receiver = self._attempt.receiver
-        asked_at_s = receiver.holes.asked_once_at_s(packet.index)
+        reported_at_s = receiver.missing_parts.reported_once_at_s(packet.index)
         if not receiver.accept(packet.index, packet.final, packet.data, now_s):
             self._context.outbox.counts["duplicate_part"] += 1
             return
         self._step("part")
-        if asked_at_s is not None:
-            self._context.round_trip.sample(now_s - asked_at_s)
-        if self._hand_on():
-            self._go_on_receiving(now_s)
+        if reported_at_s is not None:
+            self._context.round_trip.add_sample(now_s - reported_at_s)
+        if self._collect_ready_parts():
+            self._continue_receiving(now_s)
 
-    def _hand_on(self) -> bool:
+    def _collect_ready_parts(self) -> bool:
         try:
             for index, data in self._attempt.receiver.take_ready():
                 self._collector.add(index, data)
@@ -177,10 +179,10 @@
             return False
         return True
 
-    def _go_on_receiving(self, now_s: float) -> None:
+    def _continue_receiving(self, now_s: float) -> None:
         receiver = self._attempt.receiver
         if receiver.complete:
-            self._log("answer_received", "whole answer received")
+            self._log("answer_received", "complete answer received")
             self._attempt.acknowledge_end()
             self._end("complete", self._collector.finish())
             return
@@ -191,7 +193,7 @@
         self._schedule(now_s + self._poll_base_s)
 
     def on_refused(self, packet: Refused) -> None:
-        """End as not run, unless an earlier attempt may have run."""
+        """End with `NotRun`, unless an earlier attempt may have run."""
         if not _CHART.allows(self.state, "refuse"):
             self._context.outbox.counts["refused_after_answer"] += 1
             return
@@ -204,45 +206,41 @@
             self._end("refuse", NotRun(packet.reason, packet.retry_after_ms))
 
     def on_outcome(self, packet: Outcome) -> None:
-        """End with an unknown outcome."""
+        """End with `OutcomeUnknown`."""
         self._log("outcome_unknown", "outcome unknown")
         self._attempt.acknowledge_end()
         self._end("fail", OutcomeUnknown(packet.reason, packet.retry_after_ms))
 
     def on_unreachable(self, packet: Unreachable, now_s: float) -> None:
-        """Wait as long as the relay says, then repeat under the same number."""
+        """Wait as long as the relay requests, then repeat under the same number."""
         wait_s = clamp_retry_s(packet.retry_after_ms)
         wait_s = max(wait_s, self._context.settings.resend_min_s)
         self._backoff.reset()
-        self._attempt.spoil_round_trip()
-        self._schedule(now_s + wait_s * (1 + self._spread() / 4))
-
-    # New tokens
+        self._attempt.invalidate_round_trip()
+        self._schedule(now_s + wait_s * (1 + self._compute_jitter() / 4))
 
     def on_continued(self, now_s: float) -> None:
-        """Go on under a new token of the same binding."""
+        """Continue under a new token of the same binding."""
         self._backoff.reset()
-        self._attempt.spoil_round_trip()
+        self._attempt.invalidate_round_trip()
         if self.state == "sending":
-            # A new owner has none of the parts that the last one confirmed.
-            self._attempt.forget_confirmed()
-        self._schedule(now_s + REISSUE_SPREAD_S * self._spread())
+            # A new owner has none of the parts that the previous owner confirmed.
+            self._attempt.reset_confirmations()
+        self._schedule(now_s + REISSUE_JITTER_S * self._compute_jitter())
 
     def on_owner_lost(self, seq: int, now_s: float) -> None:
-        """Begin again under a new binding if idempotent, else end."""
+        """Start again under a new binding if idempotent; otherwise end."""
         if not self.call.idempotent:
             self._end("fail", OutcomeUnknown("the owner of the flow was lost"))
             return
         self._may_have_run = True
         self._step("reissue")
         self._collector.restart()
-        head = self._collector.resumed(self.call.head)
+        head = self._collector.build_resumed_request(self.call.head)
         self._attempt = Attempt(self.call, head, self._context)
         self._attempt.seq = seq
         self._begin_sending(now_s)
 
-    # Timing
-
     def _begin_sending(self, now_s: float) -> None:
         self._log("request_sent", "request sent")
         self._attempt.send_all(now_s)
@@ -264,7 +262,7 @@
 
     @property
     def _poll_base_s(self) -> float:
-        if self._attempt.receiver.holes:
+        if self._attempt.receiver.missing_parts:
             return self._context.round_trip.repeat_s
         if self.state == "accepted" or self.call.head.stream:
             return self._context.settings.poll_min_s
@@ -274,10 +272,8 @@
         self.due_at_s = min(at_s, self.call.deadline_at_s)
         self._context.timers.update(self)
 
-    def _spread(self) -> float:
-        return spread(self._seed, self._attempt.seq)
-
-    # State
+    def _compute_jitter(self) -> float:
+        return compute_jitter(self._seed, self._attempt.seq)
 
     def _log(self, name: str, message: str) -> None:
         self._context.log(name, message, self._attempt.seq)
--- a/endivepick/client/_core/sender.py
+++ b/endivepick/client/_core/sender.py
@@ -1,4 +1,4 @@
-"""Parts of one request on their way to the owner."""
+"""Transmission of the parts of one request to the owner."""
 
 from collections.abc import Iterator
 from dataclasses import dataclass, field
@@ -14,13 +14,13 @@
 class PartSender:
     """Decides which parts of a request to send.
 
-    At most ``SEND_WINDOW_PARTS`` parts are under way beyond the first one that
-    the owner misses.
+    The send window allows ``SEND_WINDOW_PARTS`` parts, counted from the first part
+    that the owner lacks.
 
     Parameters
     ----------
     payload : bytes
-        The encoded request.
+        Encoded request.
 
     Examples
     --------
@@ -32,7 +32,7 @@
     payload: bytes
     next_index: int = 0
     sent_index: int = 0
-    _held: set[int] = field(default_factory=set)
+    _confirmed_ahead: set[int] = field(default_factory=set)
     _sent_at_s: dict[int, float] = field(default_factory=dict)
 
     @property
@@ -42,16 +42,16 @@
 
     @property
     def fits_window(self) -> bool:
-        """Whether all parts are sent at once."""
+        """Whether all parts fit into the send window."""
         return self.count <= SEND_WINDOW_PARTS
 
-    def data(self, index: int) -> bytes:
-        """Return the bytes of one part."""
+    def get_part_data(self, index: int) -> bytes:
+        """Return the data of one part."""
         start = index * PART_SIZE_BYTES
         return self.payload[start : start + PART_SIZE_BYTES]
 
     def take_new(self, now_s: float) -> Iterator[int]:
-        """Yield the parts that may be sent for the first time."""
+        """Yield the unsent parts that the window allows, and mark them as sent."""
         limit = min(self.count, self.next_index + SEND_WINDOW_PARTS)
         while self.sent_index < limit:
             index = self.sent_index
@@ -60,61 +60,66 @@
             yield index
 
     def take_unconfirmed(self, now_s: float) -> Iterator[int]:
-        """Yield the parts that were sent and not confirmed."""
+        """Yield the parts that were sent but not confirmed."""
         for index in range(self.next_index, self.sent_index):
-            if index not in self._held:
+            if index not in self._confirmed_ahead:
                 self._sent_at_s[index] = now_s
                 yield index
 
-    def report(
+    def on_report(
         self, next_index: int, missing: list[int], now_s: float, resend_s: float
     ) -> list[int]:
-        """Take the owner's report and return the parts to send again.
+        """Process the owner's report and return the parts to retransmit.
 
         Parameters
         ----------
         next_index : int
-            All parts below arrived.
+            All parts with a lower index arrived.
         missing : list of int
-            Later parts that did not.
+            Later parts that did not arrive.
         now_s : float
-            Time, in seconds.
+            Current time, in seconds.
         resend_s : float
-            A part sent more recently than this is not sent again.
+            Minimum time between two transmissions of a part, in seconds.
         """
         self._advance(next_index)
-        wanted = {index for index in missing if self._is_open(index)}
+        wanted = {index for index in missing if self._is_outstanding(index)}
         if wanted:
-            # The next part cannot have arrived, or it would not be the next.
+            # The part `next_index` itself cannot have arrived.
             arrived = range(self.next_index + 1, max(wanted))
-            self._held.update(index for index in arrived if index not in wanted)
+            self._confirmed_ahead.update(
+                index for index in arrived if index not in wanted
+            )
         return [
-            index for index in sorted(wanted) if self._retake(index, now_s, resend_s)
+            index
+            for index in sorted(wanted)
+            if self._claim_resend(index, now_s, resend_s)
         ]
 
-    def _is_open(self, index: int) -> bool:
+    def _is_outstanding(self, index: int) -> bool:
         return self.next_index <= index < self.sent_index
 
     def _advance(self, next_index: int) -> None:
         target = min(next_index, self.sent_index)
         if target < self.next_index:
-            # A new owner, or a late report, which the next one puts right.
-            self._held.clear()
+            # The report is from a new owner or was delayed. The next report
+            # corrects the effect of a delayed one.
+            self._confirmed_ahead.clear()
             self.next_index = target
         for index in range(self.next_index, target):
-            self._held.discard(index)
+            self._confirmed_ahead.discard(index)
             self._sent_at_s.pop(index, None)
         self.next_index = target
 
-    def _retake(self, index: int, now_s: float, resend_s: float) -> bool:
+    def _claim_resend(self, index: int, now_s: float, resend_s: float) -> bool:
         if now_s - self._sent_at_s.get(index, -resend_s) < resend_s:
             return False
         self._sent_at_s[index] = now_s
         return True
 
     def restart(self) -> None:
-        """Forget what the owner confirmed: it holds nothing."""
+        """Reset all confirmations, because the owner has none of the parts."""
         self.next_index = 0
-        self._held.clear()
+        self._confirmed_ahead.clear()
         self._sent_at_s.clear()
         self.sent_index = 0
--- a/endivepick/client/_core/timing.py
+++ b/endivepick/client/_core/timing.py
@@ -1,4 +1,4 @@
-"""Round trips, back-off and timers."""
+"""Round trip estimate, backoff and timers."""
 
 import heapq
 from dataclasses import dataclass, field
@@ -8,49 +8,50 @@
 
 from endivepick.client.settings import CallerSettings
 
-__all__ = ["Backoff", "Due", "RoundTrip", "Timers", "clamp_retry_s", "spread"]
+__all__ = ["Backoff", "Timed", "RoundTrip", "Timers", "clamp_retry_s", "compute_jitter"]
 
-_SPREAD_STEPS = 1 << 20
-LONGEST_RETRY_S = 60.0
-STALE_ENTRIES_KEPT = 64
-SHORTEST_REPEAT_S = 0.005
+_JITTER_STEPS = 1 << 20
+MAX_RETRY_S = 60.0
+MIN_STALE_TO_COMPACT = 64
+MIN_REPEAT_S = 0.005
 NEVER_S = float("inf")
 
 
-def spread(seed: int, count: int) -> float:
-    """Return a number in [0, 1) that is fixed by its arguments.
+def compute_jitter(seed: int, count: int) -> float:
+    """Return a deterministic pseudorandom number in [0, 1).
 
-    Stands in for a random number, so that the core stays reproducible.
+    A hash of the arguments replaces a random number, so that the core stays
+    reproducible.
 
     Parameters
     ----------
     seed : int
-        Random number of the object, given from outside.
+        Random number of the object, supplied by the program.
     count : int
-        How often the object asked.
+        Number of values that the object has drawn.
     """
     digest = xxhash.xxh64_intdigest(count.to_bytes(8, "big"), seed & 0xFFFF_FFFF)
-    return digest % _SPREAD_STEPS / _SPREAD_STEPS
+    return digest % _JITTER_STEPS / _JITTER_STEPS
 
 
 def clamp_retry_s(retry_after_ms: int) -> float:
-    """Turn a time to come back into seconds, within sane bounds."""
-    return min(max(retry_after_ms / 1000, 0.0), LONGEST_RETRY_S)
+    """Convert a retry delay to seconds and limit it to 0 to 60 s."""
+    return min(max(retry_after_ms / 1000, 0.0), MAX_RETRY_S)
 
 
 @dataclass(slots=True)
 class Backoff:
-    """Intervals that double up to a limit, with spread.
+    """Exponential backoff with jitter.
 
     Parameters
     ----------
     seed : int
-        Seed of the spread.
+        Seed of the jitter.
     limit_s : float
-        Longest interval.
+        Maximum interval before the jitter, in seconds.
     pairs_from_s : float
-        After an interval of at least this, the next one is the base, so that what
-        is repeated rarely is repeated twice.
+        An interval of at least this length, in seconds, is followed by one of the
+        base length, so that rare repetitions are sent in pairs.
     """
 
     seed: int
@@ -62,10 +63,10 @@
     _in_second: bool = False
 
     def next_s(self, base_s: float) -> float:
-        """Return the next interval, from 3/4 to 5/4 of the doubled base."""
+        """Return the next interval, times a jitter factor from 3/4 to 5/4."""
         interval_s = self._interval_s(base_s)
         self._count += 1
-        return interval_s * (0.75 + 0.5 * spread(self.seed, self._count))
+        return interval_s * (0.75 + 0.5 * compute_jitter(self.seed, self._count))
 
     def _interval_s(self, base_s: float) -> float:
         self._in_second = self._second_is_due
@@ -79,13 +80,13 @@
         return interval_s
 
     def reset(self) -> None:
-        """Start again at the base."""
+        """Restart with the base interval."""
         self._doublings = 0
         self._second_is_due = False
         self._in_second = False
 
-    def skip_second(self) -> bool:
-        """Note an answer; True if the interval before the second runs now."""
+    def end_pair(self) -> bool:
+        """End the current pair; return True if its second repetition is pending."""
         runs = self._in_second
         self._in_second = False
         return runs
@@ -93,20 +94,20 @@
 
 @dataclass(slots=True)
 class RoundTrip:
-    """Round trip estimate of one flow, as TCP makes it (RFC 6298).
+    """Round trip estimate of one flow, computed as in TCP (RFC 6298).
 
     Parameters
     ----------
     settings : CallerSettings
-        Bounds of the resend interval.
+        Settings with the bounds of the retransmission timeout.
     """
 
     settings: CallerSettings
     _smoothed_s: float = 0.0
     _deviation_s: float = 0.0
 
-    def sample(self, measured_s: float) -> None:
-        """Take one measured round trip, in seconds."""
+    def add_sample(self, measured_s: float) -> None:
+        """Update the estimate with one measured round trip, in seconds."""
         if self._smoothed_s == 0.0:
             self._smoothed_s = measured_s
             self._deviation_s = measured_s / 2
@@ -117,89 +118,90 @@
 
     @property
     def resend_s(self) -> float:
-        """Time after which a datagram counts as lost, in seconds."""
+        """Retransmission timeout, in seconds."""
         return max(self.repeat_s, self.settings.resend_min_s)
 
     @property
     def repeat_s(self) -> float:
-        """Time after which a missing part is asked for again, in seconds.
+        """Time after which a missing part is requested again, in seconds.
 
-        Shorter than `resend_s` on a fast path: other parts still arrive, so that
-        the path is known to work.
+        It may be shorter than `resend_s` on a fast path, because other parts still
+        arrive and show that the path works.
         """
         settings = self.settings
         if self._smoothed_s == 0.0:
             return settings.resend_initial_s
         estimate_s = self._smoothed_s + 4 * self._deviation_s
-        return min(max(estimate_s, SHORTEST_REPEAT_S), settings.resend_max_s)
+        return min(max(estimate_s, MIN_REPEAT_S), settings.resend_max_s)
 
 
-class Due(Protocol):
-    """Something that wants to be called at a time.
+class Timed(Protocol):
+    """Object with a time at which it is called.
 
     Attributes
     ----------
     due_at_s : float
-        When; infinite for never.
-    listed_at_s : float
-        Earliest entry in the timers; kept by `Timers`.
+        Time of the next call; infinite for none.
+    queued_at_s : float
+        Time of the object's entry in the heap, maintained by `Timers`.
     """
 
     due_at_s: float
-    listed_at_s: float
+    queued_at_s: float
 
     def on_due(self, now_s: float) -> None:
-        """Act; must move ``due_at_s`` ahead."""
+        """Perform the due work; must move ``due_at_s`` to a later time."""
 
 
 @dataclass(slots=True)
 class Timers:
-    """Heap of objects that become due.
+    """Heap of timed objects.
 
-    An object that moves its time ahead costs nothing until its old entry comes
-    up, so that a part of an answer need not touch the heap. Entries of objects
-    that ended are cleared once they are the larger part.
+    Moving an object to a later time leaves its entry in place until the old time
+    is reached, so that a received part of an answer need not touch the heap.
+    Stale entries of ended objects are removed once they exceed half of the heap;
+    otherwise an ended flow would stay in memory until its renewal time.
     """
 
-    _heap: list[tuple[float, int, Due]] = field(default_factory=list)
+    _heap: list[tuple[float, int, Timed]] = field(default_factory=list)
     _count: int = 0
     _stale: int = 0
 
     def __len__(self) -> int:
         return len(self._heap)
 
-    def update(self, item: Due) -> None:
-        """Take note of an item's time, if it is earlier than known."""
-        if item.due_at_s >= item.listed_at_s:
+    def update(self, item: Timed) -> None:
+        """Insert an item if its time is earlier than that of its entry."""
+        if item.due_at_s >= item.queued_at_s:
             return
         self.cancel(item)
         self._count += 1
-        item.listed_at_s = item.due_at_s
+        item.queued_at_s = item.due_at_s
         heapq.heappush(self._heap, (item.due_at_s, self._count, item))
 
-    def cancel(self, item: Due) -> None:
-        """Forget an item's entry."""
-        if item.listed_at_s == NEVER_S:
+    def cancel(self, item: Timed) -> None:
+        """Mark the entry of an item as stale."""
+        if item.queued_at_s == NEVER_S:
             return
-        item.listed_at_s = NEVER_S
+        item.queued_at_s = NEVER_S
         self._stale += 1
-        if self._stale > STALE_ENTRIES_KEPT and self._stale * 2 > len(self._heap):
-            self._clear_stale()
+        if self._stale > MIN_STALE_TO_COMPACT and self._stale * 2 > len(self._heap):
+            self._compact()
 
-    def _clear_stale(self) -> None:
-        self._heap = [entry for entry in self._heap if _is_listed(entry)]
+    def _compact(self) -> None:
+        self._heap = [entry for entry in self._heap if _is_current(entry)]
         heapq.heapify(self._heap)
         self._stale = 0
 
-    def pop_due(self, now_s: float) -> Due | None:
+    def pop_due(self, now_s: float) -> Timed | None:
         """Return the next item that is due, or None."""
         while self._heap and self._heap[0][0] <= now_s:
             entry = heapq.heappop(self._heap)
-            if not _is_listed(entry):
+            if not _is_current(entry):
                 self._stale -= 1
                 continue
             item = entry[2]
-            item.listed_at_s = NEVER_S
+            item.queued_at_s = NEVER_S
             if item.due_at_s <= now_s:
                 return item
             self.update(item)
@@ -207,10 +209,10 @@
 
     @property
     def next_at_s(self) -> float:
-        """When to look again; infinite if nothing is listed."""
+        """Time of the earliest entry; infinite if there is none."""
         return self._heap[0][0] if self._heap else NEVER_S
 
 
-def _is_listed(entry: tuple[float, int, Due]) -> bool:
-    listed_at_s, _, item = entry
-    return listed_at_s == item.listed_at_s
+def _is_current(entry: tuple[float, int, Timed]) -> bool:
+    queued_at_s, _, item = entry
+    return queued_at_s == item.queued_at_s
--- a/endivepick/client/_messages.py
+++ b/endivepick/client/_messages.py
@@ -1,4 +1,4 @@
-"""Messages from the program's tasks to the socket task."""
+"""Messages from the greenlets of the program to the socket task."""
 
 from dataclasses import dataclass
 from typing import Protocol
@@ -23,21 +23,21 @@
 
 
 class RequestSink(Protocol):
-    """Where the news about one request go."""
+    """Receives the progress and the result of one request."""
 
     def on_head(self, head: StreamHead) -> None:
-        """Take status and headers of a stream."""
+        """Receive the status and headers of a stream."""
 
     def on_event(self, event: StreamEvent) -> bool:
-        """Take an event; False if there is no room for more."""
+        """Receive an event; return False if the buffer is full."""
 
     def on_end(self, result: Answer | RequestError) -> None:
-        """Take the end."""
+        """Receive the answer or the error that ends the request."""
 
 
 @dataclass(frozen=True, slots=True)
 class OpenFlow:
-    """Open a flow; ``opened`` receives its id or the error."""
+    """Open a flow; ``opened`` receives its flow id or the error."""
 
     open_id: int
     service: str
@@ -47,14 +47,14 @@
 
 @dataclass(frozen=True, slots=True)
 class AbandonOpen:
-    """Give an opening up."""
+    """Abandon the opening of a flow."""
 
     open_id: int
 
 
 @dataclass(frozen=True, slots=True)
 class SendRequest:
-    """Send a request; ``sink`` receives what comes of it."""
+    """Send a request; ``sink`` receives its progress and result."""
 
     request_id: int
     flow_id: int
@@ -66,7 +66,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CancelRequest:
-    """Give a request up."""
+    """Cancel a request."""
 
     request_id: int
 
@@ -80,14 +80,14 @@
 
 @dataclass(frozen=True, slots=True)
 class DatagramsArrived:
-    """Datagrams that the socket had."""
+    """Process datagrams read from the socket."""
 
     datagrams: list[bytes]
 
 
 @dataclass(frozen=True, slots=True)
 class Stop:
-    """Close all flows and end."""
+    """Close all flows and end the socket task."""
 
 
 TaskMessage = (
--- a/endivepick/client/_task.py
+++ b/endivepick/client/_task.py
@@ -1,4 +1,4 @@
-"""Task that owns a caller's socket and its protocol core."""
+"""Socket task of a caller: owns the UDP socket and the protocol core."""
 
 import time
 from collections import Counter
@@ -39,15 +39,17 @@
 __all__ = ["SocketTask"]
 
 RECEIVE_BUFFER_BYTES = 4 << 20
-LARGEST_DATAGRAM_BYTES = 2048
+MAX_DATAGRAM_BYTES = 2048
 DATAGRAMS_PER_MESSAGE = 64
-LONGEST_WAIT_S = 1.0
+MAX_WAIT_S = 1.0
 
 _log = PartLog("caller")
 
 
 class SocketTask:
-    """Owns one UDP socket and the core; other tasks talk to it by messages.
+    """Task that owns one UDP socket and the protocol core.
+
+    Other greenlets communicate with it by messages in `inbox`.
 
     Parameters
     ----------
@@ -63,7 +65,7 @@
     def __init__(self, settings: CallerSettings) -> None:
         self.inbox: SimpleQueue[TaskMessage] = SimpleQueue()
         self._core = CallerCore(settings)
-        self._opens: dict[int, AsyncResult[int | OpenError]] = {}
+        self._pending_opens: dict[int, AsyncResult[int | OpenError]] = {}
         self._sinks: dict[int, RequestSink] = {}
         self._flow_ids: set[int] = set()
         self._socket = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
@@ -75,11 +77,11 @@
 
     @property
     def counts(self) -> Counter[str]:
-        """What was dropped or repeated, by name."""
+        """Counts of dropped and repeated packets, by name."""
         return self._core.counts
 
     def run(self) -> None:
-        """Work until a `Stop` comes, then close everything."""
+        """Process messages until `Stop`, then close all flows and the socket."""
         reader = gevent.spawn(self._read)
         try:
             while self._step():
@@ -87,7 +89,7 @@
         finally:
             reader.kill()
             self._socket.close()
-            self._end_all()
+            self._end_pending()
 
     def _step(self) -> bool:
         message = self._next_message()
@@ -106,7 +108,7 @@
         try:
             if wait_s <= 0:
                 return self.inbox.get_nowait()
-            return self.inbox.get(timeout=min(wait_s, LONGEST_WAIT_S))
+            return self.inbox.get(timeout=min(wait_s, MAX_WAIT_S))
         except Empty:
             return None
 
@@ -123,14 +125,14 @@
             case CancelRequest(request_id):
                 self._perform(self._core.cancel(request_id, now_s))
             case AbandonOpen(open_id):
-                self._opens.pop(open_id, None)
+                self._pending_opens.pop(open_id, None)
                 self._perform(self._core.abandon(open_id, now_s))
             case CloseFlow(flow_id):
                 self._flow_ids.discard(flow_id)
                 self._perform(self._core.close(flow_id, now_s))
 
     def _open(self, message: OpenFlow, now_s: float) -> None:
-        self._opens[message.open_id] = message.opened
+        self._pending_opens[message.open_id] = message.opened
         deadline_at_s = now_s + message.timeout_s
         actions = self._core.open(
             message.open_id, message.service, deadline_at_s, now_s
@@ -148,8 +150,6 @@
         )
         self._perform(self._core.request(call, now_s))
 
-    # Actions
-
     def _perform(self, actions: Iterable[Action]) -> None:
         for action in actions:
             match action:
@@ -166,15 +166,16 @@
                     _write_log(action)
                 case FlowOpened(open_id, flow_id):
                     self._flow_ids.add(flow_id)
-                    self._opens.pop(open_id).set(flow_id)
+                    self._pending_opens.pop(open_id).set(flow_id)
                 case OpenFailed(open_id, error):
-                    self._opens.pop(open_id).set(error)
+                    self._pending_opens.pop(open_id).set(error)
 
     def _send(self, datagram: bytes) -> None:
         try:
             self._socket.send(datagram)
         except OSError:
-            # No route or no fabric: the core sends again, as after a loss.
+            # No route or no listening fabric. The core retransmits the datagram
+            # as it does after a packet loss.
             self.counts["send_failed"] += 1
 
     def _stop(self) -> None:
@@ -182,15 +183,15 @@
         for flow_id in self._flow_ids:
             self._perform(self._core.close(flow_id, now_s))
 
-    def _end_all(self) -> None:
-        """Leave nobody waiting, also after a failure of this task."""
-        self._refuse_unread()
-        for opened in self._opens.values():
+    def _end_pending(self) -> None:
+        """Complete all pending calls, also when the task fails."""
+        self._refuse_unread_messages()
+        for opened in self._pending_opens.values():
             opened.set(CallerClosed())
         for sink in self._sinks.values():
             sink.on_end(OutcomeUnknown("the caller was closed"))
 
-    def _refuse_unread(self) -> None:
+    def _refuse_unread_messages(self) -> None:
         while not self.inbox.empty():
             match self.inbox.get():
                 case OpenFlow(opened=opened):
@@ -198,8 +199,6 @@
                 case SendRequest(sink=sink):
                     sink.on_end(NotRun("the caller is closed"))
 
-    # Socket
-
     def _read(self) -> None:
         while True:
             socket.wait_read(self._socket.fileno())
@@ -212,11 +211,11 @@
         datagrams: list[bytes] = []
         try:
             while len(datagrams) < DATAGRAMS_PER_MESSAGE:
-                datagrams.append(self._socket.recv(LARGEST_DATAGRAM_BYTES))
+                datagrams.append(self._socket.recv(MAX_DATAGRAM_BYTES))
         except BlockingIOError:
             pass
         except OSError:
-            # A connected UDP socket reports here that nobody listens.
+            # A connected UDP socket reports an unreachable peer on receive.
             self.counts["receive_failed"] += 1
         return datagrams
 
--- a/endivepick/client/caller.py
+++ b/endivepick/client/caller.py
@@ -1,4 +1,4 @@
-"""Caller library: flows and requests for programs that run on gevent."""
+"""Public classes of the caller library, for programs that use gevent."""
 
 import itertools
 import secrets
@@ -36,14 +36,14 @@
 
 
 class PendingRequest:
-    """A request under way.
+    """A request in progress.
 
     Parameters
     ----------
     task : SocketTask
-        Task that drives it.
+        Socket task that processes the request.
     request_id : int
-        Its number in that task.
+        Identifier of the request in the socket task.
     """
 
     def __init__(self, task: SocketTask, request_id: int) -> None:
@@ -52,22 +52,25 @@
         self._result: AsyncResult[Answer | RequestError] = AsyncResult()
 
     def on_head(self, head: StreamHead) -> None:
-        """Ignore a stream's head."""
+        """Ignore the status and headers of a stream."""
 
     def on_event(self, event: StreamEvent) -> bool:
-        """Ignore a stream's event."""
+        """Ignore an event of a stream."""
         return True
 
     def on_end(self, result: Answer | RequestError) -> None:
-        """Take the end."""
+        """Store the result."""
         self._result.set(result)
 
     def cancel(self) -> None:
-        """Give the request up; `result` then tells what is known of its run."""
+        """Cancel the request; `result` then reports whether it may have run."""
         self._task.inbox.put(CancelRequest(self._request_id))
 
     def result(self) -> Result[Answer, RequestError]:
-        """Wait for the end; a task that is killed meanwhile cancels the request."""
+        """Wait for the result.
+
+        If the waiting greenlet is killed, the request is cancelled.
+        """
         try:
             result = self._result.get()
         except BaseException:
@@ -84,9 +87,9 @@
     Parameters
     ----------
     caller : Caller
-        Caller that opened it.
+        Caller that opened the flow.
     flow_id : int
-        Its number, the same for all its tokens.
+        Identifier of the flow, the same for all its tokens.
     service : str
         Name of the service.
     """
@@ -105,21 +108,21 @@
         idempotent: bool = False,
         deadline_s: float = DEFAULT_REQUEST_S,
     ) -> Result[Answer, RequestError]:
-        """Send a request and wait for its whole answer.
+        """Send a request and wait for its complete answer.
 
         Parameters
         ----------
         method, path : str
-            As in HTTP.
+            HTTP method and path.
         headers : sequence of tuple of str
-            Headers, in order.
+            Request headers, in order.
         body : bytes
-            Body.
+            Request body.
         idempotent : bool
-            Whether running it twice does no harm. Only then is it sent again
-            when the owner of the flow is lost.
+            Whether the request may run more than once. Only idempotent requests
+            are sent again when the owner of the flow is lost.
         deadline_s : float
-            How long to wait, in seconds.
+            Time limit for the answer, in seconds.
 
         Returns
         -------
@@ -138,7 +141,10 @@
         idempotent: bool = False,
         deadline_s: float = DEFAULT_REQUEST_S,
     ) -> PendingRequest:
-        """Send a request without waiting; parameters as in `request`."""
+        """Send a request without waiting for its answer.
+
+        The parameters are those of `request`.
+        """
         head = RequestHead(method, path, list(headers), body)
         request_id = self._caller.next_request_id()
         pending = PendingRequest(self._caller.task, request_id)
@@ -154,10 +160,10 @@
         idempotent: bool = True,
         deadline_s: float = DEFAULT_STREAM_S,
     ) -> EventStream:
-        """Ask for an event stream and return an iterator over its events.
+        """Request an event stream and return an iterator over its events.
 
-        An idempotent one goes on after the last event when the owner of the flow
-        is lost. Other parameters as in `request`.
+        If the owner of the flow is lost, an idempotent stream resumes after the
+        last received event. The parameters are those of `request`.
         """
         request_id = self._caller.next_request_id()
         head = RequestHead(method, path, list(headers), body, stream=True)
@@ -186,12 +192,12 @@
         self._caller.task.inbox.put(message)
 
     def close(self) -> None:
-        """Close the flow; requests under way are cancelled."""
+        """Close the flow and cancel its requests in progress."""
         self._caller.task.inbox.put(CloseFlow(self.flow_id))
 
 
 class Caller:
-    """Opens flows through the fabric; use `open_caller` to get one.
+    """Opens flows through the fabric; created by `open_caller`.
 
     Parameters
     ----------
@@ -212,12 +218,12 @@
         return self._closing or self._greenlet.ready()
 
     def next_request_id(self) -> int:
-        """Return a number for the next request."""
+        """Return an identifier for the next request."""
         return next(self._request_ids)
 
     @property
     def counts(self) -> Counter[str]:
-        """What was dropped or repeated, by name."""
+        """Counts of dropped and repeated packets, by name."""
         return self.task.counts
 
     def open(
@@ -230,7 +236,7 @@
         service : str
             Name of the service.
         deadline_s : float
-            How long to try, in seconds.
+            Time limit for the opening, in seconds.
 
         Returns
         -------
@@ -262,7 +268,7 @@
 
 @contextmanager
 def open_caller(settings: CallerSettings) -> Iterator[Caller]:
-    """Give a caller and close it, with all its flows, at the end.
+    """Create a caller and close it, with all its flows, on exit.
 
     Examples
     --------
--- a/endivepick/client/command.py
+++ b/endivepick/client/command.py
@@ -1,4 +1,4 @@
-"""Command for people: one request through the fabric."""
+"""Commands that send one request through the fabric."""
 
 import json
 import sys
@@ -20,7 +20,7 @@
 
 __all__ = ["call", "stream"]
 
-FIRST_ERROR_STATUS = 400
+MIN_ERROR_STATUS = 400
 
 
 def call(
@@ -41,22 +41,22 @@
     service : str
         Name of the service.
     path, method, body : str
-        The request.
+        Method, path and body of the request.
     header : str or iterable of str
-        Headers as ``Name: value``.
+        Request headers as ``Name: value``.
     idempotent : bool
-        Whether running it twice does no harm.
+        Whether the request may run more than once.
     deadline_s : float
-        How long to wait, in seconds.
+        Time limit for the answer, in seconds.
     fabric : str
         ``host:port`` of the fabric.
     as_json : bool
-        Print one JSON object in place of the body.
+        Print a JSON object with status, headers and body instead of the body.
 
     Returns
     -------
     ExitCode
-        What a script can tell from the end.
+        Exit code that tells scripts how the request ended.
     """
     try:
         headers = _parse_headers(header)
@@ -82,19 +82,19 @@
     deadline_s: float = 12 * 3600.0,
     fabric: str = "127.0.0.1:7000",
 ) -> ExitCode:
-    """Print the events of a stream, one JSON object a line.
+    """Print the events of a stream, one JSON object per line.
 
     Parameters
     ----------
     service, path, deadline_s, fabric
         As in `call`.
     events : int
-        Stop after this many; 0 for all.
+        Number of events after which to stop; 0 prints all events.
 
     Returns
     -------
     ExitCode
-        What a script can tell from the end.
+        Exit code that tells scripts how the stream ended.
     """
     try:
         settings = CallerSettings(fabric_address=fabric)
@@ -121,13 +121,13 @@
     match result:
         case Success(Answer() as answer):
             _print_answer(answer, as_json)
-            failed = answer.status >= FIRST_ERROR_STATUS
+            failed = answer.status >= MIN_ERROR_STATUS
             return ExitCode.ERROR_STATUS if failed else ExitCode.OK
         case Failure(NotRun() as error):
             return _fail(error, ExitCode.NOT_RUN)
         case Failure(RequestError() as error):
             return _fail(error, ExitCode.REQUEST_OUTCOME_UNKNOWN)
-    raise TypeError(f"Not a result of a request: {result!r}.")
+    raise TypeError(f"Expected the result of a request, got {result!r}.")
 
 
 def _print_answer(answer: Answer, as_json: bool) -> None:
--- a/endivepick/client/errors.py
+++ b/endivepick/client/errors.py
@@ -1,4 +1,4 @@
-"""Ways in which opening a flow or sending a request can end without an answer."""
+"""Errors of opening a flow and of sending a request."""
 
 from endivepick.errors import EndivepickError
 
@@ -16,26 +16,27 @@
 
 
 class CallerClosed(EndivepickError):
-    """The caller was closed before the call."""
+    """The caller is closed."""
 
     def __init__(self) -> None:
         super().__init__("The caller is closed. Open a new caller.")
 
 
 class OpenRefused(EndivepickError):
-    """No flow was opened.
+    """An instance refused to open the flow.
 
     Parameters
     ----------
     reason : str
-        Why, as the instance put it.
+        Reason that the instance gave.
     retry_after_ms : int
-        When to come back, in milliseconds.
+        Delay before the next attempt, in milliseconds.
     """
 
     def __init__(self, reason: str, retry_after_ms: int) -> None:
         super().__init__(
-            f"The flow was refused ({reason}). Open it again after {retry_after_ms} ms."
+            f"The opening of the flow was refused ({reason}). "
+            f"Open it again after {retry_after_ms} ms."
         )
         self.reason = reason
         self.retry_after_ms = retry_after_ms
@@ -47,26 +48,26 @@
     Parameters
     ----------
     service : str
-        Service that the flow was for.
+        Name of the service.
     """
 
     def __init__(self, service: str) -> None:
         super().__init__(
-            f"No instance answered the opening of a flow to {service!r}. "
-            "Check the fabric's address and that instances run, then open again."
+            f"No instance answered the request to open a flow to {service!r}. "
+            "Check the fabric's address and that instances run, then try again."
         )
         self.service = service
 
 
 class RequestError(EndivepickError):
-    """A request ended without a whole answer.
+    """A request ended without a complete answer.
 
     Attributes
     ----------
     reason : str
-        Why, in short.
+        Short reason.
     retry_after_ms : int
-        When to come back, in milliseconds; 0 if nobody said.
+        Delay before the next attempt, in milliseconds; 0 if none was given.
     """
 
     def __init__(self, message: str, reason: str, retry_after_ms: int = 0) -> None:
@@ -76,38 +77,38 @@
 
 
 class NotRun(RequestError):
-    """The request did not run and never will."""
+    """The request did not run and will not run."""
 
     def __init__(self, reason: str, retry_after_ms: int = 0) -> None:
         super().__init__(
             f"The request did not run ({reason}). "
-            f"Send it again after {retry_after_ms} ms if it is still wanted.",
+            f"Send it again after {retry_after_ms} ms if it is still needed.",
             reason,
             retry_after_ms,
         )
 
 
 class OutcomeUnknown(RequestError):
-    """The request may have run, and no answer will come."""
+    """The request may have run, and no answer will arrive."""
 
     def __init__(self, reason: str, retry_after_ms: int = 0) -> None:
         super().__init__(
             f"It is unknown whether the request ran ({reason}). "
-            "Look its effect up before sending it again, unless it is idempotent.",
+            "Check its effect before sending it again, unless it is idempotent.",
             reason,
             retry_after_ms,
         )
 
 
 class GaveUp(OutcomeUnknown):
-    """The deadline passed after a part of the request had been sent."""
+    """The deadline passed after at least one part of the request was sent."""
 
     def __init__(self) -> None:
         super().__init__("deadline passed")
 
 
 class StreamAnswerError(EndivepickError):
-    """The target answered a stream's request without a stream.
+    """The target answered the request for a stream without a stream.
 
     Parameters
     ----------
@@ -117,11 +118,11 @@
 
     def __init__(self, status: int) -> None:
         super().__init__(
-            f"The target answered with status {status} in place of a stream. "
-            "Check the path and the rights of the request."
+            f"The target answered with status {status} instead of a stream. "
+            "Check the path and the permissions of the request."
         )
         self.status = status
 
 
 OpenError = OpenRefused | OpenTimedOut | CallerClosed
-"""Ways in which opening a flow can fail."""
+"""Errors of opening a flow."""
--- a/endivepick/client/measure.py
+++ b/endivepick/client/measure.py
@@ -1,6 +1,6 @@
-"""Measure how many datagrams a second the caller's core handles.
+"""Measure the throughput of the caller's protocol core, in datagrams per second.
 
-Run ``python -m endivepick.client.measure``; it prints one JSON line per case.
+``python -m endivepick.client.measure`` prints one JSON line per case.
 """
 
 import json
@@ -25,7 +25,7 @@
 FLOW_ID = 77
 BINDING = 78
 LARGE_PARTS = 8192
-LOSS_EVERY_PARTS = 20
+LOSS_INTERVAL_PARTS = 20
 SMALL_REQUESTS = 10_000
 SMALL_BODY_BYTES = 300
 ROUNDS = 5
@@ -62,9 +62,9 @@
     ]
 
 
-def _with_losses(parts: list[bytes]) -> list[bytes]:
-    """Move every 20th part behind the next 16, as after a loss and its repair."""
-    late = {index: parts[index] for index in range(5, len(parts), LOSS_EVERY_PARTS)}
+def _delay_parts(parts: list[bytes]) -> list[bytes]:
+    """Move every 20th part behind the next 16, as a loss and retransmission would."""
+    late = {index: parts[index] for index in range(5, len(parts), LOSS_INTERVAL_PARTS)}
     arriving: list[bytes] = []
     for index, part in enumerate(parts):
         if index not in late:
@@ -75,22 +75,22 @@
 
 
 def measure_large_answer() -> tuple[int, float]:
-    """Receive an 8 MB answer of which 5 % of the parts come late.
+    """Receive an 8 MB answer of which 5 % of the parts arrive late.
 
     Returns
     -------
     datagrams : int
         Datagrams received and sent.
     elapsed_s : float
-        Time taken, in seconds.
+        Elapsed time, in seconds.
     """
     core = _open_core()
     datagrams = _sent(_request(core, 1, b""))
-    parts = _with_losses(_answer(1, LARGE_PARTS, PART_SIZE_BYTES))
-    began_s = time.perf_counter()
+    parts = _delay_parts(_answer(1, LARGE_PARTS, PART_SIZE_BYTES))
+    started_s = time.perf_counter()
     for count, part in enumerate(parts):
         datagrams += 1 + _sent(core.datagram(part, now_s=count * 1e-5))
-    return datagrams, time.perf_counter() - began_s
+    return datagrams, time.perf_counter() - started_s
 
 
 def measure_small_requests() -> tuple[int, float]:
@@ -101,7 +101,7 @@
     datagrams : int
         Datagrams received and sent.
     elapsed_s : float
-        Time taken, in seconds.
+        Elapsed time, in seconds.
     """
     core = _open_core()
     arriving = [
@@ -110,12 +110,12 @@
     ]
     body = bytes(SMALL_BODY_BYTES)
     datagrams = 0
-    began_s = time.perf_counter()
+    started_s = time.perf_counter()
     for seq, received in enumerate(arriving, start=1):
         datagrams += _sent(_request(core, seq, body))
         for datagram in received:
             datagrams += 1 + _sent(core.datagram(datagram, now_s=seq * 1e-5))
-    return datagrams, time.perf_counter() - began_s
+    return datagrams, time.perf_counter() - started_s
 
 
 def _report(name: str, case: Callable[[], tuple[int, float]]) -> None:
--- a/endivepick/client/model.py
+++ b/endivepick/client/model.py
@@ -1,4 +1,4 @@
-"""Data classes that the caller's program sees."""
+"""Data classes of the public interface: answers and stream events."""
 
 from dataclasses import dataclass, field
 
@@ -9,16 +9,16 @@
 
 @dataclass(frozen=True, slots=True)
 class Answer:
-    """A whole answer.
+    """A complete answer.
 
     Attributes
     ----------
     status : int
         HTTP status.
     headers : list of tuple of str
-        Headers, in order.
+        Response headers, in order.
     body : bytes
-        Whole body.
+        Complete body.
     """
 
     status: int
@@ -41,11 +41,11 @@
     Attributes
     ----------
     event_id : str
-        Last id that the target gave, empty if it gave none.
+        Last event id that the target sent; empty if it sent none.
     event : str
-        Type of the event, ``message`` if the target named none.
+        Event type; ``message`` if the target sent none.
     data : str
-        Lines of the event, joined by newlines.
+        Data lines of the event, joined by newlines.
     """
 
     event_id: str
--- a/endivepick/client/settings.py
+++ b/endivepick/client/settings.py
@@ -8,33 +8,33 @@
 
 
 class CallerSettings(BaseModel):
-    """Settings of a caller, validated.
+    """Validated settings of a caller.
 
     Attributes
     ----------
     fabric_address : str
-        ``host:port`` of the fabric, over UDP.
+        ``host:port`` of the fabric's UDP endpoint.
     resend_min_s : float
-        Shortest time after which a datagram is sent again.
+        Minimum retransmission timeout, in seconds.
     resend_initial_s : float
-        The same before a round trip was measured.
+        Retransmission timeout until a round trip is measured, in seconds.
     resend_max_s : float
-        Longest such time.
+        Maximum retransmission timeout, in seconds.
     poll_min_s, poll_max_s : float
-        How often a caller that waits for an answer asks for it; the pace slows
-        down from the first to the second.
+        Shortest and longest interval at which a caller polls for an answer, in
+        seconds. The interval grows from the first to the second.
     answer_window_parts : int
-        Parts of an answer that the owner may send ahead, at the start.
+        Initial answer window: parts that the owner may send ahead.
     answer_window_max_parts : int
-        The same at most.
+        Maximum answer window, in parts.
     requests_per_flow : int
-        Requests of one flow that are under way at once; more wait.
+        Maximum number of concurrent requests of one flow; further requests wait.
     max_request_bytes : int
-        Longest request, encoded.
+        Maximum size of an encoded request, in bytes.
     max_answer_bytes : int
-        Longest answer that is collected.
+        Maximum size of an answer body, in bytes.
     stream_buffer_events : int
-        Events that a stream holds for a reader that is slow.
+        Maximum number of unread events that a stream buffers.
 
     Examples
     --------
@@ -62,7 +62,7 @@
     def _check_address(cls, value: str) -> str:
         host, _, port = value.rpartition(":")
         if not host or not port.isdigit() or not 0 < int(port) < 65536:
-            raise ValueError("give the fabric's address as host:port")
+            raise ValueError("fabric_address must have the form host:port")
         return value
 
     @property
--- a/endivepick/client/stream.py
+++ b/endivepick/client/stream.py
@@ -1,4 +1,4 @@
-"""Answers that live for hours, read event by event."""
+"""Long-lived answers, read event by event."""
 
 from collections.abc import Callable
 
@@ -14,26 +14,27 @@
 
 __all__ = ["EventStream"]
 
-FIRST_STATUS_WITHOUT_STREAM = 300
+MIN_NON_STREAM_STATUS = 300
 
 
 class EventStream:
-    """Iterator over the events of one stream, each delivered once and in order.
+    """Iterator over the events of one stream.
 
-    Iterating ends when the target ends the stream.
+    Each event is delivered once and in order. The iteration ends when the target
+    ends the stream.
 
     Parameters
     ----------
     max_events : int
-        Events held for the reader; a stream whose reader falls further behind
-        ends with `OutcomeUnknown`.
+        Maximum number of unread events. If the reader falls further behind, the
+        stream ends with `OutcomeUnknown`.
     cancel : callable
-        Gives the stream up.
+        Cancels the request of the stream.
 
     Raises
     ------
     RequestError
-        While iterating, if the stream ended otherwise.
+        While iterating, if the stream ended with an error.
     StreamAnswerError
         While iterating, if the target answered without a stream.
     """
@@ -47,16 +48,16 @@
         self._ended = False
         self._overflowed = False
 
-    # News from the socket task
+    # Called by the socket task
 
     def on_head(self, head: StreamHead) -> None:
-        """Take status and headers."""
+        """Receive the status and headers."""
         self._head.set(head)
-        if head.status >= FIRST_STATUS_WITHOUT_STREAM:
+        if head.status >= MIN_NON_STREAM_STATUS:
             self._failure = StreamAnswerError(head.status)
 
     def on_event(self, event: StreamEvent) -> bool:
-        """Take an event; False if the reader is too far behind."""
+        """Receive an event; return False if the reader is too far behind."""
         if self._events.qsize() >= self._max_events:
             self._overflowed = True
             return False
@@ -64,24 +65,24 @@
         return True
 
     def on_end(self, result: Answer | RequestError) -> None:
-        """Take the end."""
+        """Receive the answer or the error that ends the stream."""
         if self._overflowed:
             result = OutcomeUnknown("the reader of the stream was too slow")
         if not self._head.ready():
             self._head.set(_head_of(result))
         self._events.put(result)
 
-    # Calls of the reader
+    # Called by the reader
 
     def head(self, timeout_s: float | None = None) -> StreamHead:
-        """Wait for status and headers.
+        """Wait for the status and headers.
 
         Raises
         ------
         RequestError
-            If the request ended before them.
+            If the request ended before they arrived.
         gevent.Timeout
-            If they did not come in time.
+            If they did not arrive within ``timeout_s``.
         """
         head = self._head.get(timeout=timeout_s)
         if isinstance(head, RequestError):
@@ -105,7 +106,7 @@
         raise StopIteration
 
     def close(self) -> None:
-        """Give the stream up; the target is told."""
+        """Cancel the stream; the target is notified."""
         self._cancel()
 
 
--- a/endivepick/client/tests/fake_owner.py
+++ b/endivepick/client/tests/fake_owner.py
@@ -1,4 +1,4 @@
-"""A fake owner behind a lossy path, driven by a simulated clock."""
+"""Fake flow owner behind a lossy network path, driven by a simulated clock."""
 
 import heapq
 import json
@@ -46,7 +46,10 @@
 
 @dataclass
 class FakeOwner:
-    """Answers each request with its own body, reversed; binding 1 at first."""
+    """Fake owner that answers each request with its reversed body.
+
+    A fixed answer replaces the reversed body if ``body`` is set. The binding is 1
+    unless a test changes it."""
 
     binding: int = 1
     flow_id: int = 77
@@ -117,7 +120,7 @@
 
 
 class Simulation:
-    """Core and fake owner on one simulated clock."""
+    """Protocol core and fake owner on one simulated clock."""
 
     def __init__(self, path=None, owner=None, seed=1, settings=SETTINGS):
         self.core = CallerCore(settings)
@@ -129,7 +132,7 @@
         self.flows = {}
         self._random = random.Random(seed)
         self._queue = []
-        self._free_at_s = {}
+        self._link_free_at_s = {}
         self._count = 0
 
     def open(self, deadline_s=5.0):
@@ -145,7 +148,7 @@
         self._perform(self.core.request(call, self.now_s))
 
     def deliver(self, *packets):
-        """Hand packets to the core at once."""
+        """Deliver packets to the core without delay."""
         for packet in packets:
             self._perform(self.core.datagram(encode_packet(packet), self.now_s))
 
@@ -164,7 +167,7 @@
             self.now_s = max(self.now_s, next_s)
             self._step()
             if self.now_s >= limit_s:
-                assert condition(), "condition did not come true"
+                assert condition(), "condition not met before the time limit"
 
     def _step(self):
         self._perform(self.core.tick(self.now_s))
@@ -177,8 +180,8 @@
                 self._perform(self.core.datagram(datagram, self.now_s))
 
     def _transmit(self, to_owner, datagram):
-        sent_at_s = max(self.now_s, self._free_at_s.get(to_owner, 0.0))
-        self._free_at_s[to_owner] = sent_at_s + self.path.spacing_s
+        sent_at_s = max(self.now_s, self._link_free_at_s.get(to_owner, 0.0))
+        self._link_free_at_s[to_owner] = sent_at_s + self.path.spacing_s
         copies = 1 + (self._random.random() < self.path.duplicates)
         for _ in range(copies):
             if self._random.random() < self.path.loss:
@@ -208,17 +211,17 @@
 
 
 def measure_loss() -> None:
-    """Print how an 8 MB answer fares on a simulated path, one line per loss."""
+    """Print time and counts of an 8 MB answer, one JSON line per loss rate."""
     for loss in (0.0, 0.05, 0.1, 0.2):
         body = random.Random(1).randbytes(8 << 20)
         owner = FakeOwner(body=body)
         simulation = Simulation(Path(loss=loss, jitter_s=0.001), owner)
         simulation.open()
-        began_s = simulation.now_s
+        started_s = simulation.now_s
         simulation.request(1)
         simulation.run_until(lambda results=simulation.results: results)
         line = {"loss": loss, "whole": simulation.results[1].body == body}
-        line["time_s"] = round(simulation.now_s - began_s, 2)
+        line["time_s"] = round(simulation.now_s - started_s, 2)
         print(json.dumps(line | simulation.core.counts))
 
 
--- a/endivepick/client/tests/test_caller.py
+++ b/endivepick/client/tests/test_caller.py
@@ -1,4 +1,4 @@
-"""The caller library over a real socket, against the fake owner."""
+"""Tests of the caller library over a real socket, against the fake owner."""
 
 import io
 import unittest
@@ -25,7 +25,7 @@
 
 
 class OwnerServer:
-    """Serves a fake owner on a port of the system's choice."""
+    """Serves a fake owner on a free UDP port."""
 
     def __init__(self, owner):
         self.owner = owner
@@ -65,7 +65,7 @@
             self.assertEqual(answer.unwrap().status, 200)
         self._wait_for(FlowClosed)
 
-    def test_killed_task_cancels_its_request(self):
+    def test_killed_greenlet_cancels_its_request(self):
         with open_caller(self.settings) as caller:
             flow = caller.open("notes", deadline_s=WAIT_S).unwrap()
             self.owner.silent = True
@@ -86,7 +86,7 @@
         self.assertEqual([event.data for event in events], ["one", "two"])
         self.assertEqual(events[1].event_id, "2")
 
-    def test_open_times_out_when_nobody_answers(self):
+    def test_open_times_out_without_answer(self):
         self.owner.silent = True
         with open_caller(self.settings) as caller:
             result = caller.open("notes", deadline_s=0.2)
@@ -116,7 +116,7 @@
         code, out, _ = self._call(method="POST", body="abc", deadline_s=WAIT_S)
         self.assertEqual((code, out), (ExitCode.OK, "cba\n"))
 
-    def test_failure_to_open_has_its_code_and_remedy(self):
+    def test_open_failure_has_exit_code_and_advice(self):
         self.owner.silent = True
         code, _, err = self._call(deadline_s=0.1)
         self.assertEqual(code, ExitCode.NOT_OPENED)
--- a/endivepick/client/tests/test_core.py
+++ b/endivepick/client/tests/test_core.py
@@ -1,4 +1,4 @@
-"""The caller's core against a fake owner behind a lossy path."""
+"""Tests of the protocol core against a fake owner behind a lossy path."""
 
 import random
 import unittest
@@ -25,7 +25,7 @@
 from endivepick.core.messages import OpenRefused as OpenRefusedPacket
 
 FLOW = 77
-BAD_PATH = Path(loss=0.1, duplicates=0.1, jitter_s=0.02)
+UNRELIABLE_PATH = Path(loss=0.1, duplicates=0.1, jitter_s=0.02)
 
 
 def reissued(continues, binding, token=b"new", old_binding=1):
@@ -33,7 +33,7 @@
 
 
 class TestOpening(unittest.TestCase):
-    def test_open_repeats_with_one_id_until_answered(self):
+    def test_open_is_retransmitted_with_one_id_until_answered(self):
         simulation = Simulation(Path(loss=0.7), seed=3)
         self.assertEqual(simulation.open(deadline_s=60.0), FLOW)
         self.assertEqual({p.open_id for p in simulation.owner.sent(Open)}, {7})
@@ -49,7 +49,7 @@
         self.assertEqual(closed, {b"other"})
         self.assertEqual(simulation.flows, {7: FLOW})
 
-    def test_refusal_ends_the_opening_at_once(self):
+    def test_refusal_ends_the_opening(self):
         simulation = Simulation(owner=FakeOwner(silent=True))
         simulation._perform(simulation.core.open(7, "notes", 5.0, 0.0))
         simulation.deliver(OpenRefusedPacket(7, "overloaded", 250))
@@ -58,9 +58,9 @@
 
 
 class TestRequests(unittest.TestCase):
-    def test_many_requests_survive_a_bad_path_and_run_once(self):
+    def test_requests_on_an_unreliable_path_run_once(self):
         for seed in range(5):
-            simulation = Simulation(BAD_PATH, seed=seed)
+            simulation = Simulation(UNRELIABLE_PATH, seed=seed)
             simulation.open()
             bodies = {i: random.Random(i).randbytes(i * 700) for i in range(1, 81)}
             for request_id, body in bodies.items():
@@ -70,16 +70,16 @@
                 self.assertEqual(simulation.results[request_id].body, body[::-1])
             self.assertEqual(sorted(simulation.owner.runs), list(range(1, 81)))
 
-    def test_large_answer_arrives_through_loss_at_speed(self):
+    def test_large_answer_with_loss_arrives_within_time_limit(self):
         body = random.Random(1).randbytes(8 << 20)
         path = Path(loss=0.05, jitter_s=0.001)
         simulation = Simulation(path, FakeOwner(body=body))
         simulation.open()
-        began_s = simulation.now_s
+        started_s = simulation.now_s
         simulation.request(1)
         simulation.run_until(lambda: simulation.results)
         self.assertEqual(simulation.results[1].body, body)
-        self.assertLess(simulation.now_s - began_s, 5.0)
+        self.assertLess(simulation.now_s - started_s, 5.0)
 
     def test_large_request_arrives_whole(self):
         body = random.Random(2).randbytes(1 << 20)
@@ -90,7 +90,7 @@
         self.assertEqual(simulation.results[1].body, body[::-1])
         self.assertEqual(simulation.owner.runs, [1])
 
-    def test_crossed_answers_reach_their_own_requests(self):
+    def test_interleaved_answers_reach_their_own_requests(self):
         simulation = Simulation(owner=FakeOwner(silent=True))
         simulation.owner.silent = False
         simulation.open()
@@ -124,7 +124,7 @@
         (done,) = simulation.owner.sent(Acknowledge)
         self.assertTrue(done.done)
 
-    def test_owner_that_forgot_gets_the_parts_again(self):
+    def test_owner_without_the_request_gets_its_parts_again(self):
         simulation = Simulation()
         simulation.open()
         simulation.owner.body = b""
@@ -135,13 +135,13 @@
         simulation.run_until(lambda: len(simulation.owner.runs) == 2)
 
 
-class TestEnds(unittest.TestCase):
+class TestRequestResults(unittest.TestCase):
     def setUp(self):
         self.simulation = Simulation()
         self.simulation.open()
         self.simulation.owner.silent = True
 
-    def test_refused_is_not_run_and_is_confirmed(self):
+    def test_refusal_gives_not_run_and_is_acknowledged(self):
         self.simulation.request(1)
         self.simulation.deliver(Refused(FLOW, 1, 1, "overloaded", 300))
         self.assertIsInstance(self.simulation.results[1], NotRun)
@@ -160,14 +160,14 @@
         self.assertIsInstance(self.simulation.results[1], GaveUp)
         self.assertEqual(len(self.simulation.owner.sent(Cancel)), 3)
 
-    def test_deadline_of_a_request_that_waited_is_not_run(self):
+    def test_deadline_of_a_queued_request_gives_not_run(self):
         for request_id in range(1, 66):
             self.simulation.request(request_id, deadline_s=2.0)
         self.simulation.run_for(4.0)
         self.assertIsInstance(self.simulation.results[64], GaveUp)
         self.assertIsInstance(self.simulation.results[65], NotRun)
 
-    def test_no_number_runs_far_ahead_of_one_the_owner_may_not_know(self):
+    def test_request_numbers_stay_near_an_unconfirmed_one(self):
         for request_id in range(1, 70):
             self.simulation.request(request_id)
         for seq in range(2, 65):
@@ -181,7 +181,7 @@
     def _highest_seq(self):
         return max(part.seq for part in self.simulation.owner.sent(RequestPart))
 
-    def test_cancel_is_sent_and_leaves_the_outcome_unknown(self):
+    def test_cancellation_is_sent_and_leaves_the_outcome_unknown(self):
         self.simulation.request(1)
         self.simulation.cancel(1)
         self.simulation.run_for(1.0)
@@ -199,13 +199,13 @@
         self.assertGreater(len(parts), 1)
         self.assertEqual({part.seq for part in parts}, {1})
 
-    def test_lost_repetitions_after_a_silence_cost_no_long_wait(self):
-        reached_s = [self._reached_s(seed) for seed in range(500)]
-        self.assertLess(max(reached_s), 2.0)
-        self.assertLess(sum(at_s > 1.3 for at_s in reached_s), 10)
+    def test_lost_retransmissions_after_silence_cause_no_long_wait(self):
+        run_times_s = [self._measure_run_time_s(seed) for seed in range(500)]
+        self.assertLess(max(run_times_s), 2.0)
+        self.assertLess(sum(at_s > 1.3 for at_s in run_times_s), 10)
 
-    def _reached_s(self, seed):
-        """Return when a request reached its owner, which was silent at first."""
+    def _measure_run_time_s(self, seed):
+        """Return when a request runs at an owner that is silent for 0.4 s."""
         simulation = Simulation(seed=seed)
         simulation.open()
         simulation.path.loss = 1 / 8
@@ -216,12 +216,12 @@
         simulation.run_until(lambda: simulation.owner.runs)
         return simulation.now_s
 
-    def test_lost_polls_after_a_silence_cost_no_long_wait(self):
-        heard_s = [self._polled_s(seed) for seed in range(500)]
-        self.assertLess(max(heard_s), 2.0)
+    def test_lost_polls_after_silence_cause_no_long_wait(self):
+        poll_times_s = [self._measure_poll_time_s(seed) for seed in range(500)]
+        self.assertLess(max(poll_times_s), 2.0)
 
-    def _polled_s(self, seed):
-        """Return when an owner, silent at first, heard of an accepted request."""
+    def _measure_poll_time_s(self, seed):
+        """Return when a poll reaches an owner that is silent for 0.4 s."""
         simulation = Simulation(seed=seed)
         simulation.open()
         simulation.owner.silent = True
@@ -233,7 +233,7 @@
         simulation.run_until(lambda: len(simulation.owner.sent(Acknowledge)) > silent)
         return simulation.now_s
 
-    def test_polls_that_are_answered_come_one_at_a_time(self):
+    def test_answered_polls_are_not_sent_in_pairs(self):
         simulation = Simulation()
         simulation.open()
         simulation.request(1, deadline_s=1000.0, stream=True)
@@ -242,7 +242,7 @@
         simulation.run_for(100.0)
         self.assertLess(len(simulation.owner.sent(Acknowledge)) - before, 105)
 
-    def test_repetitions_that_nobody_answers_come_in_pairs_of_a_bounded_rate(self):
+    def test_unanswered_retransmissions_are_paired_at_a_bounded_rate(self):
         self.simulation.request(1)
         self.simulation.run_for(10.0)
         before = len(self.simulation.owner.sent(RequestPart))
@@ -268,7 +268,7 @@
         part = self._last_part()
         self.assertEqual((part.token, part.seq), (b"new", 1))
 
-    def test_new_owner_gets_all_parts_of_a_request_still_being_sent(self):
+    def test_new_owner_gets_all_parts_of_an_unconfirmed_request(self):
         self.simulation.request(1, bytes(10_000))
         self.simulation.deliver(RequestProgress(FLOW, 1, 1, 8, []))
         self.simulation.run_for(1.0)
@@ -279,7 +279,7 @@
         indexes = {part.index for part in again if part.token == b"new"}
         self.assertEqual(indexes, set(range(10)))
 
-    def test_lost_owner_ends_non_idempotent_and_repeats_idempotent_requests(self):
+    def test_owner_loss_ends_non_idempotent_and_retries_idempotent_requests(self):
         self.simulation.request(1)
         self.simulation.request(2, idempotent=True)
         self.simulation.deliver(reissued(False, 2))
@@ -287,7 +287,7 @@
         part = self._last_part()
         self.assertEqual((part.token, part.seq), (b"new", 3))
 
-    def test_refusal_of_a_second_attempt_is_not_a_not_run(self):
+    def test_refused_second_attempt_gives_unknown_outcome(self):
         self.simulation.request(1, idempotent=True)
         self.simulation.deliver(reissued(False, 2), Refused(FLOW, 2, 2, "busy", 10))
         self.assertNotIsInstance(self.simulation.results[1], NotRun)
@@ -308,7 +308,7 @@
         self.simulation.deliver(AnswerPart(FLOW, 1, 1, 0, True, b"\x92\xcc\xc8\x90"))
         self.assertNotIsInstance(self.simulation.results[1], Answer)
 
-    def test_waiting_requests_go_out_under_the_new_token(self):
+    def test_queued_requests_are_sent_under_the_new_token(self):
         for request_id in range(1, 66):
             self.simulation.request(request_id)
         self.simulation.deliver(reissued(False, 2))
@@ -316,7 +316,7 @@
         self.assertEqual((part.token, part.seq), (b"new", 65))
         self.assertNotIn(65, self.simulation.results)
 
-    def test_stream_goes_on_after_the_last_whole_event(self):
+    def test_stream_resumes_after_the_last_whole_event(self):
         owner = self.simulation.owner
         owner.silent = False
         owner.body = b"id: 4\ndata: four\n\nid: 5\ndata: fi"
@@ -330,7 +330,7 @@
         self.assertEqual(owner.heads[-1].headers, [("Last-Event-ID", "4")])
         self.assertEqual([e.data for e in self.simulation.events], ["four", "five"])
 
-    def test_idle_flow_asks_for_a_new_token_until_it_comes(self):
+    def test_idle_flow_requests_a_new_token_until_it_arrives(self):
         self.simulation.run_for(3650.0)
         self.assertGreater(len(self.simulation.owner.sent(Renew)), 1)
         self.simulation.deliver(reissued(True, 1))
--- a/endivepick/client/tests/test_retry.py
+++ b/endivepick/client/tests/test_retry.py
@@ -1,4 +1,4 @@
-"""Repetition by the optional helper."""
+"""Tests of the optional retry helper."""
 
 import unittest
 
@@ -14,8 +14,8 @@
 )
 
 
-class ScriptedFlow:
-    """Gives one result after another."""
+class FakeFlow:
+    """Flow that returns given results in order."""
 
     def __init__(self, *results):
         self.results = list(results)
@@ -31,17 +31,17 @@
         self.policy = RetryPolicy(sleep=self.waits_s.append)
 
     def _run(self, *results, idempotent=False):
-        self.flow = ScriptedFlow(*results)
+        self.flow = FakeFlow(*results)
         return request_with_retry(
             self.flow, self.policy, idempotent=idempotent, deadline_s=60.0
         )
 
-    def test_not_run_is_repeated_after_the_time_to_come_back(self):
+    def test_not_run_is_retried_after_the_requested_delay(self):
         result = self._run(NotRun("overloaded", 700), Answer(200))
         self.assertEqual(result.unwrap().status, 200)
         self.assertGreaterEqual(self.waits_s[0], 0.7)
 
-    def test_unknown_outcome_is_repeated_only_if_idempotent(self):
+    def test_unknown_outcome_is_retried_only_if_idempotent(self):
         result = self._run(OutcomeUnknown("lost"), Answer(200))
         self.assertIsInstance(result.failure(), OutcomeUnknown)
         result = self._run(OutcomeUnknown("lost"), Answer(200), idempotent=True)
@@ -56,7 +56,7 @@
         result = self._run(GaveUp(), Answer(200), idempotent=True)
         self.assertIsInstance(result.failure(), GaveUp)
 
-    def test_wait_beyond_the_deadline_is_not_begun(self):
+    def test_wait_beyond_the_deadline_is_not_started(self):
         result = self._run(NotRun("overloaded", 60_000), Answer(200))
         self.assertIsInstance(result.failure(), NotRun)
         self.assertEqual(self.waits_s, [])
--- a/endivepick/client/tests/test_robustness.py
+++ b/endivepick/client/tests/test_robustness.py
@@ -1,4 +1,4 @@
-"""Bad datagrams cost little and never raise out of the core."""
+"""Invalid datagrams cause few actions and raise no exception from the core."""
 
 import unittest
 
@@ -42,10 +42,10 @@
 
 SEQUENCES = 2_500
 LENGTH = 4
-"""Datagrams in a sequence; 10,000 in all."""
+"""Datagrams per sequence; 10,000 in total."""
 LARGE_REQUEST = bytes(40_000)
 MAX_ACTIONS = 3 * 34
-"""Three requests of 32 parts each that go out anew, with their log entries."""
+"""Three requests of 32 parts each that are sent again, with their log entries."""
 
 
 class TestBadDatagrams(unittest.TestCase):
@@ -77,7 +77,7 @@
                 self.assertLess(len(actions), MAX_ACTIONS)
                 simulation._perform(actions)
 
-    def test_parts_far_ahead_and_progress_beyond_the_end_are_ignored(self):
+    def test_part_indexes_and_progress_out_of_range_are_ignored(self):
         self.simulation.request(1)
         self.simulation.deliver(
             AnswerPart(FLOW, 1, 1, 2**40, False, b"far ahead"),
@@ -108,7 +108,7 @@
         simulation.run_until(lambda: simulation.results)
         self.assertIn("max_answer_bytes", str(simulation.results[1]))
 
-    def test_renewal_time_that_is_no_number_is_bounded(self):
+    def test_nan_renewal_time_is_bounded(self):
         packet = Reissued(FLOW, 1, b"new", 1, True, float("nan"))
         self.simulation.deliver(packet)
         self.simulation.run_for(1.0)
