--- a/endivepick/client/_core/attempt.py
+++ b/endivepick/client/_core/attempt.py
@@ -8,7 +8,6 @@
 from endivepick.client._core.receiver import PartReceiver
 from endivepick.client._core.sender import PartSender
 from endivepick.client._core.window import AnswerWindow
-from endivepick.core.codec import encode_struct
 from endivepick.core.messages import (
     Acknowledge,
     Cancel,
@@ -16,6 +15,7 @@
     RequestPart,
     RequestProgress,
 )
+from endivepick.core.packet_codec import encode_struct
 
 __all__ = ["Attempt"]
 
