--- a/endivepick/client/_core/attempt.py
+++ b/endivepick/client/_core/attempt.py
@@ -4,10 +4,10 @@
 from collections.abc import Iterable
 
 from endivepick.client._core.actions import RequestCall
-from endivepick.client._core.context import FlowContext, RepeatedPacket
+from endivepick.client._core.answer_window import AnswerWindow
+from endivepick.client._core.flow_context import FlowContext, RepeatedPacket
 from endivepick.client._core.receiver import PartReceiver
 from endivepick.client._core.sender import PartSender
-from endivepick.client._core.window import AnswerWindow
 from endivepick.core.messages import (
     Acknowledge,
     Cancel,
--- a/endivepick/client/_core/caller_core.py
+++ b/endivepick/client/_core/caller_core.py
@@ -10,8 +10,8 @@
     Outbox,
     RequestCall,
 )
-from endivepick.client._core.context import FlowContext, RepeatedPacket
 from endivepick.client._core.flow import FlowState, RequestPacket
+from endivepick.client._core.flow_context import FlowContext, RepeatedPacket
 from endivepick.client._core.opening import Opening
 from endivepick.client._core.request import RequestState
 from endivepick.client._core.timing import RoundTrip, Timers
