--- a/endivepick/daemon/__init__.py
+++ b/endivepick/daemon/__init__.py
@@ -1,1 +1,1 @@
-"""Thin gevent daemon around the decision core."""
+"""Gevent daemon that runs the decision core and performs its input and output."""
--- a/endivepick/daemon/__main__.py
+++ b/endivepick/daemon/__main__.py
@@ -3,7 +3,7 @@
 # ruff: noqa: E402
 from gevent import monkey
 
-# The libraries for HTTP have to find gevent's sockets when they are imported.
+# HTTP libraries bind the socket classes at import, so sockets are patched first.
 monkey.patch_all()
 
 import sys
--- a/endivepick/daemon/_kept_http.py
+++ b/endivepick/daemon/_kept_http.py
@@ -1,29 +1,29 @@
-"""Kept HTTP/1.1 connection for small, frequent questions."""
+"""Persistent HTTP/1.1 connection for small, frequent requests."""
 
 from http.client import HTTPConnection, HTTPException
 
-__all__ = ["AnswerError", "KeptHttp"]
+__all__ = ["HttpResponseError", "PersistentHttpConnection"]
 
-ANSWER_SIZE_BYTES_MAX = 1 << 20
+RESPONSE_SIZE_BYTES_MAX = 1 << 20
 
 
-class AnswerError(Exception):
-    """The other side's answer is no HTTP, too long or cut off."""
+class HttpResponseError(Exception):
+    """The response is not valid HTTP, too large or incomplete."""
 
 
-class KeptHttp:
-    """One connection, opened when it is needed and kept while it works.
+class PersistentHttpConnection:
+    """Connection that is opened on demand and reused until it fails.
 
-    It never sends a request again by itself.
+    Failed requests are not retried.
 
     Parameters
     ----------
     address : tuple of (str, int)
-        IPv4 number and port to connect to.
+        IPv4 address and port to connect to.
     source : tuple of (str, int)
-        IPv4 number and port to connect from.
+        IPv4 address and port to connect from.
     timeout_s : float
-        Longest wait for the connection and for each read, in seconds.
+        Timeout of the connection attempt and of each read, in seconds.
     """
 
     def __init__(
@@ -32,41 +32,41 @@
         self._connection = HTTPConnection(
             *address, timeout=timeout_s, source_address=source
         )
-        # A kept connection is opened by us alone, so that its age is known.
+        # Only `get` opens the connection, so that the caller knows its age.
         self._connection.auto_open = 0
 
     @property
     def is_open(self) -> bool:
-        """Whether a connection of an earlier question is kept."""
+        """Whether a connection from an earlier request is open."""
         return self._connection.sock is not None
 
     def get(self, path: str) -> bytes:
-        """Return the body of the answer, whatever its status.
+        """Return the body of the response, whatever its status.
 
         Raises
         ------
         OSError
-            If there is no connection or it breaks.
-        AnswerError
-            If the answer cannot be read.
+            If the connection cannot be opened or breaks.
+        HttpResponseError
+            If the response cannot be read.
         """
         if not self.is_open:
             self._connection.connect()
         try:
             self._connection.request("GET", path)
             response = self._connection.getresponse()
-            body = response.read(ANSWER_SIZE_BYTES_MAX + 1)
+            body = response.read(RESPONSE_SIZE_BYTES_MAX + 1)
         except ConnectionError:
             raise
         except HTTPException as error:
-            raise AnswerError(str(error)) from error
-        if len(body) > ANSWER_SIZE_BYTES_MAX:
-            raise AnswerError("The answer is longer than a megabyte.")
+            raise HttpResponseError(str(error)) from error
+        if len(body) > RESPONSE_SIZE_BYTES_MAX:
+            raise HttpResponseError("Response body exceeds 1 MiB.")
         if not response.isclosed():
             response.close()
             self.close()
         return body
 
     def close(self) -> None:
-        """Close the connection; the next question opens another."""
+        """Close the connection; the next request opens a new one."""
         self._connection.close()
--- a/endivepick/daemon/fabric.py
+++ b/endivepick/daemon/fabric.py
@@ -1,4 +1,4 @@
-"""Task that owns the datagram socket towards the fabric."""
+"""Task that owns the datagram socket to the fabric."""
 
 import socket
 from collections.abc import Callable, Iterator
@@ -17,14 +17,14 @@
 __all__ = ["FabricTask", "PREFIX_SIZE_BYTES", "fabric_task", "pack_prefix"]
 
 PREFIX_SIZE_BYTES = 6
-"""Caller's IPv4 address and port, which the fabric puts before each datagram."""
+"""IPv4 address and port of the caller, which the fabric prepends to each datagram."""
 RECEIVE_SIZE_BYTES = 2048
 SOCKET_BUFFER_BYTES = 4 << 20
 _log = PartLog("fabric")
 
 
 def pack_prefix(caller: CallerAddress) -> bytes:
-    """Encode a caller's address.
+    """Encode the address of a caller as a datagram prefix.
 
     Examples
     --------
@@ -42,14 +42,14 @@
 
 
 class FabricTask:
-    """Receives callers' datagrams and sends answers.
+    """Receives datagrams from callers and sends answers.
 
     Parameters
     ----------
     settings : DaemonSettings
-        Data address and the fabric's return address.
+        Settings with the data address and the return address of the fabric.
     deliver : callable
-        Takes each ``CallerDatagram``.
+        Called with each ``CallerDatagram``.
     """
 
     def __init__(
@@ -68,7 +68,7 @@
         return f"{host}:{port}"
 
     def run(self) -> None:
-        """Receive until the task is killed."""
+        """Receive datagrams until the task is killed."""
         while True:
             datagram, sender = self._socket.recvfrom(RECEIVE_SIZE_BYTES)
             self._last_sender = sender
@@ -78,7 +78,7 @@
             self._deliver(CallerDatagram(caller, datagram[PREFIX_SIZE_BYTES:]))
 
     def send(self, caller: CallerAddress, packet: InstancePacket) -> None:
-        """Send one packet; a full socket buffer loses it, as a network may."""
+        """Send one packet; it is lost if the socket buffer is full."""
         destination = self._return or self._last_sender
         if destination is None:
             return
@@ -87,7 +87,7 @@
                 pack_prefix(caller) + encode_packet(packet), destination
             )
         except OSError as error:
-            _log.debug("send_failed", "datagram not sent", reason=str(error))
+            _log.debug("send_failed", "datagram could not be sent", reason=str(error))
 
     def close(self) -> None:
         """Close the socket."""
--- a/endivepick/daemon/http.py
+++ b/endivepick/daemon/http.py
@@ -26,15 +26,15 @@
 
 @dataclass(frozen=True)
 class ReadinessChanged:
-    """Message to the task: whether this instance can serve, and why not."""
+    """Message with the readiness of this instance; a reason if it is not ready."""
 
     ready: bool
     reason: str = ""
 
 
 @dataclass(frozen=True)
-class _Answer:
-    """One HTTP answer."""
+class _Response:
+    """One HTTP response."""
 
     status: str
     body: bytes
@@ -42,21 +42,21 @@
 
 
 class HttpTask:
-    """Server task that owns its socket and takes readiness as messages.
+    """Server task that owns its socket and receives readiness changes as messages.
 
     Parameters
     ----------
     settings : ListenSettings
         Address to bind.
     metrics : DaemonMetrics
-        What ``/metrics`` renders.
+        Metrics rendered at ``/metrics``.
     status : callable
-        Gives the snapshot for ``/status``: anything that msgspec encodes as JSON.
+        Returns the snapshot for ``/status``: any object that msgspec encodes as JSON.
 
     Attributes
     ----------
     inbox : gevent.queue.Queue of ReadinessChanged
-        Messages to this task.
+        Readiness changes sent to this task.
     """
 
     def __init__(
@@ -71,7 +71,7 @@
         self._readiness = ReadinessChanged(False, "starting")
         self._server = WSGIServer(
             parse_address(settings.http_address),
-            self._serve,
+            self._handle_request,
             log=None,
             error_log=None,
             spawn=Pool(_CONNECTIONS_MAX),
@@ -84,7 +84,7 @@
         return f"{self._server.server_host}:{self._server.server_port}"
 
     def start(self) -> None:
-        """Bind the address and serve.
+        """Bind the address and serve requests.
 
         Raises
         ------
@@ -92,14 +92,19 @@
             If the address cannot be bound.
         """
         self._server.start()
-        # Accepted sockets inherit it.  The server sends head and body apart; without
-        # it the body waits for the client's delayed acknowledgement, about 40 ms.
+        # Accepted sockets inherit the option. The server sends head and body
+        # separately; without the option Nagle's algorithm holds the body back until
+        # the client's delayed acknowledgement, about 40 ms.
         self._server.socket.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         self._reader = gevent.spawn(self._read_inbox)
-        _log.event("http_listening", "listening for operators", address=self.address)
+        _log.event(
+            "http_listening",
+            "listening for requests of operators",
+            address=self.address,
+        )
 
     def stop(self) -> None:
-        """Close the socket; answers in progress have a second to end."""
+        """Close the socket; responses in progress have 1 s to complete."""
         self._server.stop(timeout=_STOP_TIMEOUT_S)
         if self._reader is not None:
             self._reader.kill()
@@ -114,49 +119,49 @@
                 reason=message.reason,
             )
 
-    def _serve(
+    def _handle_request(
         self, environ: dict[str, Any], start_response: Callable[..., Any]
     ) -> Iterable[bytes]:
-        answer = self._answer(environ)
+        response = self._build_response(environ)
         headers = [
-            ("Content-Type", answer.content_type),
-            ("Content-Length", str(len(answer.body))),
+            ("Content-Type", response.content_type),
+            ("Content-Length", str(len(response.body))),
         ]
-        start_response(answer.status, headers)
-        return [] if environ["REQUEST_METHOD"] == "HEAD" else [answer.body]
+        start_response(response.status, headers)
+        return [] if environ["REQUEST_METHOD"] == "HEAD" else [response.body]
 
-    def _answer(self, environ: dict[str, Any]) -> _Answer:
+    def _build_response(self, environ: dict[str, Any]) -> _Response:
         if environ["REQUEST_METHOD"] not in ("GET", "HEAD"):
-            return _Answer("405 Method Not Allowed", b"Use GET.\n")
+            return _Response("405 Method Not Allowed", b"Use GET.\n")
         match environ["PATH_INFO"]:
             case "/metrics":
-                return self._metrics_answer(environ.get("HTTP_ACCEPT", ""))
+                return self._metrics_response(environ.get("HTTP_ACCEPT", ""))
             case "/healthz":
-                return _Answer("200 OK", b"ok\n")
+                return _Response("200 OK", b"ok\n")
             case "/readyz":
-                return self._ready_answer()
+                return self._readiness_response()
             case "/status":
                 body = msgspec.json.encode(self._status(), enc_hook=str)
-                return _Answer("200 OK", body + b"\n", "application/json")
+                return _Response("200 OK", body + b"\n", "application/json")
         paths = b"Use /metrics, /healthz, /readyz or /status.\n"
-        return _Answer("404 Not Found", paths)
+        return _Response("404 Not Found", paths)
 
-    def _metrics_answer(self, accept: str) -> _Answer:
+    def _metrics_response(self, accept: str) -> _Response:
         body, headers = self._metrics.render([accept])
-        return _Answer("200 OK", body, headers["Content-Type"])
+        return _Response("200 OK", body, headers["Content-Type"])
 
-    def _ready_answer(self) -> _Answer:
+    def _readiness_response(self) -> _Response:
         if self._readiness.ready:
-            return _Answer("200 OK", b"ready\n")
+            return _Response("200 OK", b"ready\n")
         reason = f"not ready: {self._readiness.reason}\n"
-        return _Answer("503 Service Unavailable", reason.encode())
+        return _Response("503 Service Unavailable", reason.encode())
 
 
 @contextmanager
 def http_task(
     settings: ListenSettings, metrics: DaemonMetrics, status: Callable[[], Any]
 ) -> Iterator[HttpTask]:
-    """Serve the operators' endpoints while the context is open."""
+    """Serve the endpoints for operators while the context is open."""
     task = HttpTask(settings, metrics, status)
     task.start()
     try:
--- a/endivepick/daemon/logs.py
+++ b/endivepick/daemon/logs.py
@@ -1,10 +1,10 @@
-"""Log events of one process as JSON lines, written through eliot.
+"""Log of one process as JSON lines, written through eliot.
 
 Each line has ``at_s`` (wall time), ``clock`` (hybrid logical clock),
 ``process``, ``part``, ``event``, ``level``, ``message`` (short sentence that
-starts with the part's prefix) and the ids that the event is about.  Events go
-straight to eliot's logger: its actions would draw a random id for each event,
-while here the request key ties the events of one request together.
+starts with the prefix of the part) and the ids of the objects concerned.  Events
+are passed to eliot's logger directly and not to its actions, which would draw a
+random id for each event; the request key correlates the events of one request.
 """
 
 import sys
@@ -23,25 +23,25 @@
 
 _SEVERITY: dict[LogLevel, int] = {"debug": 0, "info": 1, "warning": 2, "error": 3}
 _SEVERITY_OFF = len(_SEVERITY)
-_HEX_IDS = frozenset({"flow", "binding", "incarnation", "successor"})
-"""Ids of 64 bits: written in hexadecimal, since JSON readers lose their low bits."""
+_HEX_FIELDS = frozenset({"flow", "binding", "incarnation", "successor"})
+"""64-bit ids, written in hexadecimal because JSON readers lose their low bits."""
 
 _eliot_logger = eliot.Logger()
 _encoder = msgspec.json.Encoder(enc_hook=str)
 
 
 class _Threshold:
-    """Least severity that is written, shared by all parts of the process.
+    """Lowest severity that is written, shared by all parts of the process.
 
-    Nothing is written before ``process_log`` opens: eliot would keep such events
-    and hand them to the first destination, whatever its level.
+    Nothing is written before ``process_log`` opens, because eliot would buffer such
+    events and pass them to the first destination, whatever its level.
     """
 
     severity = _SEVERITY_OFF
 
 
 def request_key(flow: int, binding: int, seq: int) -> str:
-    """Name a request in logs and towards targets.
+    """Return the key of a request in logs and in requests to targets.
 
     Examples
     --------
@@ -69,21 +69,21 @@
         self.prefix = prefix
 
     def debug(self, name: str, message: str, **ids: Any) -> None:
-        """Write an event that happens for each request or packet."""
+        """Write an event that occurs for each request or packet."""
         if _Threshold.severity <= _SEVERITY["debug"]:
             self._write("debug", name, message, ids)
 
     def event(self, name: str, message: str, **ids: Any) -> None:
-        """Write an event that changes a role, a record, a flow or a peer's state.
+        """Write a change of a role, a record, a flow or the state of a peer.
 
         Parameters
         ----------
         name : str
-            Stable name that programs filter by, for example ``"flow_opened"``.
+            Stable name for filters, for example ``"flow_opened"``.
         message : str
             Short sentence without the prefix.
         **ids
-            What the event is about: ``flow``, ``binding``, ``seq``, ``request``,
+            Objects concerned: ``flow``, ``binding``, ``seq``, ``request``,
             ``target``, ``service``, ``record``, ``version``, ``peer``,
             ``incarnation`` and others; JSON values or objects with a ``str`` form.
         """
@@ -91,19 +91,19 @@
             self._write("info", name, message, ids)
 
     def warning(self, name: str, message: str, **ids: Any) -> None:
-        """Write an event that an operator may want to look at."""
+        """Write an event that may need attention by an operator."""
         if _Threshold.severity <= _SEVERITY["warning"]:
             self._write("warning", name, message, ids)
 
     def error(self, name: str, message: str, **ids: Any) -> None:
-        """Write a failure that an operator has to look at."""
+        """Write a failure that needs attention by an operator."""
         if _Threshold.severity <= _SEVERITY["error"]:
             self._write("error", name, message, ids)
 
     def _write(
         self, level: LogLevel, name: str, message: str, ids: dict[str, Any]
     ) -> None:
-        for key in _HEX_IDS & ids.keys():
+        for key in _HEX_FIELDS & ids.keys():
             if isinstance(ids[key], int):
                 ids[key] = f"{ids[key]:016x}"
         fields = {
@@ -116,7 +116,7 @@
 
 
 class _LineWriter:
-    """Eliot destination that stamps events and writes one line for each."""
+    """Eliot destination that adds time stamps and writes one line per event."""
 
     def __init__(
         self,
@@ -154,10 +154,10 @@
     process : str
         Name of the instance or caller.
     clock : HybridClock or None
-        The clock whose stamps also travel with peer messages; None in callers,
-        whose packets carry no stamps.
+        Clock whose time stamps are also sent in peer messages; None in callers,
+        whose packets carry no time stamps.
     wall_time : callable
-        Gives seconds since 1970.
+        Returns seconds since 1970.
 
     Raises
     ------
@@ -178,7 +178,7 @@
 
 @contextmanager
 def _open_stream(path: str) -> Iterator[BinaryIO]:
-    """Open without buffer, so that no line is lost when the process is killed."""
+    """Open the log unbuffered, so that no line is lost if the process is killed."""
     if not path:
         yield sys.stderr.buffer
         return
--- a/endivepick/daemon/metrics.py
+++ b/endivepick/daemon/metrics.py
@@ -1,4 +1,4 @@
-"""Metrics of one instance in aioprometheus's registry."""
+"""Metrics of one instance in a registry of aioprometheus."""
 
 from collections import Counter as Counts
 from collections.abc import Callable, Mapping, Sequence
@@ -11,12 +11,12 @@
 
 __all__ = ["COUNTERS", "DaemonMetrics", "RoleGauges"]
 
-_ANSWER_BUCKETS_S = (
+_TIME_TO_ANSWER_BUCKETS_S = (
     *(0.001, 0.0025, 0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 0.5),
     *(1.0, 2.5, 5.0, 10.0, 30.0, float("inf")),
 )
 _NO_LABELS: dict[str, str] = {}
-_PLAIN = ("reason", "")
+_DEFAULT_COUNTER = ("reason", "")
 COUNTERS = {
     "refused": ("reason", "Requests answered as not run, by reason."),
     "outcome_unknown": (
@@ -40,12 +40,12 @@
     "key_checks": ("result", "Looks whether a pending key may sign, by result."),
     "platform_calls": ("result", "Calls of the platform's object API, by result."),
 }
-"""Label and meaning of each counter, by the name of the core's ``Count`` action."""
+"""Label name and help text of each counter, by the name in the ``Count`` action."""
 
 
 @dataclass(frozen=True)
 class RoleGauges:
-    """What an instance holds at present, for each of its roles.
+    """Current gauge values of an instance, for each of its roles.
 
     Attributes
     ----------
@@ -54,17 +54,17 @@
     flows_held : int
         Flows whose replay window this instance holds.
     flows_relayed : int
-        Flows that it relayed packets of since the gauges were last set.
+        Flows with relayed packets since the gauges were last set.
     requests_in_progress : int
         Requests sent to targets and not answered.
     requests_waiting : int
-        Requests in the queues of the services that it owns.
+        Requests queued in the services that this instance owns.
     peers : mapping of PeerState to int
         Number of peers in each state.
     records_revision : int
-        Revision of the store up to which this instance lacks no change.
+        Store revision up to which this instance has every change.
     record_versions : mapping of str to int
-        Version in force for each record with a dispatcher here.
+        Version in force of each record with a dispatcher on this instance.
     """
 
     services_owned: int = 0
@@ -78,7 +78,7 @@
 
 
 class DaemonMetrics:
-    """Counters, gauges and the histogram of one instance.
+    """Counters, gauges and histograms of one instance.
 
     Examples
     --------
@@ -92,18 +92,19 @@
     def __init__(self) -> None:
         self._registry = Registry()
         self._counters = {
-            name: self._counter(name, text) for name, (_, text) in COUNTERS.items()
+            name: self._counter(name, help_text)
+            for name, (_, help_text) in COUNTERS.items()
         }
         time_to_answer = Histogram(
             "endivepick_time_to_answer_seconds",
             "Time from the whole request at the owner to its answer, by service.",
             registry=self._registry,
-            buckets=_ANSWER_BUCKETS_S,
+            buckets=_TIME_TO_ANSWER_BUCKETS_S,
         )
-        self._distributions = {"time_to_answer_s": time_to_answer}
-        self._held = {
-            name: self._gauge(name, text)
-            for name, text in (
+        self._histograms = {"time_to_answer_s": time_to_answer}
+        self._role_gauges = {
+            name: self._gauge(name, help_text)
+            for name, help_text in (
                 ("services_owned", "Services whose owner this instance is."),
                 ("flows_held", "Flows whose replay window this instance holds."),
                 ("flows_relayed", "Flows relayed since the gauges were last set."),
@@ -112,89 +113,89 @@
                 ("records_revision", "Revision of the configuration held."),
             )
         }
-        self._traffic = {
-            name: self._gauge(f"peer_{name}", text)
-            for name, text in (
+        self._traffic_gauges = {
+            name: self._gauge(f"peer_{name}", help_text)
+            for name, help_text in (
                 ("messages_sent", "Messages sent to peers since the start."),
                 ("messages_received", "Messages of peers since the start."),
                 ("bytes_sent", "Their encoded bytes, without encryption."),
                 ("bytes_received", "Their encoded bytes, without encryption."),
             )
         }
-        self._dropped = self._gauge(
+        self._dropped_gauge = self._gauge(
             "peer_messages_dropped", "Messages of peers not read, by reason."
         )
-        self._peers = self._gauge("peers", "Peers, by state.")
-        self._record_version = self._gauge(
+        self._peers_gauge = self._gauge("peers", "Peers, by state.")
+        self._record_version_gauge = self._gauge(
             "record_version", "Version in force of records with a dispatcher here."
         )
-        # Counting happens for each packet, reading now and then.
-        self._counted: Counts[tuple[str, str]] = Counts()
-        self._collect: Callable[[], None] = lambda: None
+        # Counts are buffered, because counting is per packet and rendering is rare.
+        self._pending_counts: Counts[tuple[str, str]] = Counts()
+        self._collect_gauges: Callable[[], None] = lambda: None
 
-    def _counter(self, name: str, text: str) -> Counter:
-        return Counter(f"endivepick_{name}_total", text, registry=self._registry)
+    def _counter(self, name: str, help_text: str) -> Counter:
+        return Counter(f"endivepick_{name}_total", help_text, registry=self._registry)
 
-    def _gauge(self, name: str, text: str) -> Gauge:
-        return Gauge(f"endivepick_{name}", text, registry=self._registry)
+    def _gauge(self, name: str, help_text: str) -> Gauge:
+        return Gauge(f"endivepick_{name}", help_text, registry=self._registry)
 
-    def collect_with(self, collect: Callable[[], None]) -> None:
-        """Have gauges set by a callable when they are read, not before."""
-        self._collect = collect
+    def set_collector(self, collect: Callable[[], None]) -> None:
+        """Set the callable that updates the gauges before each rendering."""
+        self._collect_gauges = collect
 
     def observe(self, name: str, label: str, value: float) -> None:
-        """Add a value to a distribution.
+        """Add a value to a histogram.
 
         Parameters
         ----------
         name : str
-            What was measured, as in the decision core's ``Observe`` action.
+            Name of the quantity, as in the ``Observe`` action of the decision core.
         label : str
-            Service.
+            Name of the service.
         value : float
-            In the unit that the name ends in.
+            Value in the unit given by the suffix of the name.
         """
-        self._distributions[name].observe({"service": label}, value)
+        self._histograms[name].observe({"service": label}, value)
 
     def count(self, name: str, label: str = "", amount: int = 1) -> None:
-        """Count events.
+        """Increment a counter.
 
         Parameters
         ----------
         name : str
-            What happened, as in the decision core's ``Count`` action.
+            Name of the counter, as in the ``Count`` action of the decision core.
         label : str
             Reason or service; empty if the counter has none.
         amount : int
-            How many.
+            Increment.
         """
-        self._counted[name, label] += amount
+        self._pending_counts[name, label] += amount
 
     def _flush_counts(self) -> None:
-        """Hand what was counted since the last reading to the registry."""
-        for (name, label), amount in self._counted.items():
+        """Add the counts since the last rendering to the registry."""
+        for (name, label), amount in self._pending_counts.items():
             if name not in self._counters:
                 self._counters[name] = self._counter(name, name.replace("_", " "))
-            key = COUNTERS.get(name, _PLAIN)[0]
+            key = COUNTERS.get(name, _DEFAULT_COUNTER)[0]
             self._counters[name].add({key: label} if label else _NO_LABELS, amount)
-        self._counted.clear()
+        self._pending_counts.clear()
 
     def set_roles(self, gauges: RoleGauges) -> None:
-        """Replace all gauges."""
-        for name, gauge in self._held.items():
+        """Replace the values of all role gauges."""
+        for name, gauge in self._role_gauges.items():
             gauge.set(_NO_LABELS, getattr(gauges, name))
         for state in PeerState:
-            self._peers.set({"state": state.value}, gauges.peers.get(state, 0))
-        self._record_version.values.clear()
+            self._peers_gauge.set({"state": state.value}, gauges.peers.get(state, 0))
+        self._record_version_gauge.values.clear()
         for record, version in gauges.record_versions.items():
-            self._record_version.set({"record": record}, version)
+            self._record_version_gauge.set({"record": record}, version)
 
-    def set_traffic(self, traffic: PeerTraffic) -> None:
-        """Show what went to and came from peers."""
-        for name, gauge in self._traffic.items():
+    def set_peer_traffic(self, traffic: PeerTraffic) -> None:
+        """Set the gauges of peer traffic."""
+        for name, gauge in self._traffic_gauges.items():
             gauge.set(_NO_LABELS, getattr(traffic, name))
         for reason, count in traffic.dropped.items():
-            self._dropped.set({"reason": reason}, count)
+            self._dropped_gauge.set({"reason": reason}, count)
 
     def render(self, accepts: Sequence[str]) -> tuple[bytes, dict[str, str]]:
         """Render all metrics.
@@ -202,13 +203,13 @@
         Parameters
         ----------
         accepts : sequence of str
-            ``Accept`` headers of the reader.
+            ``Accept`` headers of the HTTP request.
 
         Returns
         -------
         tuple of (bytes, dict)
-            Body and headers of the HTTP answer.
+            Body and headers of the HTTP response.
         """
         self._flush_counts()
-        self._collect()
+        self._collect_gauges()
         return render(self._registry, accepts)
--- a/endivepick/daemon/peers.py
+++ b/endivepick/daemon/peers.py
@@ -1,9 +1,9 @@
-"""Task that owns the sockets between instances.
+"""Task that owns the sockets for messages between instances.
 
-Each instance binds one ROUTER socket and connects one DEALER socket to each peer
-that it speaks to; messages go one way.  All sockets use CURVE with one key pair
-that the instances derive from their shared secret: only its holders can connect,
-and keys for tokens travel encrypted.
+Each instance binds one ROUTER socket to receive and connects one DEALER socket to
+each peer that it sends to.  All sockets use CURVE with one key pair, which the
+instances derive from their shared secret: only holders of the secret can connect,
+and token keys are encrypted in transit.
 """
 
 import time
@@ -35,39 +35,39 @@
 __all__ = ["PeerTask", "PeerTraffic", "curve_keys", "peer_task"]
 
 ZAP_ENDPOINT = "inproc://zeromq.zap.01"
-SEND_QUEUE_MESSAGES = 4096
-RECONNECT_MS = 50
-RECONNECT_MAX_MS = 500
-HEARTBEAT_MS = 1000
+QUEUE_MESSAGES_MAX = 4096
+RECONNECT_DELAY_MS = 50
+RECONNECT_DELAY_MAX_MS = 500
+HEARTBEAT_PERIOD_MS = 1000
 HEARTBEATS_PER_S = 16
-"""Heartbeats that this instance sends on all its connections, about."""
-HEARTBEATS_MISSED = 3
-UNACKNOWLEDGED_MS = 3000
-"""Time after which a connection that carries data without an answer is closed."""
-HANDSHAKE_MS = 3000
-"""Time after which a connection without a finished handshake is made anew."""
-LAST_MESSAGES_MS = 300
-"""How long the messages of an instance that ends may take, in milliseconds."""
+"""Approximate rate of heartbeats that this instance sends on all connections."""
+MISSED_HEARTBEATS_MAX = 3
+RETRANSMISSION_TIMEOUT_MS = 3000
+"""Time after which a connection with unacknowledged data is closed."""
+HANDSHAKE_TIMEOUT_MS = 3000
+"""Time after which a connection with an incomplete handshake is reopened."""
+CLOSE_LINGER_MS = 300
+"""Time for sending the last messages when an instance ends."""
 MESSAGE_BYTES_MAX = 64 << 20
 CONNECTIONS_MAX = 900
-"""Connections kept to peers; the library has 1,023 sockets for a process."""
-RENEW_AFTER_S = 3.0
-"""Time without a connection after which the socket to a peer is made anew."""
-IDLE_S = 30.0
-"""Time after which a connection on which nothing was sent is closed."""
-IDLE_CHECK_S = 5.0
+"""Open connections to peers; the library allows 1,023 sockets per process."""
+RECREATE_SOCKET_AFTER_S = 3.0
+"""Time without a connection after which the socket to a peer is recreated."""
+IDLE_TIMEOUT_S = 30.0
+"""Time without a sent message after which a connection is closed."""
+IDLE_CHECK_PERIOD_S = 5.0
 _log = PartLog("peers")
 
 
 @dataclass(slots=True)
-class _Link:
+class _PeerConnection:
     """Connection to a peer."""
 
     address: str
     dealer: Any
-    used_s: float
-    failing_since_s: float = 0.0
-    """When the first send failed after the last that went out; 0 if none did."""
+    last_used_s: float
+    first_failure_s: float = 0.0
+    """Time of the first failed send since the last successful one; 0 if none failed."""
 
 
 @dataclass
@@ -77,11 +77,11 @@
     Attributes
     ----------
     messages_sent, messages_received : int
-        Messages.
+        Number of messages.
     bytes_sent, bytes_received : int
-        Their encoded sizes, without encryption and the layers below.
+        Encoded size of the messages, without encryption and lower layers.
     dropped : dict of str to int
-        Messages of peers that could not be read, by reason.
+        Number of received messages that could not be decoded, by reason.
     """
 
     messages_sent: int = 0
@@ -90,8 +90,8 @@
     bytes_received: int = 0
     dropped: dict[str, int] = field(default_factory=dict)
 
-    def drop(self, reason: str) -> int:
-        """Count a message that could not be read; returns how many there were."""
+    def count_dropped(self, reason: str) -> int:
+        """Count a message that could not be decoded; return the new count."""
         self.dropped[reason] = self.dropped.get(reason, 0) + 1
         return self.dropped[reason]
 
@@ -102,7 +102,7 @@
     Parameters
     ----------
     secret : bytes
-        Secret that all instances share.
+        Secret shared by all instances.
 
     Returns
     -------
@@ -120,18 +120,18 @@
     Parameters
     ----------
     settings : DaemonSettings
-        Peer address and shared secret.
+        Settings with the peer address and the shared secret.
     incarnation : int
         Incarnation of this instance, sent with each message.
     clock : HybridClock
-        Its stamps travel with each message.
+        Clock whose time stamps are sent in each message.
     deliver : callable
-        Takes each ``PeerMessage``.
+        Called with each ``PeerMessage``.
 
     Attributes
     ----------
     traffic : PeerTraffic
-        What was sent and received.
+        Counts of sent and received messages.
     """
 
     def __init__(
@@ -148,27 +148,27 @@
         self._keys = curve_keys(settings.secrets.peer_secret)
         self._host, port = parse_address(settings.listen.peer_address)
         self._context = zmq.Context()
-        self._zap = self._open_zap()
-        self._router = self._open_router(port)
-        # The one used last stands last.
-        self._links: dict[str, _Link] = {}
+        self._zap = self._bind_zap()
+        self._router = self._bind_router(port)
+        # Ordered by last use; the most recently used connection is last.
+        self._connections: dict[str, _PeerConnection] = {}
         self.traffic = PeerTraffic()
 
-    def _open_zap(self) -> Any:
+    def _bind_zap(self) -> Any:
         zap = self._context.socket(zmq.REP)
         zap.linger = 0
         zap.bind(ZAP_ENDPOINT)
         return zap
 
-    def _open_router(self, port: int) -> Any:
+    def _bind_router(self, port: int) -> Any:
         router = self._context.socket(zmq.ROUTER)
         router.curve_publickey, router.curve_secretkey = self._keys
         router.curve_server = True
         router.linger = 0
-        router.rcvhwm = SEND_QUEUE_MESSAGES
+        router.rcvhwm = QUEUE_MESSAGES_MAX
         router.setsockopt(zmq.MAXMSGSIZE, MESSAGE_BYTES_MAX)
-        wanted = f"tcp://{self._host}:{port or '*'}"
-        router.bind(wanted)
+        bind_endpoint = f"tcp://{self._host}:{port or '*'}"
+        router.bind(bind_endpoint)
         return router
 
     @property
@@ -178,35 +178,44 @@
         return endpoint.removeprefix("tcp://")
 
     def run(self) -> None:
-        """Receive until the task is killed."""
+        """Receive messages until the task is killed."""
         plain: zmq_plain.Socket[bytes] = zmq_plain.Socket.shadow(self._router)
         while True:
-            # Waits; what has come in meanwhile is taken without its bookkeeping.
-            self._take(self._router.recv_multipart()[-1])
+            # The green socket blocks for one message; further queued messages are read
+            # from the plain socket, which avoids the overhead of the green one.
+            self._receive_message(self._router.recv_multipart()[-1])
             with suppress(zmq.Again):
                 while True:
-                    self._take(plain.recv_multipart(zmq.NOBLOCK)[-1])
+                    self._receive_message(plain.recv_multipart(zmq.NOBLOCK)[-1])
 
-    def _take(self, data: bytes) -> None:
+    def _receive_message(self, data: bytes) -> None:
         self.traffic.messages_received += 1
         self.traffic.bytes_received += len(data)
         try:
             envelope = decode_envelope(data)
         except PacketInvalidError as error:
-            # Newer builds may send many: the counter tells about the others.
-            if self.traffic.drop(error.reason) == 1 or error.reason != UNKNOWN_KIND:
-                _log.warning("message_invalid", "message dropped", reason=error.reason)
+            # Newer builds may send many messages of unknown kinds: only the first is
+            # logged, the counter covers the others.
+            if (
+                self.traffic.count_dropped(error.reason) == 1
+                or error.reason != UNKNOWN_KIND
+            ):
+                _log.warning(
+                    "message_invalid",
+                    "message could not be decoded; dropped",
+                    reason=error.reason,
+                )
             return
         self._clock.observe(envelope.clock, time.time())
         self._deliver(
             PeerMessage(envelope.sender, envelope.incarnation, envelope.message)
         )
 
-    def run_zap(self) -> None:
-        """Answer the library's questions whether a client may connect.
+    def run_authentication(self) -> None:
+        """Answer authentication requests of the library for connecting clients.
 
-        Questions and answers have the form of the ZeroMQ authentication protocol
-        (RFC 27): the client's public key is the last frame of a question.
+        Requests and replies follow the ZeroMQ authentication protocol (RFC 27): the
+        public key of the client is the last frame of a request.
         """
         while True:
             frames = self._zap.recv_multipart()
@@ -216,7 +225,7 @@
             self._zap.send_multipart([version, request_id, *status, b"", b""])
 
     def send(self, name: str, address: str, message: AnyPeerMessage) -> bool:
-        """Send to a peer; False if its connection is down or its queue is full."""
+        """Send to a peer; return False if it is not connected or its queue is full."""
         if not address:
             return False
         envelope = Envelope(
@@ -224,97 +233,104 @@
         )
         data = encode_envelope(envelope)
         try:
-            self._dealer(name, address).send(data, zmq.NOBLOCK)
+            self._get_dealer(name, address).send(data, zmq.NOBLOCK)
         except zmq.Again:
-            self._note_failure(name)
+            self._record_send_failure(name)
             kind = type(message).__name__
-            _log.debug("message_not_sent", "no connection", peer=name, kind=kind)
+            _log.debug(
+                "message_not_sent",
+                "no connection to the peer or send queue full",
+                peer=name,
+                kind=kind,
+            )
             return False
-        self._links[name].failing_since_s = 0.0
+        self._connections[name].first_failure_s = 0.0
         self.traffic.messages_sent += 1
         self.traffic.bytes_sent += len(data)
         return True
 
     def send_to_address(self, address: str, message: AnyPeerMessage) -> bool:
-        """Send to the instance at an address, whatever its name is."""
+        """Send to the instance at an address whose name is not known."""
         return self.send(address, address, message)
 
-    def _note_failure(self, name: str) -> None:
-        """Give a socket up that has had no connection for a while.
+    def _record_send_failure(self, name: str) -> None:
+        """Close a socket that has had no connection for too long.
 
-        The library tries no more once something that speaks another protocol has
-        answered at the address, even if a peer listens there later.
+        The library stops reconnecting once a server of another protocol has answered
+        at the address, even if a peer listens there later.
         """
-        link = self._links[name]
+        connection = self._connections[name]
         now_s = time.monotonic()
-        link.failing_since_s = link.failing_since_s or now_s
-        if now_s - link.failing_since_s >= RENEW_AFTER_S:
-            self.forget(name)
-
-    def _dealer(self, name: str, address: str) -> Any:
-        link = self._links.pop(name, None)
-        if link is not None and link.address != address:
-            link.dealer.close()
-            link = None
-        if link is None:
-            link = self._new_link(address)
-        link.used_s = time.monotonic()
-        self._links[name] = link
-        return link.dealer
-
-    def _new_link(self, address: str) -> _Link:
-        # Once its name is known, an instance keeps the connection made without.
-        unnamed = self._links.pop(address, None)
+        connection.first_failure_s = connection.first_failure_s or now_s
+        if now_s - connection.first_failure_s >= RECREATE_SOCKET_AFTER_S:
+            self.close_connection(name)
+
+    def _get_dealer(self, name: str, address: str) -> Any:
+        connection = self._connections.pop(name, None)
+        if connection is not None and connection.address != address:
+            connection.dealer.close()
+            connection = None
+        if connection is None:
+            connection = self._create_connection(address)
+        connection.last_used_s = time.monotonic()
+        self._connections[name] = connection
+        return connection.dealer
+
+    def _create_connection(self, address: str) -> _PeerConnection:
+        # A connection opened by address is reused once the name is known.
+        unnamed = self._connections.pop(address, None)
         if unnamed is not None:
             return unnamed
-        if len(self._links) >= CONNECTIONS_MAX:
-            self.forget(next(iter(self._links)))
-        return _Link(address, self._connect(address), 0.0)
+        if len(self._connections) >= CONNECTIONS_MAX:
+            self.close_connection(next(iter(self._connections)))
+        return _PeerConnection(address, self._create_dealer(address), 0.0)
 
-    def run_idle(self) -> None:
-        """Close connections that nobody uses until the task is killed."""
+    def run_idle_checks(self) -> None:
+        """Close idle connections periodically until the task is killed."""
         while True:
-            gevent.sleep(IDLE_CHECK_S)
-            self.close_idle(time.monotonic())
-
-    def close_idle(self, now_s: float) -> None:
-        """Close the connections that were last used too long ago."""
-        while self._links:
-            name, link = next(iter(self._links.items()))
-            if link.used_s > now_s - IDLE_S:
+            gevent.sleep(IDLE_CHECK_PERIOD_S)
+            self.close_idle_connections(time.monotonic())
+
+    def close_idle_connections(self, now_s: float) -> None:
+        """Close the connections whose idle time has expired."""
+        while self._connections:
+            name, connection = next(iter(self._connections.items()))
+            if connection.last_used_s > now_s - IDLE_TIMEOUT_S:
                 return
-            self.forget(name)
+            self.close_connection(name)
 
-    def _connect(self, address: str) -> Any:
-        # Never waits, so that the waiting of the cooperative class is not needed.
+    def _create_dealer(self, address: str) -> Any:
+        # All calls are non-blocking, so the plain socket class suffices.
         dealer = self._context.socket(zmq.DEALER, socket_class=zmq_plain.Socket)
         dealer.curve_publickey, dealer.curve_secretkey = self._keys
         dealer.curve_serverkey = self._keys[0]
         dealer.linger = 0
-        dealer.sndhwm = SEND_QUEUE_MESSAGES
-        # Nothing waits for a connection: what is late is better lost here.
+        dealer.sndhwm = QUEUE_MESSAGES_MAX
+        # Messages are not queued without a connection: a late message is better lost.
         dealer.immediate = True
-        dealer.reconnect_ivl = RECONNECT_MS
-        dealer.reconnect_ivl_max = RECONNECT_MAX_MS
-        # Heartbeats only begin after it, and the library would wait for 30 s.
-        dealer.handshake_ivl = HANDSHAKE_MS
-        every_ms = HEARTBEAT_MS * max(1, len(self._links) // HEARTBEATS_PER_S)
-        dealer.heartbeat_ivl = every_ms
-        dealer.heartbeat_timeout = HEARTBEATS_MISSED * every_ms
-        dealer.setsockopt(zmq.TCP_MAXRT, UNACKNOWLEDGED_MS)
+        dealer.reconnect_ivl = RECONNECT_DELAY_MS
+        dealer.reconnect_ivl_max = RECONNECT_DELAY_MAX_MS
+        # Heartbeats start after the handshake; the default timeout is 30 s.
+        dealer.handshake_ivl = HANDSHAKE_TIMEOUT_MS
+        heartbeat_ms = HEARTBEAT_PERIOD_MS * max(
+            1, len(self._connections) // HEARTBEATS_PER_S
+        )
+        dealer.heartbeat_ivl = heartbeat_ms
+        dealer.heartbeat_timeout = MISSED_HEARTBEATS_MAX * heartbeat_ms
+        dealer.setsockopt(zmq.TCP_MAXRT, RETRANSMISSION_TIMEOUT_MS)
         dealer.connect(f"tcp://{self._host}:0;{address}")
         return dealer
 
-    def forget(self, name: str) -> None:
-        """Close the connection to a peer that is gone."""
-        link = self._links.pop(name, None)
-        if link is not None:
-            link.dealer.close()
+    def close_connection(self, name: str) -> None:
+        """Close the connection to a peer."""
+        connection = self._connections.pop(name, None)
+        if connection is not None:
+            connection.dealer.close()
 
     def close(self) -> None:
-        """Close all sockets; the last messages still go out."""
-        for link in self._links.values():
-            link.dealer.close(linger=LAST_MESSAGES_MS)
+        """Close all sockets after a short linger for the last messages."""
+        for connection in self._connections.values():
+            connection.dealer.close(linger=CLOSE_LINGER_MS)
         self._router.close()
         self._zap.close()
         self._context.term()
@@ -329,8 +345,8 @@
 ) -> Iterator[PeerTask]:
     """Run the task while the context is open."""
     task = PeerTask(settings, incarnation, clock, deliver)
-    parts = (task.run_zap, task.run, task.run_idle)
-    readers = [gevent.spawn(part) for part in parts]
+    loops = (task.run_authentication, task.run, task.run_idle_checks)
+    readers = [gevent.spawn(loop) for loop in loops]
     try:
         yield task
     finally:
--- a/endivepick/daemon/performer.py
+++ b/endivepick/daemon/performer.py
@@ -1,4 +1,4 @@
-"""Carries out what the decision core asks for."""
+"""Execution of the actions that the decision core returns."""
 
 from collections.abc import Callable, Iterable
 from dataclasses import dataclass
@@ -31,7 +31,7 @@
 from endivepick.daemon.probes import ProbeTasks
 from endivepick.daemon.targets import TargetTasks
 
-__all__ = ["Performer", "PerformerTasks"]
+__all__ = ["ActionExecutor", "SocketTasks"]
 
 _DEBUG_EVENTS = frozenset(
     {
@@ -45,7 +45,7 @@
 
 
 @dataclass(frozen=True)
-class PerformerTasks:
+class SocketTasks:
     """Tasks that own the sockets."""
 
     fabric: FabricTask
@@ -56,25 +56,25 @@
     platform: PlatformTask
 
 
-class Performer:
-    """Hands each action to the task that carries it out.
+class ActionExecutor:
+    """Passes each action to the task that executes it.
 
     Parameters
     ----------
     core : InstanceCore
-        Knows the addresses of the peers.
-    tasks : PerformerTasks
+        Decision core, source of the addresses of peers.
+    tasks : SocketTasks
         Tasks that own the sockets.
     metrics : DaemonMetrics
-        Counters.
+        Counters and histograms of the instance.
     deliver : callable
-        Takes events that follow from a failed action.
+        Called with the event of each failed send to a peer.
     """
 
     def __init__(
         self,
         core: InstanceCore,
-        tasks: PerformerTasks,
+        tasks: SocketTasks,
         metrics: DaemonMetrics,
         deliver: Callable[[PeerSendFailed], None],
     ) -> None:
@@ -83,14 +83,14 @@
         self._metrics = metrics
         self._deliver = deliver
         self._logs: dict[str, PartLog] = {}
-        self.finished: StopFinished | None = None
+        self.stop_finished: StopFinished | None = None
 
-    def perform(self, actions: Iterable[Action]) -> None:
-        """Carry out actions in their order."""
+    def execute(self, actions: Iterable[Action]) -> None:
+        """Execute actions in order."""
         for action in actions:
-            self._perform_one(action)
+            self._execute_one(action)
 
-    def _perform_one(self, action: Action) -> None:
+    def _execute_one(self, action: Action) -> None:
         match action:
             case SendToCaller(caller=caller, packet=packet):
                 self._tasks.fabric.send(caller, packet)
@@ -119,7 +119,7 @@
             case StopPlatformWatch():
                 self._tasks.platform.stop_watching()
             case StopFinished():
-                self.finished = action
+                self.stop_finished = action
 
     def _send_to_peer(self, action: SendToPeer) -> None:
         view = self._core.membership.view().get(action.name)
--- a/endivepick/daemon/platform.py
+++ b/endivepick/daemon/platform.py
@@ -1,4 +1,4 @@
-"""Task that calls the platform: lists, watches and the list of instances."""
+"""Task that calls the platform: object calls, watches and the list of instances."""
 
 import random
 import uuid
@@ -47,25 +47,25 @@
 
 __all__ = ["PlatformTask", "platform_task"]
 
-LIST_LESS_OFTEN_FACTOR = 5
-"""How much less often an instance lists that does not watch."""
+UNWATCHED_PERIOD_FACTOR = 5
+"""Factor on the list period of an instance that does not watch."""
 LISTS_PER_S = 25.0
-"""Lists that all instances ask for together, about; half as many at least."""
+"""Approximate list rate of a large fleet as a whole; at least half of it is reached."""
 _OK = "ok"
 _log = PartLog("platform")
 
 
 class PlatformTask:
-    """Keeps the core informed of what the platform holds.
+    """Delivers the state of the platform to the core.
 
     Parameters
     ----------
     settings : DaemonSettings
-        Address and periods.
+        Settings with the platform address and periods.
     deliver : callable
-        Takes each event.
+        Called with each event.
     count : callable
-        Takes the result of each call.
+        Called with the result of each call.
     """
 
     def __init__(
@@ -81,14 +81,14 @@
         self._deliver = deliver
         self._count = count
         self._random = random.Random()
-        self._listed = 0
+        self._listed_count = 0
         self._watch: gevent.Greenlet | None = None
         self._calls = Group()
         self._client = PlatformClient(self._settings, gevent.sleep, self._random.random)
         self._watcher = Watcher(
             self._settings,
             self._client,
-            self._take,
+            self._handle_watch_event,
             gevent.sleep,
             self._random.random,
         )
@@ -99,20 +99,20 @@
         self._client.close()
 
     def call(self, purpose: CallPurpose, call: PlatformCall) -> None:
-        """Make one call; its end is delivered as ``PlatformAnswered``."""
+        """Make one call; its result is delivered as ``PlatformAnswered``."""
         self._calls.spawn(self._run_call, purpose, call)
 
     def _run_call(self, purpose: CallPurpose, call: PlatformCall) -> None:
         answer: PlatformAnswer
-        match self._make_call(call):
+        match self._send_call(call):
             case Success(answer):
                 self._count(_OK)
             case Failure(error):
-                self._count(_result_of(error))
+                self._count(_classify_error(error))
                 answer = CallFailed(str(error))
         self._deliver(PlatformAnswered(purpose, answer))
 
-    def _make_call(self, call: PlatformCall) -> Result[PlatformAnswer, EndivepickError]:
+    def _send_call(self, call: PlatformCall) -> Result[PlatformAnswer, EndivepickError]:
         match call:
             case ReadObject(kind=kind, name=name):
                 return self._client.get(kind, name).map(ObjectRead)
@@ -124,17 +124,17 @@
                 return written.map(ObjectWritten)
 
     def watch(self, after: int) -> None:
-        """Begin to watch after a revision; list all objects first if it is 0."""
+        """Watch from a revision; list all objects first if it is 0."""
         self.stop_watching()
         self._watch = gevent.spawn(self._watcher.run, after)
 
     def stop_watching(self) -> None:
-        """End the watch: peers bring the configuration."""
+        """Stop the watch; the configuration then arrives from peers."""
         if self._watch is not None:
             self._watch.kill()
             self._watch = None
 
-    def _take(self, event: WatcherEvent) -> None:
+    def _handle_watch_event(self, event: WatcherEvent) -> None:
         match event:
             case ObjectList():
                 self._count(_OK)
@@ -143,17 +143,19 @@
                 self._count(_OK)
                 self._deliver(ObjectsChanged(event))
             case WatchFailed(error=error):
-                self._count(_result_of(error))
-                _log.warning("watch_failed", "watch ended", reason=str(error))
+                self._count(_classify_error(error))
+                _log.warning(
+                    "watch_failed", "watch of the platform failed", reason=str(error)
+                )
                 self._deliver(PlatformCallFailed())
 
-    def run_instances(self) -> None:
-        """List the instances again and again."""
+    def run_instance_listing(self) -> None:
+        """List the instances periodically."""
         while True:
             match self._client.instances():
                 case Success(listed):
                     self._count(_OK)
-                    self._listed = len(listed.instances)
+                    self._listed_count = len(listed.instances)
                     entries = tuple(
                         ListedInstance(
                             entry.name,
@@ -165,24 +167,29 @@
                     )
                     self._deliver(InstancesListed(entries, listed.age_ms / 1000))
                 case Failure(error):
-                    self._count(_result_of(error))
+                    self._count(_classify_error(error))
                     _log.warning(
-                        "instances_failed", "instances not listed", reason=str(error)
+                        "instances_failed",
+                        "instances could not be listed",
+                        reason=str(error),
                     )
-            gevent.sleep(self._list_wait_s())
+            gevent.sleep(self._listing_delay_s())
 
-    def _list_wait_s(self) -> float:
-        """Return a spread wait; whoever sees a change tells those that it is about."""
-        spread = 0.5 + self._random.random()
-        every_s = self._settings.list_every_s
+    def _listing_delay_s(self) -> float:
+        """Return the jittered delay before the next list.
+
+        An instance that lists a change notifies the instances concerned.
+        """
+        jitter = 0.5 + self._random.random()
+        period_s = self._settings.list_every_s
         if self._watch is None:
-            every_s *= LIST_LESS_OFTEN_FACTOR
-        # The platform's rates do not grow with the fleet.
-        return max(every_s, self._listed / LISTS_PER_S) * spread
+            period_s *= UNWATCHED_PERIOD_FACTOR
+        # The request rate of the platform must not grow with the fleet.
+        return max(period_s, self._listed_count / LISTS_PER_S) * jitter
 
 
-def _result_of(error: EndivepickError) -> str:
-    """Name what came of a call that failed."""
+def _classify_error(error: EndivepickError) -> str:
+    """Return the metric label of a failed call."""
     match error:
         case RecordConflictError():
             return "conflict"
@@ -203,7 +210,7 @@
 ) -> Iterator[PlatformTask]:
     """Run the task while the context is open."""
     task = PlatformTask(settings, deliver, count)
-    loop = gevent.spawn(task.run_instances)
+    loop = gevent.spawn(task.run_instance_listing)
     try:
         yield task
     finally:
--- a/endivepick/daemon/probes.py
+++ b/endivepick/daemon/probes.py
@@ -1,8 +1,8 @@
-"""Tasks that ask targets for their health and load, on one connection each.
+"""Tasks that probe targets for their health and load, on one connection each.
 
-The connections are never used for requests: one that the target closes at the
-moment of the send would leave open whether the request ran.  A probe that meets
-such a connection is simply sent again on a new one.
+These connections are not used for requests: if the target closes a persistent
+connection during a send, it is unknown whether the request ran.  Probes are
+idempotent and are retried on a new connection.
 """
 
 import time
@@ -22,16 +22,16 @@
     TargetHealth,
 )
 from endivepick.core.events import Event, Probed
-from endivepick.daemon._kept_http import AnswerError, KeptHttp
+from endivepick.daemon._kept_http import HttpResponseError, PersistentHttpConnection
 from endivepick.settings.model import DaemonSettings
 
 __all__ = ["ProbeTasks", "probe_tasks"]
 
-KEPT_S = 10.0
-"""How long one connection is used: what stands behind an address can change."""
-UNUSED_S = 10.0
-"""How long the connection to a target stays open that is not probed any more."""
-_FAILURES = (AnswerError, OSError, msgspec.DecodeError, ValueError)
+CONNECTION_LIFETIME_S = 10.0
+"""Lifetime of a connection, limited because the target at an address can change."""
+UNUSED_TIMEOUT_S = 10.0
+"""Time after which the connection to a target that is no longer probed is closed."""
+_FAILURES = (HttpResponseError, OSError, msgspec.DecodeError, ValueError)
 
 
 class _HealthBody(msgspec.Struct):
@@ -54,31 +54,31 @@
 
 
 class _ProbeConnection:
-    """Kept connection to one target."""
+    """Persistent connection to one target."""
 
-    def __init__(self, connection: KeptHttp) -> None:
+    def __init__(self, connection: PersistentHttpConnection) -> None:
         self._connection = connection
-        self.busy = False
-        self.used_at_s = 0.0
+        self.is_busy = False
+        self.last_used_s = 0.0
         self._opened_at_s = 0.0
 
-    def ask(self) -> ProbeResult:
-        """Ask for health and load; on a new connection if the kept one is gone."""
+    def send_probe(self) -> ProbeResult:
+        """Request health and load; retry on a new connection if the old one broke."""
         now_s = time.monotonic()
-        if now_s - self._opened_at_s >= KEPT_S:
+        if now_s - self._opened_at_s >= CONNECTION_LIFETIME_S:
             self.close()
         was_open = self._connection.is_open
         if not was_open:
             self._opened_at_s = now_s
         try:
-            return self._ask()
+            return self._request_health_and_load()
         except OSError:
             self.close()
             if not was_open:
                 raise
-        return self._ask()
+        return self._request_health_and_load()
 
-    def _ask(self) -> ProbeResult:
+    def _request_health_and_load(self) -> ProbeResult:
         health = _decode_health(self._connection.get("/health"))
         load = _decode_load(self._connection.get("/load"))
         return ProbeResult(
@@ -92,7 +92,7 @@
         )
 
     def close(self) -> None:
-        """Close the connection; the next question opens it again."""
+        """Close the connection; the next probe opens a new one."""
         self._connection.close()
 
 
@@ -102,9 +102,9 @@
     Parameters
     ----------
     settings : DaemonSettings
-        Time-out and the address to connect from.
+        Settings with the probe timeout and the source address.
     deliver : callable
-        Takes each ``Probed``.
+        Called with each ``Probed``.
     """
 
     def __init__(
@@ -115,46 +115,48 @@
         self._deliver = deliver
         self._connections: dict[str, _ProbeConnection] = {}
         self._group = Group()
-        self._next_sweep_s = time.monotonic() + UNUSED_S
+        self._next_sweep_s = time.monotonic() + UNUSED_TIMEOUT_S
 
     def probe(self, action: Probe) -> None:
-        """Ask a target for its health and load, unless it is being asked."""
+        """Probe health and load of a target, unless a probe is in progress."""
         now_s = time.monotonic()
         if now_s >= self._next_sweep_s:
-            self._next_sweep_s = now_s + UNUSED_S
-            self.forget_unused(UNUSED_S)
-        connection = self._connection_to(action.address)
-        connection.used_at_s = now_s
-        if not connection.busy:
-            connection.busy = True
+            self._next_sweep_s = now_s + UNUSED_TIMEOUT_S
+            self.close_unused_connections(UNUSED_TIMEOUT_S)
+        connection = self._get_connection(action.address)
+        connection.last_used_s = now_s
+        if not connection.is_busy:
+            connection.is_busy = True
             self._group.spawn(self._run, action, connection)
 
-    def _connection_to(self, address: str) -> _ProbeConnection:
-        known = self._connections.get(address)
-        if known is None:
-            connection = KeptHttp(parse_address(address), self._source, self._timeout_s)
-            known = self._connections[address] = _ProbeConnection(connection)
-        return known
+    def _get_connection(self, address: str) -> _ProbeConnection:
+        probe_connection = self._connections.get(address)
+        if probe_connection is None:
+            connection = PersistentHttpConnection(
+                parse_address(address), self._source, self._timeout_s
+            )
+            probe_connection = self._connections[address] = _ProbeConnection(connection)
+        return probe_connection
 
     def _run(self, action: Probe, connection: _ProbeConnection) -> None:
         outcome: ProbeOutcome = ProbeFailed()
         try:
-            # The time-out of the connection limits each read only.
+            # The timeout of the connection limits only single reads.
             with gevent.Timeout(self._timeout_s, False):
-                outcome = connection.ask()
+                outcome = connection.send_probe()
         except _FAILURES:
             pass
         finally:
-            if not _is_answer_of(outcome, action.service):
+            if not _is_from_service(outcome, action.service):
                 connection.close()
-            connection.busy = False
+            connection.is_busy = False
         self._deliver(Probed(action.service, action.target, outcome))
 
-    def forget_unused(self, unused_s: float) -> None:
-        """Close connections to targets that were not probed for this long."""
+    def close_unused_connections(self, unused_s: float) -> None:
+        """Close connections to targets that were not probed for this time."""
         oldest_s = time.monotonic() - unused_s
         for address, connection in list(self._connections.items()):
-            if connection.used_at_s <= oldest_s and not connection.busy:
+            if connection.last_used_s <= oldest_s and not connection.is_busy:
                 connection.close()
                 del self._connections[address]
 
@@ -165,7 +167,7 @@
             connection.close()
 
 
-def _is_answer_of(outcome: ProbeOutcome, service: str) -> bool:
+def _is_from_service(outcome: ProbeOutcome, service: str) -> bool:
     return isinstance(outcome, ProbeResult) and outcome.service == service
 
 
--- a/endivepick/daemon/run.py
+++ b/endivepick/daemon/run.py
@@ -1,4 +1,4 @@
-"""One instance as a process: tasks around the decision core."""
+"""Process of one instance: the decision core and its input and output tasks."""
 
 import json
 import random
@@ -13,13 +13,13 @@
 from endivepick.core.events import Event, StopRequested
 from endivepick.core.instance import CoreSettings, InstanceCore
 from endivepick.core.roles import RoleSettings
-from endivepick.daemon.core_loop import CoreLoop, SteadyClock
+from endivepick.daemon.core_loop import CoreLoop, MonotonicClock
 from endivepick.daemon.fabric import fabric_task
 from endivepick.daemon.http import http_task
 from endivepick.daemon.logs import PartLog, process_log
 from endivepick.daemon.metrics import DaemonMetrics
 from endivepick.daemon.peers import PeerTask, peer_task
-from endivepick.daemon.performer import Performer, PerformerTasks
+from endivepick.daemon.performer import ActionExecutor, SocketTasks
 from endivepick.daemon.platform import platform_task
 from endivepick.daemon.probes import probe_tasks
 from endivepick.daemon.status import instance_status, role_gauges
@@ -33,7 +33,7 @@
 
 
 def run(settings: DaemonSettings) -> int:
-    """Run an instance until its planned stop is finished.
+    """Run an instance until its planned stop has finished.
 
     Parameters
     ----------
@@ -43,33 +43,33 @@
     Returns
     -------
     int
-        Exit status: 0, or 1 if flows were left without a successor.
+        Exit status: 0, or 1 if flows remained without a successor.
     """
     hybrid_clock = HybridClock()
     with (
         process_log(settings.log, settings.instance.name, hybrid_clock),
-        _instance(settings, hybrid_clock) as (loop, performer),
+        _run_instance(settings, hybrid_clock) as (loop, executor),
     ):
         _handle_signals(loop)
-        loop.run(performer)
-        finished = performer.finished
-        left = finished.open_flows if finished else 0
-        _log.event("stopped", "stopped", flows=left)
-        return 1 if left else 0
+        loop.run(executor)
+        stop_finished = executor.stop_finished
+        unfinished_flows = stop_finished.open_flows if stop_finished else 0
+        _log.event("stopped", "stopped", flows=unfinished_flows)
+        return 1 if unfinished_flows else 0
 
 
 @contextmanager
-def _instance(
+def _run_instance(
     settings: DaemonSettings, hybrid_clock: HybridClock
-) -> Iterator[tuple[CoreLoop, Performer]]:
+) -> Iterator[tuple[CoreLoop, ActionExecutor]]:
     random_source = random.SystemRandom()
     incarnation = random_source.getrandbits(64) | 1
-    clock = SteadyClock()
+    clock = MonotonicClock()
     metrics = DaemonMetrics()
-    holder: list[CoreLoop] = []
+    loops: list[CoreLoop] = []
 
     def deliver(event: Event) -> None:
-        holder[0].deliver(event)
+        loops[0].deliver(event)
 
     with ExitStack() as stack:
         peers = stack.enter_context(
@@ -83,7 +83,7 @@
             clock.now_s(),
         )
         loop = CoreLoop(core, clock)
-        holder.append(loop)
+        loops.append(loop)
         fabric = stack.enter_context(fabric_task(settings, deliver))
         targets = stack.enter_context(target_tasks(settings, deliver))
         probes = stack.enter_context(probe_tasks(settings, deliver))
@@ -99,18 +99,18 @@
                 lambda result: metrics.count("platform_calls", result),
             )
         )
-        tasks = PerformerTasks(fabric, peers, targets, probes, http, platform)
-        performer = Performer(core, tasks, metrics, loop.deliver_now)
-        performer.perform(core.start())
-        _announce(settings, core, tasks)
-        stack.enter_context(loop.ticking())
-        metrics.collect_with(lambda: _collect(metrics, core, peers))
-        yield loop, performer
+        tasks = SocketTasks(fabric, peers, targets, probes, http, platform)
+        executor = ActionExecutor(core, tasks, metrics, loop.deliver_nowait)
+        executor.execute(core.start())
+        _print_addresses(settings, core, tasks)
+        stack.enter_context(loop.run_ticks())
+        metrics.set_collector(lambda: _update_gauges(metrics, core, peers))
+        yield loop, executor
 
 
-def _collect(metrics: DaemonMetrics, core: InstanceCore, peers: PeerTask) -> None:
+def _update_gauges(metrics: DaemonMetrics, core: InstanceCore, peers: PeerTask) -> None:
     metrics.set_roles(role_gauges(core))
-    metrics.set_traffic(peers.traffic)
+    metrics.set_peer_traffic(peers.traffic)
 
 
 def _core_settings(settings: DaemonSettings) -> CoreSettings:
@@ -130,10 +130,10 @@
     )
 
 
-def _announce(
-    settings: DaemonSettings, core: InstanceCore, tasks: PerformerTasks
+def _print_addresses(
+    settings: DaemonSettings, core: InstanceCore, tasks: SocketTasks
 ) -> None:
-    """Print where this instance listens, for whoever started it."""
+    """Print the addresses of this instance for the process that started it."""
     line = {
         "ready": False,
         "name": settings.instance.name,
@@ -148,26 +148,26 @@
 def _handle_signals(loop: CoreLoop) -> None:
     def stop() -> None:
         if loop.core.lifecycle.stopping:
-            _say_what_is_open(loop.core)
+            _report_open_flows(loop.core)
             return
-        loop.deliver_now(StopRequested())
+        loop.deliver_nowait(StopRequested())
 
     gevent.signal_handler(signal.SIGTERM, stop)
     gevent.signal_handler(signal.SIGINT, stop)
 
 
-def _say_what_is_open(core: InstanceCore) -> None:
+def _report_open_flows(core: InstanceCore) -> None:
     open_flows = [flow for flow in core.table if flow.in_progress]
     action = Log(
         "daemon",
         "stop_in_progress",
-        "planned stop goes on",
+        "planned stop in progress",
         {"flows": len(core.table), "in_progress": len(open_flows)},
     )
     _log.event(action.name, action.message, **action.ids)
     print(
         f"{len(core.table)} flows to hand over, {len(open_flows)} of them with a "
-        "request in progress. Wait, or send SIGKILL to cut them.",
+        "request in progress. Wait, or send SIGKILL to abort them.",
         file=sys.stderr,
         flush=True,
     )
--- a/endivepick/daemon/sse.py
+++ b/endivepick/daemon/sse.py
@@ -1,4 +1,4 @@
-"""Cuts an event stream into whole events."""
+"""Splits a server-sent event stream into complete events."""
 
 import re
 from collections.abc import Iterable, Iterator
@@ -13,17 +13,17 @@
 
 @dataclass(frozen=True)
 class StreamEvent:
-    """One event as the target wrote it, and its id (empty if it has none)."""
+    """Raw bytes of one event, and its id (empty if it has none)."""
 
     data: bytes
     event_id: str
 
 
 def split_events(chunks: Iterable[bytes]) -> Iterator[StreamEvent]:
-    r"""Yield each event as soon as its last byte is in.
+    r"""Yield each event as soon as its last byte is received.
 
-    An event that the target cut off is dropped: the resumed stream brings it
-    again, whole.
+    An incomplete event at the end is dropped, because the resumed stream repeats
+    it completely.
 
     Raises
     ------
@@ -38,14 +38,14 @@
     pending = b""
     for chunk in chunks:
         pending += chunk
-        while found := _SEPARATOR.search(pending):
-            yield _event(pending[: found.end()])
-            pending = pending[found.end() :]
+        while match := _SEPARATOR.search(pending):
+            yield _parse_event(pending[: match.end()])
+            pending = pending[match.end() :]
         if len(pending) > EVENT_SIZE_BYTES_MAX:
-            raise ValueError("Send events of at most 1 MiB.")
+            raise ValueError("event of the stream exceeds 1 MiB")
 
 
-def _event(data: bytes) -> StreamEvent:
-    found = _ID_LINE.search(data)
-    event_id = found.group(1).decode("utf-8", "replace") if found else ""
+def _parse_event(data: bytes) -> StreamEvent:
+    match = _ID_LINE.search(data)
+    event_id = match.group(1).decode("utf-8", "replace") if match else ""
     return StreamEvent(data, event_id)
--- a/endivepick/daemon/status.py
+++ b/endivepick/daemon/status.py
@@ -1,4 +1,4 @@
-"""What an instance shows of itself to operators."""
+"""Status and gauges that an instance reports to operators."""
 
 from dataclasses import dataclass
 
@@ -14,14 +14,14 @@
 
 @dataclass(frozen=True)
 class KeyringStatus:
-    """Keys of an instance, without secrets.
+    """Keyring of an instance, without secrets.
 
     Attributes
     ----------
     version : int
         Version of the keyring; 0 if the instance holds none.
     current : int
-        Number of the key that signs.
+        Number of the key that signs tokens.
     keys : list of int
         Numbers of all keys; those above ``current`` are pending.
     """
@@ -40,13 +40,13 @@
     name : str
         Name of the instance.
     incarnation : str
-        Its incarnation, in hexadecimal.
+        Incarnation of the instance, in hexadecimal.
     state : str
-        State of its life cycle.
+        Lifecycle state.
     at_s : float
         Time of the snapshot, in seconds since the epoch.
     flows : int
-        Flows held.
+        Number of flows held.
     records : dict
         Version in force of each record.
     keyring : KeyringStatus
@@ -54,9 +54,9 @@
     refused : tuple of RefusedRecord
         Newest versions that are not in force, with the reason.
     peers : list of InstanceView
-        What it believes about the others.
+        Membership view of all instances.
     services : list of DispatchSnapshot
-        Services with a dispatcher here.
+        Snapshots of the dispatchers on this instance.
     """
 
     name: str
@@ -72,7 +72,7 @@
 
 
 def instance_status(core: InstanceCore, now_s: float) -> InstanceStatus:
-    """Take a snapshot."""
+    """Return a snapshot of an instance."""
     dispatchers = core.executor.dispatchers
     return InstanceStatus(
         name=core.me.name,
@@ -95,7 +95,7 @@
 
 
 def role_gauges(core: InstanceCore) -> RoleGauges:
-    """Count what the instance holds, and what it relayed since the last call."""
+    """Return the role gauges; relayed flows are counted since the last call."""
     snapshots = [one.snapshot() for one in core.executor.dispatchers.values()]
     peers: dict[PeerState, int] = {}
     for view in core.membership.view().values():
--- a/endivepick/daemon/targets.py
+++ b/endivepick/daemon/targets.py
@@ -1,4 +1,4 @@
-"""Tasks that speak HTTP to targets, one for each attempt."""
+"""Tasks that send HTTP requests to targets, one per attempt."""
 
 import time
 from collections.abc import Callable, Iterator
@@ -35,7 +35,7 @@
 NOT_RUN_HEADER = "Endivepick-Not-Run"
 READ_SIZE_BYTES = 64 << 10
 CANCEL_TIMEOUT_S = 1.0
-_HOP_BY_HOP = frozenset(
+_HOP_BY_HOP_HEADERS = frozenset(
     {
         "connection",
         "keep-alive",
@@ -51,21 +51,21 @@
 
 
 class _AnswerTooLargeError(Exception):
-    """The target's answer exceeds the limit."""
+    """The response of the target exceeds the size limit."""
 
 
 class TargetTasks:
-    """Starts, cancels and reports attempts.
+    """Starts attempts, cancels them and reports their outcome.
 
-    A connection serves one request: a kept one that the target closes at the
-    moment of the send would leave open whether the request ran.
+    A connection is used for one request: if the target closes a persistent
+    connection during a send, it is unknown whether the request ran.
 
     Parameters
     ----------
     settings : DaemonSettings
-        Time-outs and the address to connect from.
+        Settings with the timeouts and the source address.
     deliver : callable
-        Takes each event.
+        Called with each event.
     """
 
     def __init__(
@@ -79,19 +79,19 @@
 
     def start(self, action: StartAttempt) -> None:
         """Send a request to its target."""
-        greenlet = self._group.spawn(self._attempt, action)
+        greenlet = self._group.spawn(self._run_and_deliver, action)
         key = (action.request_id, action.attempt)
         self._attempts[key] = (greenlet, _cancel_path(action))
         greenlet.link(lambda _: self._attempts.pop(key, None))
 
     def cancel(self, action: CancelAttempt) -> None:
-        """Close the connection of an attempt, and tell the target if asked to."""
-        known = self._attempts.get((action.request_id, action.attempt))
-        if known is None:
+        """Close the connection of an attempt; notify the target if requested."""
+        entry = self._attempts.get((action.request_id, action.attempt))
+        if entry is None:
             return
-        greenlet, address_and_path = known
+        greenlet, address_and_path = entry
         greenlet.kill(block=False)
-        self._group.spawn(self._after_cancel, action, greenlet, address_and_path)
+        self._group.spawn(self._finish_cancellation, action, greenlet, address_and_path)
 
     def close(self) -> None:
         """End all tasks."""
@@ -108,15 +108,15 @@
         finally:
             connection.close()
 
-    def _attempt(self, action: StartAttempt) -> None:
+    def _run_and_deliver(self, action: StartAttempt) -> None:
         self._deliver(self._run_attempt(action, time.monotonic()))
 
-    def _after_cancel(
+    def _finish_cancellation(
         self, action: CancelAttempt, greenlet: gevent.Greenlet, address_and_path: str
     ) -> None:
         greenlet.join()
         if isinstance(greenlet.value, gevent.GreenletExit):
-            # It reported nothing, and maybe never began.
+            # The attempt reported nothing and may not have started.
             self._deliver(
                 AttemptFailed(
                     action.request_id, action.attempt, FinishKind.CANCELLED, 0.0, 0.0
@@ -131,17 +131,17 @@
             try:
                 connection.connect()
             except (HTTPError, OSError):
-                return _failure(action, FinishKind.CONNECT_FAILED, started_s)
+                return _build_failure(action, FinishKind.CONNECT_FAILED, started_s)
             try:
-                return self._exchange(connection, action, started_s)
+                return self._send_request(connection, action, started_s)
             except _AnswerTooLargeError:
-                return _failure(action, FinishKind.BROKEN, started_s)
+                return _build_failure(action, FinishKind.BROKEN, started_s)
             except (HTTPError, OSError):
-                return _failure(action, FinishKind.BROKEN, started_s)
+                return _build_failure(action, FinishKind.BROKEN, started_s)
             except gevent.Timeout:
-                return _failure(action, FinishKind.LATE, started_s)
+                return _build_failure(action, FinishKind.LATE, started_s)
 
-    def _exchange(
+    def _send_request(
         self, connection: HTTPConnection, action: StartAttempt, started_s: float
     ) -> Event:
         head = action.head
@@ -157,11 +157,13 @@
                 preload_content=False,
             )
             response = connection.getresponse()
-            not_run = _not_run(response)
+            not_run = _not_run_kind(response)
             if not_run is not None:
-                return _failure(action, not_run, started_s, _retry_after_s(response))
+                return _build_failure(
+                    action, not_run, started_s, _retry_after_s(response)
+                )
             if head.stream:
-                # A stream lives as long as its caller wants it.
+                # The caller decides how long a stream lasts, so it has no timeout.
                 timeout.cancel()
                 return self._stream(response, action)
             return AttemptAnswered(
@@ -191,7 +193,7 @@
                 request_id, attempt, response.status, _answer_headers(response)
             )
         )
-        for event in split_events(_chunks(response)):
+        for event in split_events(_iterate_chunks(response)):
             self._deliver(StreamData(request_id, attempt, event.data, event.event_id))
         return StreamEnded(request_id, attempt)
 
@@ -205,11 +207,15 @@
                 connection.request("DELETE", f"/{path}", preload_content=True)
                 connection.getresponse()
         except (HTTPError, OSError, gevent.Timeout) as error:
-            _log.debug("cancel_failed", "cancellation not sent", reason=str(error))
+            _log.debug(
+                "cancel_failed",
+                "cancellation could not be sent to the target",
+                reason=str(error),
+            )
 
 
-def _chunks(response: HTTPResponse) -> Iterator[bytes]:
-    """Yield body bytes as soon as they arrive."""
+def _iterate_chunks(response: HTTPResponse) -> Iterator[bytes]:
+    """Yield bytes of the body as soon as they arrive."""
     if response.chunked:
         yield from response.read_chunked()
         return
@@ -217,7 +223,7 @@
         yield data
 
 
-def _failure(
+def _build_failure(
     action: StartAttempt,
     kind: FinishKind,
     started_s: float,
@@ -229,8 +235,8 @@
     )
 
 
-def _not_run(response: HTTPResponse) -> FinishKind | None:
-    """Return the kind of an answer by which the target says it ran nothing."""
+def _not_run_kind(response: HTTPResponse) -> FinishKind | None:
+    """Return the finish kind if the target states that the request did not run."""
     if response.status == MISDIRECTED_STATUS:
         return FinishKind.MISDIRECTED
     if response.headers.get(NOT_RUN_HEADER, "").lower() != "true":
@@ -253,7 +259,7 @@
     return [
         (name, value)
         for name, value in response.headers.items()
-        if name.lower() not in _HOP_BY_HOP
+        if name.lower() not in _HOP_BY_HOP_HEADERS
     ]
 
 
@@ -261,7 +267,8 @@
     headers = {
         name: value
         for name, value in action.head.headers
-        if name.lower() not in _HOP_BY_HOP and not name.lower().startswith("endivepick")
+        if name.lower() not in _HOP_BY_HOP_HEADERS
+        and not name.lower().startswith("endivepick")
     }
     headers["Endivepick-Service"] = action.service
     headers["Endivepick-Target-Incarnation"] = str(action.target_incarnation)
--- a/endivepick/daemon/tests/test_http.py
+++ b/endivepick/daemon/tests/test_http.py
@@ -31,9 +31,11 @@
             while self.call("/readyz").status != status:
                 gevent.sleep(0)
 
-    def test_readiness_follows_messages(self):
-        answer = self.call("/readyz")
-        self.assertEqual((answer.status, answer.data), (503, b"not ready: starting\n"))
+    def test_readiness_follows_inbox_messages(self):
+        response = self.call("/readyz")
+        self.assertEqual(
+            (response.status, response.data), (503, b"not ready: starting\n")
+        )
         self.task.inbox.put(ReadinessChanged(True))
         self.wait_ready(200)
         self.task.inbox.put(ReadinessChanged(False, "stopping"))
@@ -59,14 +61,14 @@
         ):
             self.assertIn(line, text)
 
-    def test_head_and_body_leave_at_once(self):
+    def test_head_and_body_are_sent_without_delay(self):
         # Accepted sockets inherit the option.
         option = (socket.IPPROTO_TCP, socket.TCP_NODELAY)
         self.assertTrue(self.task._server.socket.getsockopt(*option))
 
-    def test_gauges_are_collected_when_they_are_read(self):
+    def test_gauges_are_collected_at_each_rendering(self):
         held = iter((3, 5))
-        self.metrics.collect_with(
+        self.metrics.set_collector(
             lambda: self.metrics.set_roles(RoleGauges(flows_held=next(held)))
         )
         for count in (3, 5):
@@ -74,9 +76,9 @@
             self.assertIn(f"endivepick_flows_held {count}\n", text)
 
     def test_status_is_json(self):
-        answer = self.call("/status")
-        self.assertEqual(answer.json(), {"peers": {"alive": 2}})
+        response = self.call("/status")
+        self.assertEqual(response.json(), {"peers": {"alive": 2}})
 
-    def test_other_paths_and_methods(self):
+    def test_unknown_paths_and_methods_are_rejected(self):
         self.assertEqual(self.call("/").status, 404)
         self.assertEqual(self.call("/metrics", "POST").status, 405)
--- a/endivepick/daemon/tests/test_logs.py
+++ b/endivepick/daemon/tests/test_logs.py
@@ -25,14 +25,14 @@
             self.log.error("bind_failed", "address is in use", odd=object)
         return [json.loads(line) for line in self.path.read_text().splitlines()]
 
-    def test_lines_carry_stamps_prefix_and_ids(self):
+    def test_lines_contain_time_stamps_prefix_and_ids(self):
         first, second, *_ = self.write_events("debug")
         self.assertEqual(first["message"], "owner: request accepted")
         self.assertEqual(first["flow"], f"{FLOW:016x}")
         self.assertEqual((first["process"], first["at_s"]), ("entry-1", 1e9))
         self.assertLess(first["clock"], second["clock"])
 
-    def test_level_turns_events_down(self):
+    def test_level_filters_events(self):
         counts = {level: len(self.write_events(level)) for level in ("error", "info")}
         self.assertEqual(counts, {"error": 1, "info": 1 + 3})
 
@@ -42,5 +42,5 @@
         self.log.error("late", "late event")
         self.assertEqual(len(self.path.read_text().splitlines()), lines)
 
-    def test_request_key_is_what_targets_get(self):
+    def test_request_key_format(self):
         self.assertEqual(request_key(FLOW, 1, 2), f"{FLOW:016x}-{1:016x}-2")
--- a/endivepick/daemon/tests/test_peers.py
+++ b/endivepick/daemon/tests/test_peers.py
@@ -28,7 +28,7 @@
 
 
 @contextmanager
-def running(server):
+def run_server(server):
     server.start()
     try:
         yield server
@@ -36,7 +36,7 @@
         server.stop()
 
 
-def copy(source, target):
+def copy_bytes(source, target):
     with suppress(OSError):
         while data := source.recv(4096):
             target.sendall(data)
@@ -61,9 +61,9 @@
         ]
 
     def send_until_received(self, receiver):
-        """Send as the core does: what cannot go out now is sent again later.
+        """Retry a message until it arrives, as the core does.
 
-        The message is a new one, so that all that was sent before it has arrived.
+        The message is unique, so that all messages sent before it have arrived too.
         """
         sender = self.tasks[0]
         message = HandOverAccepted(next(self.transfer_ids))
@@ -77,7 +77,7 @@
     def test_what_cannot_be_read_is_counted_and_ends_nothing(self):
         sender, receiver, *_ = self.tasks
         self.send_until_received(receiver)
-        dealer = sender._dealer(receiver._name, receiver.address)
+        dealer = sender._get_dealer(receiver._name, receiver.address)
         unknown = msgspec.msgpack.encode(["a", 0, 0, [127, "of a newer build"]])
         for data in (unknown, unknown, b"no envelope", b""):
             dealer.send(data)
@@ -86,32 +86,32 @@
             receiver.traffic.dropped, {UNKNOWN_KIND: 2, "malformed_peer_message": 2}
         )
         metrics = DaemonMetrics()
-        metrics.set_traffic(receiver.traffic)
+        metrics.set_peer_traffic(receiver.traffic)
         shown = metrics.render([])[0].decode()
         self.assertIn('peer_messages_dropped{reason="unknown_kind"} 2', shown)
 
-    def test_the_connection_unused_for_longest_makes_room(self):
+    def test_least_recently_used_connection_is_evicted(self):
         sender, b, c, d = self.tasks
         with patch.object(peers, "CONNECTIONS_MAX", 2):
             for receiver in (b, c, b, d):
                 self.send_until_received(receiver)
-                self.assertLessEqual(len(sender._links), 2)
-            self.assertEqual(list(sender._links), ["b", "d"])
+                self.assertLessEqual(len(sender._connections), 2)
+            self.assertEqual(list(sender._connections), ["b", "d"])
             self.send_until_received(c)
 
-    def test_heartbeats_do_not_grow_with_the_connections(self):
+    def test_total_heartbeat_rate_is_bounded(self):
         sender = self.tasks[0]
         for number in range(200):
             sender.send(
                 f"peer-{number}", f"127.0.0.1:{number + 1}", HandOverAccepted(7)
             )
-        dealers = [link.dealer for link in sender._links.values()]
+        dealers = [peer.dealer for peer in sender._connections.values()]
         periods_ms = [dealer.heartbeat_ivl for dealer in dealers]
         self.assertEqual(set(periods_ms[:32]), {1000})
         self.assertLess(sum(1000 / period_ms for period_ms in periods_ms), 70)
         self.assertEqual({d.getsockopt(zmq.TCP_MAXRT) for d in dealers}, {3000})
 
-    def test_peer_at_an_address_where_something_else_answered(self):
+    def test_peer_at_an_address_of_a_former_http_server(self):
         sender, receiver = self.tasks[:2]
         other = gevent.socket.socket()
         self.addCleanup(other.close)
@@ -134,21 +134,25 @@
             )
         ).unwrap()
         late = peer_task(settings, 9, HybridClock(), self.received.append)
-        with late, patch.object(peers, "RENEW_AFTER_S", 0.5), gevent.Timeout(30):
+        with (
+            late,
+            patch.object(peers, "RECREATE_SOCKET_AFTER_S", 0.5),
+            gevent.Timeout(30),
+        ):
             while not self.received:
                 sender.send("b", address, HandOverAccepted(7))
                 gevent.sleep(0.01)
 
-    def test_a_connection_that_led_nowhere_is_made_anew(self):
+    def test_connection_without_handshake_is_reopened(self):
         sender, receiver = self.tasks[:2]
-        with self.swallowing(1, receiver.address) as address, gevent.Timeout(20):
+        with self.discarding_proxy(1, receiver.address) as address, gevent.Timeout(20):
             while not self.received:
                 sender.send("b", address, HandOverAccepted(7))
                 gevent.sleep(0.05)
 
     @contextmanager
-    def swallowing(self, count, address):
-        """Accept connections: the first ones lead nowhere, the others on."""
+    def discarding_proxy(self, count, address):
+        """Proxy connections to an address; discard the data of the first ones."""
         accepted = []
 
         def handle(client, _):
@@ -159,27 +163,27 @@
                     pass
                 return
             with gevent.socket.create_connection(parse_address(address)) as target:
-                copies = ((client, target), (target, client))
-                gevent.joinall([gevent.spawn(copy, *ends) for ends in copies])
+                directions = ((client, target), (target, client))
+                gevent.joinall([gevent.spawn(copy_bytes, *ends) for ends in directions])
 
-        with running(StreamServer(("127.0.0.1", 0), handle)) as server:
+        with run_server(StreamServer(("127.0.0.1", 0), handle)) as server:
             yield f"127.0.0.1:{server.server_port}"
             for client in accepted:
                 client.close()
 
-    def test_a_connection_that_nobody_uses_is_closed_and_made_again(self):
+    def test_idle_connection_is_closed_and_reopened(self):
         sender, b, c, _ = self.tasks
         for receiver in (b, c):
             self.send_until_received(receiver)
-        link = sender._links["b"]
-        link.used_s -= peers.IDLE_S
-        sender._links = {"b": link, "c": sender._links["c"]}
-        sender.close_idle(time.monotonic())
-        self.assertEqual(list(sender._links), ["c"])
-        self.assertTrue(link.dealer.closed)
+        idle_connection = sender._connections["b"]
+        idle_connection.last_used_s -= peers.IDLE_TIMEOUT_S
+        sender._connections = {"b": idle_connection, "c": sender._connections["c"]}
+        sender.close_idle_connections(time.monotonic())
+        self.assertEqual(list(sender._connections), ["c"])
+        self.assertTrue(idle_connection.dealer.closed)
         self.send_until_received(b)
 
-    def test_traffic_is_counted_and_shown(self):
+    def test_traffic_is_counted_and_exported(self):
         sender, receiver = self.tasks[:2]
         self.send_until_received(receiver)
         sent, received = sender.traffic, receiver.traffic
@@ -190,7 +194,7 @@
         self.assertEqual(sent.bytes_sent, received.bytes_received)
         self.assertGreater(sent.bytes_sent, 0)
         metrics = DaemonMetrics()
-        metrics.set_traffic(sent)
+        metrics.set_peer_traffic(sent)
         line = f"endivepick_peer_bytes_sent {sent.bytes_sent}\n"
         self.assertIn(line, metrics.render([])[0].decode())
 
--- a/endivepick/daemon/tests/test_platform.py
+++ b/endivepick/daemon/tests/test_platform.py
@@ -22,7 +22,7 @@
 
 
 class _LaggingPlatform:
-    """Lists from before the history that its watches still have."""
+    """Platform whose lists are older than its watch history."""
 
     def __init__(self, *_):
         self.lists = 0
@@ -38,12 +38,12 @@
 
 
 class PlatformTaskTest(unittest.TestCase):
-    def test_waits_between_lists_that_lag_behind_the_history(self):
+    def test_backs_off_while_lists_lag_behind_the_history(self):
         settings = parse_settings(SETTINGS).unwrap()
-        events, waits_s, results = [], [], []
+        events, delays_s, results = [], [], []
         with (
             mock.patch.object(platform, "PlatformClient", _LaggingPlatform),
-            mock.patch.object(platform.gevent, "sleep", waits_s.append),
+            mock.patch.object(platform.gevent, "sleep", delays_s.append),
         ):
             task = platform.PlatformTask(settings, events.append, results.append)
             task.watch(0)
@@ -51,34 +51,34 @@
         kinds = [type(event) for event in events]
         self.assertEqual(kinds.count(ObjectsListed), LISTS)
         self.assertEqual(kinds.count(PlatformCallFailed), ROUNDS)
-        self.assertEqual(len(waits_s), ROUNDS)
-        self.assertGreater(min(waits_s), 0)
+        self.assertEqual(len(delays_s), ROUNDS)
+        self.assertGreater(min(delays_s), 0)
         self.assertEqual(results.count("ok"), LISTS)
         self.assertEqual(results.count("expired"), ROUNDS)
 
-    def test_lists_of_a_large_fleet_stay_within_the_rate_of_the_platform(self):
+    def test_list_rate_of_a_large_fleet_is_bounded(self):
         settings = parse_settings(SETTINGS).unwrap()
         cases = ((9, False, 2.5), (8_000, False, 160.0), (9, True, 0.5))
-        for listed, watches, least_s in (*cases, (8_000, True, 160.0)):
+        for listed, watches, min_delay_s in (*cases, (8_000, True, 160.0)):
             with self.subTest(listed=listed, watches=watches):
-                waits_s = self.waits_between_lists(settings, listed, watches)
-                self.assertGreaterEqual(min(waits_s), least_s)
-                self.assertLess(max(waits_s), 3 * least_s)
+                delays_s = self.measure_list_delays(settings, listed, watches)
+                self.assertGreaterEqual(min(delays_s), min_delay_s)
+                self.assertLess(max(delays_s), 3 * min_delay_s)
 
-    def waits_between_lists(self, settings, listed, watches):
+    def measure_list_delays(self, settings, listed, watches):
         entry = ListedInstance("entry-2", "z", "127.0.0.1:1", "127.0.0.1:2", "live")
         lists = iter([Success(InstanceList(0, (entry,) * listed))] * ROUNDS)
-        waits_s = []
+        delays_s = []
         client = mock.Mock(instances=lambda: next(lists))
         with (
             mock.patch.object(platform, "PlatformClient", return_value=client),
-            mock.patch.object(platform.gevent, "sleep", waits_s.append),
+            mock.patch.object(platform.gevent, "sleep", delays_s.append),
             self.assertRaises(StopIteration),
         ):
             task = platform.PlatformTask(settings, mock.Mock(), mock.Mock())
             task._watch = mock.Mock() if watches else None
-            task.run_instances()
-        return waits_s
+            task.run_instance_listing()
+        return delays_s
 
 
 if __name__ == "__main__":
--- a/endivepick/daemon/tests/test_probes.py
+++ b/endivepick/daemon/tests/test_probes.py
@@ -38,7 +38,7 @@
         self.connections = set()
         self.paths = []
         self.silent = False
-        # A pool, so that the server's end closes the connections as well.
+        # With a pool, stopping the server also closes its connections.
         self.server = WSGIServer(
             address, self.answer, log=None, error_log=None, spawn=Pool()
         )
@@ -89,34 +89,37 @@
         self.assertEqual({o.state for o in outcomes}, {TargetHealth.READY})
         self.assertEqual({o.waiting for o in outcomes}, {3})
 
-    def test_connection_that_the_target_closed_is_no_failure(self):
+    def test_probe_is_retried_after_the_target_closed_the_connection(self):
         with fake_target(7) as target:
             self.probe(target)
             address = target.address
         with fake_target(8, address) as target:
             self.assertEqual(self.probe(target).incarnation, 8)
 
-    def test_other_service_at_the_end_of_a_connection_is_looked_for_anew(self):
-        # What stands behind an address can change while a connection stays.
+    def test_answer_of_another_service_closes_the_connection(self):
+        # The target at an address can change while a connection stays open.
         with fake_target() as target:
             target.service = "other"
             for _ in range(2):
                 self.assertEqual(self.probe(target).service, "other")
             self.assertEqual(len(target.connections), 2)
 
-    def test_connection_is_not_kept_for_long(self):
-        with fake_target() as target, mock.patch(f"{PROBES}.KEPT_S", 0.0):
+    def test_connection_lifetime_is_limited(self):
+        with (
+            fake_target() as target,
+            mock.patch(f"{PROBES}.CONNECTION_LIFETIME_S", 0.0),
+        ):
             for _ in range(2):
                 self.probe(target)
             self.assertEqual(len(target.connections), 2)
 
-    def test_target_that_is_gone_fails(self):
+    def test_probe_of_a_stopped_target_fails(self):
         with fake_target() as target:
             self.probe(target)
             address = target.address
         self.assertEqual(self.probe(None, address), ProbeFailed())
 
-    def test_silent_target_fails_and_is_asked_anew(self):
+    def test_probe_times_out_and_next_probe_reconnects(self):
         with fake_target() as target:
             self.probe(target)
             target.silent = True
@@ -125,7 +128,7 @@
             self.assertEqual(self.probe(target).incarnation, 7)
             self.assertEqual(len(target.connections), 2)
 
-    def test_target_that_is_being_asked_is_not_asked_again(self):
+    def test_probe_in_progress_is_not_repeated(self):
         with fake_target() as target:
             for _ in range(3):
                 self.tasks.probe(Probe("s", "t", target.address))
@@ -134,10 +137,10 @@
             self.assertEqual(target.paths, ["/health", "/load"])
             self.assertTrue(self.events.empty())
 
-    def test_connection_to_a_target_that_left_is_closed(self):
+    def test_unused_connection_is_closed(self):
         with fake_target() as old, fake_target() as new:
             self.probe(old)
-            self.tasks.forget_unused(0.0)
+            self.tasks.close_unused_connections(0.0)
             self.assertEqual(self.probe(new).incarnation, 7)
             self.probe(old)
             self.assertEqual(len(old.connections), 2)
--- a/endivepick/daemon/tests/test_targets.py
+++ b/endivepick/daemon/tests/test_targets.py
@@ -37,7 +37,7 @@
 
 
 class TestCancel(unittest.TestCase):
-    """Each cancelled attempt reports its end once: else its slot stays taken."""
+    """A cancelled attempt reports its end exactly once; otherwise its slot leaks."""
 
     def setUp(self):
         self.events = []
@@ -49,25 +49,25 @@
             self.block.wait()
         self.events.append(event)
 
-    def assert_one_report(self):
+    def assert_single_report(self):
         with gevent.Timeout(WAIT_S):
             while not self.events:
                 gevent.sleep(0.01)
         self.assertEqual([e.kind for e in self.events], [FinishKind.CANCELLED])
 
-    def test_before_it_began(self):
+    def test_cancel_before_start(self):
         self.tasks.start(START)
         self.tasks.cancel(CANCEL)
-        self.assert_one_report()
+        self.assert_single_report()
 
-    def test_while_its_report_waits_for_the_inbox(self):
+    def test_cancel_while_the_report_is_blocked(self):
         self.block = gevent.event.Event()
         self.tasks.start(START)
         gevent.idle()
         self.tasks.cancel(CANCEL)
         gevent.idle()
         self.block.set()
-        self.assert_one_report()
+        self.assert_single_report()
 
 
 if __name__ == "__main__":
