--- a/endivepick/bench/_control_slopes.py
+++ b/endivepick/bench/_control_slopes.py
@@ -19,8 +19,8 @@
 )
 from endivepick.bench._slopes import Measured, measure, traced
 from endivepick.core.events import InstancesListed, ObjectsChanged
-from endivepick.core.wire import Envelope, encode_envelope
-from endivepick.core.zone_status import PARTS_PER_EXPIRY
+from endivepick.core.peer_envelope import Envelope, encode_envelope
+from endivepick.core.zone_status import STATUS_SENDS_PER_EXPIRY
 from endivepick.daemon.metrics import DaemonMetrics
 from endivepick.daemon.status import instance_status, role_gauges
 from endivepick.membership import ListedInstance
@@ -273,7 +273,7 @@
         writer = StatusWriter(settings, "zone-0", largest.object_name, slowdown)
         group = _write_status(writer, lambda _: view)
     part = len(_enveloped(_part(fleet, 1, 1, 0)))
-    period_s = settings.part_expiry_s * slowdown / PARTS_PER_EXPIRY
+    period_s = settings.part_expiry_s * slowdown / STATUS_SENDS_PER_EXPIRY
     return {
         "status_objects": 1.0 + groups,
         "status_zone_bytes": float(zone.size),
--- a/endivepick/daemon/peers.py
+++ b/endivepick/daemon/peers.py
@@ -20,7 +20,7 @@
 
 from endivepick.addresses import parse_address
 from endivepick.core.events import PeerMessage
-from endivepick.core.wire import (
+from endivepick.core.peer_envelope import (
     UNKNOWN_KIND,
     AnyPeerMessage,
     Envelope,
--- a/endivepick/daemon/status.py
+++ b/endivepick/daemon/status.py
@@ -2,7 +2,7 @@
 
 from dataclasses import dataclass
 
-from endivepick.core.catalog import HeldKeys
+from endivepick.core.catalog import ActiveKeyring
 from endivepick.core.dispatch import DispatchSnapshot
 from endivepick.core.instance import InstanceCore
 from endivepick.daemon.metrics import RoleGauges
@@ -88,7 +88,7 @@
     )
 
 
-def _keyring_status(keys: HeldKeys) -> KeyringStatus:
+def _keyring_status(keys: ActiveKeyring) -> KeyringStatus:
     if keys.keyring is None:
         return KeyringStatus(0, 0, [])
     return KeyringStatus(keys.version, keys.keyring.current, sorted(keys.keyring.keys))
