--- a/endivepick/daemon/metrics.py
+++ b/endivepick/daemon/metrics.py
@@ -180,7 +180,7 @@
             self._counters[name].add({key: label} if label else _NO_LABELS, amount)
         self._pending_counts.clear()
 
-    def set_roles(self, gauges: RoleGauges) -> None:
+    def set_role_gauges(self, gauges: RoleGauges) -> None:
         """Replace the values of all role gauges."""
         for name, gauge in self._role_gauges.items():
             gauge.set(_NO_LABELS, getattr(gauges, name))
--- a/endivepick/daemon/status.py
+++ b/endivepick/daemon/status.py
@@ -9,7 +9,12 @@
 from endivepick.membership import InstanceView, PeerState
 from endivepick.records.peer_messages import RefusedRecord
 
-__all__ = ["InstanceStatus", "KeyringStatus", "instance_status", "role_gauges"]
+__all__ = [
+    "InstanceStatus",
+    "KeyringStatus",
+    "build_instance_status",
+    "compute_role_gauges",
+]
 
 
 @dataclass(frozen=True)
@@ -71,7 +76,7 @@
     services: list[DispatchSnapshot]
 
 
-def instance_status(core: InstanceCore, now_s: float) -> InstanceStatus:
+def build_instance_status(core: InstanceCore, now_s: float) -> InstanceStatus:
     """Return a snapshot of an instance."""
     dispatchers = core.executor.dispatchers
     return InstanceStatus(
@@ -94,7 +99,7 @@
     return KeyringStatus(keys.version, keys.keyring.current, sorted(keys.keyring.keys))
 
 
-def role_gauges(core: InstanceCore) -> RoleGauges:
+def compute_role_gauges(core: InstanceCore) -> RoleGauges:
     """Return the role gauges; relayed flows are counted since the last call."""
     snapshots = [one.snapshot() for one in core.executor.dispatchers.values()]
     peers: dict[PeerState, int] = {}
--- a/endivepick/daemon/tests/test_http.py
+++ b/endivepick/daemon/tests/test_http.py
@@ -47,8 +47,10 @@
         self.metrics.count("packets_dropped", "too_long")
         self.metrics.count("packets_relayed")
         self.metrics.count("unforeseen", "x")
-        self.metrics.set_roles(RoleGauges(flows_held=7, peers={PeerState.DEAD: 1}))
-        self.metrics.set_roles(RoleGauges(record_versions={"notes": 4}))
+        self.metrics.set_role_gauges(
+            RoleGauges(flows_held=7, peers={PeerState.DEAD: 1})
+        )
+        self.metrics.set_role_gauges(RoleGauges(record_versions={"notes": 4}))
         text = self.call("/metrics").data.decode()
         for line in (
             'endivepick_time_to_answer_seconds_bucket{le="0.05",service="notes"} 1',
@@ -69,7 +71,7 @@
     def test_gauges_are_collected_at_each_rendering(self):
         held = iter((3, 5))
         self.metrics.set_collector(
-            lambda: self.metrics.set_roles(RoleGauges(flows_held=next(held)))
+            lambda: self.metrics.set_role_gauges(RoleGauges(flows_held=next(held)))
         )
         for count in (3, 5):
             text = self.call("/metrics").data.decode()
