--- a/endivepick/bench/_control_slopes.py
+++ b/endivepick/bench/_control_slopes.py
@@ -19,10 +19,10 @@
 )
 from endivepick.bench._slopes import Measured, measure, traced
 from endivepick.core.events import InstancesListed, ObjectsChanged
-from endivepick.core.wire import Envelope, encode_envelope
-from endivepick.core.zone_status import PARTS_PER_EXPIRY
+from endivepick.core.peer_envelope import Envelope, encode_envelope
+from endivepick.core.zone_status import STATUS_SENDS_PER_EXPIRY
 from endivepick.daemon.metrics import DaemonMetrics
-from endivepick.daemon.status import instance_status, role_gauges
+from endivepick.daemon.status import build_instance_status, compute_role_gauges
 from endivepick.membership import ListedInstance
 from endivepick.membership.peer_messages import MemberUpdate, Phase, Ping
 from endivepick.membership.view import InstanceView, PeerState
@@ -83,13 +83,13 @@
         "messages_sent_per_s": sum(node.sent.values()) / IDLE_S,
         "metrics_read_ms": _busy_ms(lambda: _read_metrics(metrics, node)),
         "status_page_bytes": float(
-            len(msgspec.json.encode(instance_status(node.core, node.now_s)))
+            len(msgspec.json.encode(build_instance_status(node.core, node.now_s)))
         ),
     }
 
 
 def _read_metrics(metrics: DaemonMetrics, node: DrivenNode) -> None:
-    metrics.set_roles(role_gauges(node.core))
+    metrics.set_role_gauges(compute_role_gauges(node.core))
     metrics.render([])
 
 
@@ -273,7 +273,7 @@
         writer = StatusWriter(settings, "zone-0", largest.object_name, slowdown)
         group = _write_status(writer, lambda _: view)
     part = len(_enveloped(_part(fleet, 1, 1, 0)))
-    period_s = settings.part_expiry_s * slowdown / PARTS_PER_EXPIRY
+    period_s = settings.part_expiry_s * slowdown / STATUS_SENDS_PER_EXPIRY
     return {
         "status_objects": 1.0 + groups,
         "status_zone_bytes": float(zone.size),
--- a/endivepick/cli/tests/_status_zone.py
+++ b/endivepick/cli/tests/_status_zone.py
@@ -13,7 +13,7 @@
     ReadObject,
     WriteObject,
 )
-from endivepick.core.zone_status import ZoneStatus
+from endivepick.core.zone_status import ZoneStatusReporter
 from endivepick.membership import InstanceView, PeerState
 from endivepick.platform.answers import ListedInstance
 from endivepick.records.objects import StoredObject
@@ -43,7 +43,7 @@
         self.records = records
         self.believe(members)
         self.load = 0
-        self.status = ZoneStatus(SETTINGS, name, ZONE, self)
+        self.status = ZoneStatusReporter(SETTINGS, name, ZONE, self)
 
     def believe(self, members):
         self.members = tuple(members)
@@ -57,7 +57,7 @@
     def status_writer(self):
         return self._roles.status_writer
 
-    def own_part(self):
+    def build_own_status(self):
         target = TargetStatus(self.name, "t1", "ready", self.load % 3, 0, 2)
         return InstanceStatus("ready", DAY_S, (2,), (target,))
 
--- a/endivepick/core/tests/test_zone_status.py
+++ b/endivepick/core/tests/test_zone_status.py
@@ -9,7 +9,7 @@
     ReadObject,
     WriteObject,
 )
-from endivepick.core.zone_status import ZoneStatus
+from endivepick.core.zone_status import ZoneStatusReporter
 from endivepick.records.objects import StoredObject
 from endivepick.records.peer_messages import (
     InstanceStatus,
@@ -33,7 +33,7 @@
         self.group = None
         self.part = InstanceStatus("ready", 1.0, (2,), ())
 
-    def own_part(self):
+    def build_own_status(self):
         return self.part
 
     def group_view(self):
@@ -53,7 +53,7 @@
 
     def status(self, writer):
         self.sources = FixedSources(writer)
-        return ZoneStatus(SETTINGS, "a", "north", self.sources)
+        return ZoneStatusReporter(SETTINGS, "a", "north", self.sources)
 
     def tick(self, status, after_s=0.05):
         self.now_s += after_s
--- a/endivepick/core/zone_status.py
+++ b/endivepick/core/zone_status.py
@@ -31,9 +31,9 @@
 )
 from endivepick.records.status_groups import StatusGroup
 
-__all__ = ["StatusSources", "ZoneStatus"]
+__all__ = ["StatusSources", "ZoneStatusReporter"]
 
-PARTS_PER_EXPIRY = 3
+STATUS_SENDS_PER_EXPIRY = 3
 """How often a part is sent while it would not expire."""
 
 
@@ -48,7 +48,7 @@
     def group(self) -> StatusGroup | None:
         """Group of this instance; None in a zone that needs no groups."""
 
-    def own_part(self) -> InstanceStatus:
+    def build_own_status(self) -> InstanceStatus:
         """Return what this instance tells about itself and its targets."""
 
     def view(self) -> StatusView:
@@ -58,7 +58,7 @@
         """Return what this instance knows about its group."""
 
 
-class ZoneStatus:
+class ZoneStatusReporter:
     """Sends this instance's part to the writer, or writes for the zone.
 
     Parameters
@@ -138,13 +138,13 @@
         writer = group.writer if group else zone_writer
         if writer is None:
             return []
-        part = self._sources.own_part()
+        part = self._sources.build_own_status()
         if writer == self._name:
             self.note(writer, part, now_s)
             return []
         news = (writer, _without_load(part))
         slowdown = group.slowdown if group else 1.0
-        repeat_s = self._settings.part_expiry_s * slowdown / PARTS_PER_EXPIRY
+        repeat_s = self._settings.part_expiry_s * slowdown / STATUS_SENDS_PER_EXPIRY
         if news == self._sent and now_s - self._sent_at_s < repeat_s:
             return []
         self._sent = news
--- a/endivepick/forwarder/feeding.py
+++ b/endivepick/forwarder/feeding.py
@@ -26,8 +26,8 @@
     ForwardingCore,
     merge_reports,
 )
-from endivepick.forwarding.confirmation import TOLD_S
-from endivepick.forwarding.service_usual import UsualCounts, merge_usual
+from endivepick.forwarding.fault_confirmation import REPORT_VALID_S
+from endivepick.forwarding.service_baselines import UsualCounts, merge_baselines
 
 __all__ = ["ZoneFeeder"]
 
@@ -156,31 +156,33 @@
         if not self.feeding:
             return
         together = self._seen_together()
-        alarming = self._core.fitness.alarming(steady_now_s())
-        alarming |= {told.name for told in together.silent}
-        if not alarming <= self._alarming:
+        outlier_names = self._core.fitness.outlier_names(steady_now_s())
+        outlier_names |= {told.name for told in together.silent}
+        if not outlier_names <= self._alarming:
             self._alarms += 1
             self.notify()
-        self._alarming = alarming
+        self._alarming = outlier_names
 
     def _is_too_much(self, question: ZoneQuestion) -> bool:
         """Whether all of a large registry would have to be told."""
         registry = self._core.registry
-        if question.registry_revision >= registry.told_from:
+        if question.registry_revision >= registry.oldest_delta_revision:
             return False
         return len(registry) > self._whole_targets
 
     def _seen_together(self) -> FitnessReport:
         """Add up what instances of the zone see; a silent one tells nothing."""
         now_s = steady_now_s()
-        oldest_s = now_s - TOLD_S
+        oldest_s = now_s - REPORT_VALID_S
         self._seen = {a: seen for a, seen in self._seen.items() if seen[0] >= oldest_s}
         reports = [self._core.seen(now_s), *(seen for _, seen in self._seen.values())]
         if now_s - self._usual_s >= USUAL_EVERY_S:
             self._usual_s = now_s
-            self._usual = merge_usual(each for seen in reports for each in seen.usual)
+            self._usual = merge_baselines(
+                each for seen in reports for each in seen.usual
+            )
         together = merge_reports(reports, self._usual)
-        self._core.on_seen(together, now_s)
+        self._core.on_zone_report(together, now_s)
         return together
 
     def _news(self, question: ZoneQuestion) -> ZoneNews:
--- a/endivepick/forwarder/forwarder.py
+++ b/endivepick/forwarder/forwarder.py
@@ -218,7 +218,7 @@
             self.core.on_wall_clock(time.time() - now_s)
             registry = self._feeds[FeedKind.REGISTRY]
             if registry.lost:
-                self.core.on_unread(now_s)
+                self.core.on_registry_unavailable(now_s)
             self.core.tick(now_s, registry.heard_s)
             self._path.perform()
             if self._zone is not None:
@@ -228,7 +228,7 @@
 
     def _on_pause(self, paused_s: float, now_s: float) -> None:
         self.decisions.paused(paused_s)
-        self.core.on_unread(now_s)
+        self.core.on_registry_unavailable(now_s)
         for feed in self._feeds.values():
             feed.list_again()
 
--- a/endivepick/forwarder/zone.py
+++ b/endivepick/forwarder/zone.py
@@ -348,7 +348,7 @@
                 raise _FeederLeft("it cannot tell what changed", lost=False)
             case ZoneNews():
                 self._neighbours.heard(feeder, steady_now_s())
-                self._core.on_seen(answer.seen, steady_now_s())
+                self._core.on_zone_report(answer.seen, steady_now_s())
                 self._take(answer.registry, answer.config_change)
                 return answer
 
@@ -359,7 +359,9 @@
         lose requests to a target that others know to be bad.
         """
         now_s = steady_now_s()
-        if now_s - self._seen_told_s < TELL_EVERY_S or not self._core.doubts(now_s):
+        if now_s - self._seen_told_s < TELL_EVERY_S or not self._core.has_suspects(
+            now_s
+        ):
             return
         self._seen_told_s = now_s
         if self.feeder.feeding:
@@ -369,7 +371,7 @@
 
     def _tell_feeder(self, feeder: str) -> None:
         seen = self._core.seen(steady_now_s())
-        if not seen.urgent:
+        if not seen.is_urgent:
             return
         question = ZoneQuestion(self._settings.reached_at, 0, 0, seen)
         try:
--- a/endivepick/records/cost.py
+++ b/endivepick/records/cost.py
@@ -14,7 +14,7 @@
 
 import msgspec
 
-from endivepick.core.codec import encode_struct
+from endivepick.core.packet_codec import encode_struct
 from endivepick.membership.view import InstanceView, PeerState
 from endivepick.records._status_body import (
     ShownRows,
--- a/endivepick/tests/compatibility/test_wire.py
+++ b/endivepick/tests/compatibility/test_wire.py
@@ -1,6 +1,6 @@
 import unittest
 
-from endivepick.core.wire import UNKNOWN_KIND
+from endivepick.core.peer_envelope import UNKNOWN_KIND
 from endivepick.errors import PacketInvalidError, TokenInvalidError
 from endivepick.membership.peer_messages import Liveness, Phase
 from endivepick.records._transfer import Transfers, build_inventory
