--- a/endivepick/bench/_control_slopes.py
+++ b/endivepick/bench/_control_slopes.py
@@ -34,10 +34,15 @@
     SubtreeReport,
     TargetStatus,
 )
-from endivepick.records.roles import hash_names, zone_roles
+from endivepick.records.roles import compute_zone_roles, hash_names
 from endivepick.records.settings import DisseminationSettings, StatusSettings
-from endivepick.records.status import ShownRows, StatusView, StatusWriter, WriteStatus
-from endivepick.records.status_groups import status_group
+from endivepick.records.status import (
+    RowSelection,
+    StatusView,
+    StatusWriter,
+    WriteStatus,
+)
+from endivepick.records.status_groups import find_status_group
 
 __all__ = ["measure_changes", "measure_fleet", "measure_lists", "measure_status"]
 
@@ -205,12 +210,12 @@
     """Let a writer write while records and load change."""
     written = _Written()
     writer.step(view_at(0), 0.0, 0.5)
-    writer.was_read(None)
+    writer.on_read(None)
     for second in range(round(STATUS_S)):
         view = view_at(second)
         for name in view.rows(()):
             number = int(name.rpartition("-")[2])
-            writer.note(name, _part(TWO_YEARS, number, 1, second), float(second))
+            writer.record_part(name, _part(TWO_YEARS, number, 1, second), float(second))
         started_s = time.process_time()
         action = writer.step(view, float(second), 0.5)
         written.busy_s += time.process_time() - started_s
@@ -218,7 +223,7 @@
             written.size = len(msgspec.json.encode(action.body))
             written.total += written.size
             stored = StoredObject("status", action.name, second + 1, action.body)
-            writer.was_written(stored)
+            writer.on_written(stored)
     return written
 
 
@@ -240,7 +245,7 @@
             records[at] = replace(records[at], version=version)
         reported = fleet.records + round((second - 2) * fleet.changes_per_s)
         report = SubtreeReport(reported, len(names), names_hash)
-        shown = ShownRows((), names, groups) if groups else ShownRows()
+        shown = RowSelection((), names, groups) if groups else RowSelection()
         return StatusView(list(records), report, names, {}, shown)
 
     return view_at
@@ -253,9 +258,10 @@
     members = [m for m in range(instances) if fleet.zone_of(m) == "zone-0"]
     names = [instance_name(number) for number in members]
     peers = [InstanceView(name, "zone-0", 1, "", PeerState.ALIVE) for name in names]
-    roles = zone_roles("zone-0", peers, DisseminationSettings())
+    roles = compute_zone_roles("zone-0", peers, DisseminationSettings())
     of_names = [
-        status_group(name, "zone-0", roles, settings.group_instances) for name in names
+        find_status_group(name, "zone-0", roles, settings.group_instances)
+        for name in names
     ]
     found = [group for group in of_names if group is not None]
     groups = max((group.groups for group in found), default=0)
@@ -267,7 +273,7 @@
         largest = max(found, key=lambda one: len(one.members))
         report = SubtreeReport(1, len(names), 0)
         listed = sorted(largest.members)
-        shown = ShownRows(listed, group=largest.number)
+        shown = RowSelection(listed, group=largest.number)
         view = StatusView((), report, names, {}, shown)
         slowdown, told = largest.slowdown, len(listed)
         writer = StatusWriter(settings, "zone-0", largest.object_name, slowdown)
--- a/endivepick/core/catalog.py
+++ b/endivepick/core/catalog.py
@@ -6,8 +6,8 @@
 from endivepick.core.actions import Action, Log
 from endivepick.core.keyring import Keyring, keyring_from_body
 from endivepick.errors import RecordInvalidError
-from endivepick.records.book import (
-    ServiceBook,
+from endivepick.records.active_records import (
+    ActiveRecords,
     ServiceChange,
     ServiceChanged,
     ServiceRefused,
@@ -69,7 +69,7 @@
     """
 
     def __init__(self) -> None:
-        self.book = ServiceBook()
+        self.book = ActiveRecords()
         self.keys = ActiveKeyring()
 
     def service(self, name: str) -> ServiceRecord | None:
--- a/endivepick/core/platform_writers.py
+++ b/endivepick/core/platform_writers.py
@@ -68,7 +68,7 @@
         self, sender: str, part: InstanceStatus, now_s: float
     ) -> None:
         """Record the status that another instance of the zone reported."""
-        self._status.note(sender, part, now_s)
+        self._status.record_part(sender, part, now_s)
 
     def set_listed_instances(self, names: frozenset[str]) -> None:
         """Set the names on the platform's list of instances."""
--- a/endivepick/core/status_sources.py
+++ b/endivepick/core/status_sources.py
@@ -13,7 +13,7 @@
 from endivepick.records.schema import SCHEMA_VERSIONS
 from endivepick.records.settings import StatusSettings
 from endivepick.records.status import READY_STATE, StatusView
-from endivepick.records.status_groups import StatusGroup, shown_rows, status_group
+from endivepick.records.status_groups import StatusGroup, find_status_group, select_rows
 
 __all__ = ["InstanceStatusSources", "RotationView"]
 
@@ -126,7 +126,7 @@
         roles = self._dissemination.roles
         if self._cached_group[0] is not roles:
             size = self._settings.group_instances
-            group = status_group(self._name, self._zone, roles, size)
+            group = find_status_group(self._name, self._zone, roles, size)
             self._cached_group = (roles, group)
         return self._cached_group[1]
 
@@ -146,7 +146,7 @@
             report=self._dissemination.zone_report,
             members=states.keys(),
             states=states,
-            shown=shown_rows(self._name, states, self.group, writes_zone, of_group),
+            shown=select_rows(self._name, states, self.group, writes_zone, of_group),
             all_refusals=self._dissemination.names_all_refusals,
         )
 
--- a/endivepick/core/tests/test_zone_status.py
+++ b/endivepick/core/tests/test_zone_status.py
@@ -18,7 +18,7 @@
 )
 from endivepick.records.roles import hash_names
 from endivepick.records.settings import StatusSettings
-from endivepick.records.status import ShownRows, StatusView
+from endivepick.records.status import RowSelection, StatusView
 from endivepick.records.status_groups import StatusGroup
 
 MEMBERS = ("a", "b")
@@ -38,12 +38,12 @@
 
     def group_view(self):
         view = self.view()
-        return replace(view, shown=ShownRows(MEMBERS, group=2))
+        return replace(view, shown=RowSelection(MEMBERS, group=2))
 
     def view(self):
         report = SubtreeReport(5, 2, hash_names(MEMBERS))
         groups = self.group.groups if self.group else 0
-        shown = ShownRows((), (), groups) if groups else ShownRows()
+        shown = RowSelection((), (), groups) if groups else RowSelection()
         return StatusView([], report, MEMBERS, {}, shown)
 
 
@@ -102,7 +102,7 @@
     def test_writer_reads_and_writes_all_statuses(self):
         status = self.create_status("a")
         self.assertEqual(self.next_call(status), ReadObject("status", "north"))
-        status.note("b", InstanceStatus("leaving", 2.0, (2,), ()), self.now_s)
+        status.record_part("b", InstanceStatus("leaving", 2.0, (2,), ()), self.now_s)
         status.answered(ObjectRead(None), 0.0, self.now_s)
         call = self.next_call(status)
         self.assertIsInstance(call, WriteObject)
@@ -146,7 +146,7 @@
 
     def test_writer_of_zone_and_group_makes_one_call_at_a_time(self):
         status = self.create_grouped_status("a")
-        status.note("b", InstanceStatus("ready", 2.0, (2,), ()), self.now_s)
+        status.record_part("b", InstanceStatus("ready", 2.0, (2,), ()), self.now_s)
         names, written = [], {}
         for _ in range(4):
             call = self.next_call(status)
--- a/endivepick/core/zone_status.py
+++ b/endivepick/core/zone_status.py
@@ -89,13 +89,13 @@
         self._last_sent_at_s = float("-inf")
         self._next_check_s = float("-inf")
 
-    def note(self, sender: str, part: InstanceStatus, now_s: float) -> None:
+    def record_part(self, sender: str, part: InstanceStatus, now_s: float) -> None:
         """Record the status of an instance."""
         # The roles may change before the status is sent again, so both writers
         # keep it.
-        self._zone_writer.note(sender, part, now_s)
+        self._zone_writer.record_part(sender, part, now_s)
         if self._group_writer is not None:
-            self._group_writer.note(sender, part, now_s)
+            self._group_writer.record_part(sender, part, now_s)
 
     def tick(self, random_share: float, now_s: float) -> list[Action]:
         """Return the messages and platform calls that are due.
@@ -109,7 +109,7 @@
         """
         writer = self._sources.status_writer
         if self._is_zone_writer and writer != self._name:
-            self._zone_writer.resign()
+            self._zone_writer.invalidate()
         self._is_zone_writer = writer == self._name
         if writer is None:
             return []
@@ -142,7 +142,7 @@
             return []
         part = self._sources.build_own_status()
         if writer == self._name:
-            self.note(writer, part, now_s)
+            self.record_part(writer, part, now_s)
             return []
         content = (writer, _strip_load(part))
         slowdown = group.slowdown if group else 1.0
@@ -187,10 +187,10 @@
         self._call_pending = False
         match answer:
             case ObjectRead(stored=stored):
-                self._calling_writer.was_read(stored)
+                self._calling_writer.on_read(stored)
             case ObjectWritten(stored=stored):
                 self._backoff = self._backoff.succeeded()
-                self._calling_writer.was_written(stored)
+                self._calling_writer.on_written(stored)
                 ids = {"record": stored.name, "version": stored.version}
                 return [Log("status", "status_written", "status written", ids)]
             case CallFailed(reason=reason):
--- a/endivepick/records/_exchange.py
+++ b/endivepick/records/_anti_entropy.py
@@ -4,10 +4,10 @@
 from typing import Any
 
 from endivepick.records._readiness import Readiness
-from endivepick.records._reports import Subscribers
+from endivepick.records._subscribers import Subscribers
 from endivepick.records._transfer import (
+    TransferReceiver,
     TransferResult,
-    Transfers,
     build_delta,
     build_inventory,
 )
@@ -40,7 +40,7 @@
     changes: tuple[Change, ...] = ()
 
 
-class Exchange:
+class AntiEntropyExchange:
     """Synchronizes the cache with the caches of peers.
 
     Parameters
@@ -66,7 +66,7 @@
         self._cache = cache
         self._readiness = readiness
         self._subscribers = subscribers
-        self._transfers = Transfers(cache)
+        self._transfers = TransferReceiver(cache)
 
     def forget(self, name: str) -> None:
         """Discard the unfinished transfer from a peer that was removed."""
@@ -91,7 +91,7 @@
         ready = self._readiness.ready
         return ConfigDigest(digest.root, digest.revision, ready, answered=question)
 
-    def take(self, sender: str, message: Any, now_s: float) -> MessageResult:
+    def handle_message(self, sender: str, message: Any, now_s: float) -> MessageResult:
         """Handle a message and return the replies and accepted changes."""
         limit = self._settings.delta_bytes
         match message:
@@ -104,13 +104,13 @@
             case ConfigDelta():
                 return _to_result(self._transfers.handle_delta(sender, message))
             case ConfigInventory():
-                return _to_result(self._transfers.take_inventory(message))
+                return _to_result(self._transfers.handle_inventory(message))
         return MessageResult()
 
     def _handle_digest(
         self, sender: str, digest: ConfigDigest, now_s: float
     ) -> tuple[RecordsMessage, ...]:
-        self._readiness.heard(sender, digest)
+        self._readiness.record_digest(sender, digest)
         in_sync = self._cache.advance_if_equal(
             CacheDigest(digest.root, digest.revision)
         )
--- a/endivepick/records/_feeder.py
+++ b/endivepick/records/_feeder_selector.py
@@ -8,7 +8,7 @@
 """Time for which a silent feeder is excluded, in silence timeouts."""
 
 
-class Feeder:
+class FeederSelector:
     """Selects the highest-ranked feeder that is not silent.
 
     Parameters
--- a/endivepick/records/_readiness.py
+++ b/endivepick/records/_readiness.py
@@ -45,11 +45,11 @@
         self._listed = False
         self.ready = False
 
-    def listed(self) -> None:
+    def record_full_listing(self) -> None:
         """Record that the platform listed its complete configuration."""
         self._listed = True
 
-    def heard(self, name: str, digest: ConfigDigest) -> None:
+    def record_digest(self, name: str, digest: ConfigDigest) -> None:
         """Record the digest of a peer."""
         if self.ready:
             return
@@ -65,7 +65,7 @@
         else:
             self._ready_peers.discard(name)
 
-    def ask(
+    def choose_peers_to_ask(
         self, zone_peers: Iterable[str], others: Iterable[str], now_s: float
     ) -> list[str]:
         """Return the peers to send a question to."""
--- a/endivepick/records/_status_body.py
+++ b/endivepick/records/_status_body.py
@@ -27,7 +27,7 @@
 
 
 @dataclass(frozen=True)
-class ShownRows:
+class RowSelection:
     """Selects the instances that have a row in a status object.
 
     Attributes
@@ -71,7 +71,7 @@
     report: SubtreeReport
     members: Collection[str]
     states: Mapping[str, str]
-    shown: ShownRows = ShownRows()
+    shown: RowSelection = RowSelection()
     all_refusals: bool = True
 
     @property
--- a/endivepick/records/_transfer.py
+++ b/endivepick/records/_transfer.py
@@ -114,7 +114,7 @@
     return ConfigInventory(digest.root, digest.revision, tuple(covered), tuple(keys))
 
 
-class Transfers:
+class TransferReceiver:
     """Applies deltas and inventories and determines the next request.
 
     Parameters
@@ -142,7 +142,7 @@
         self.forget(sender)
         return TransferResult(changes, self._finish(delta, is_complete))
 
-    def take_inventory(self, inventory: ConfigInventory) -> TransferResult:
+    def handle_inventory(self, inventory: ConfigInventory) -> TransferResult:
         """Delete objects that the peer lacks although its revision covers them."""
         keys = [ObjectKey(kind, name) for kind, name in inventory.keys]
         changes = self._cache.offer_inventory(
--- a/endivepick/records/dissemination.py
+++ b/endivepick/records/dissemination.py
@@ -11,10 +11,10 @@
 from endivepick.core.events import PeerMessage
 from endivepick.membership.view import InstanceView, PeerState
 from endivepick.platform.answers import ObjectList, WatchResult
-from endivepick.records._exchange import Exchange
-from endivepick.records._feeder import Feeder
+from endivepick.records._anti_entropy import AntiEntropyExchange
+from endivepick.records._feeder_selector import FeederSelector
 from endivepick.records._readiness import Readiness
-from endivepick.records._reports import Subscribers, build_own_report
+from endivepick.records._subscribers import Subscribers, build_own_report
 from endivepick.records._transfer import (
     build_push,
 )
@@ -37,7 +37,11 @@
     RefusedRecord,
     SubtreeReport,
 )
-from endivepick.records.roles import ZoneRoles, choose_remote_watchers, zone_roles
+from endivepick.records.roles import (
+    ZoneRoles,
+    choose_remote_watchers,
+    compute_zone_roles,
+)
 from endivepick.records.settings import DisseminationSettings
 
 __all__ = ["Dissemination"]
@@ -72,12 +76,14 @@
         self._cache = cache
         self._readiness = Readiness(settings, name, incarnation)
         self._subscribers = Subscribers(settings)
-        self._exchange = Exchange(settings, cache, self._readiness, self._subscribers)
+        self._exchange = AntiEntropyExchange(
+            settings, cache, self._readiness, self._subscribers
+        )
         self._peers: dict[str, InstanceView] = {}
         self._own_state = PeerState.ALIVE
-        self._roles = zone_roles(zone, [self._own_view()], settings)
+        self._roles = compute_zone_roles(zone, [self._own_view()], settings)
         self._refused: tuple[RefusedRecord, ...] = ()
-        self._feeder = Feeder(settings)
+        self._feeder = FeederSelector(settings)
         self._feeders: list[str] | None = None
         self._watching = False
         self._platform_failed = False
@@ -180,7 +186,7 @@
             object_list.kind, object_list.revision, object_list.objects
         )
         if object_list.kind == self._cache.kinds[-1]:
-            self._readiness.listed()
+            self._readiness.record_full_listing()
         return tuple(changes)
 
     def _apply_watch(self, result: WatchResult) -> tuple[Change, ...]:
@@ -190,7 +196,7 @@
         return tuple(change for change in offer_results if change is not None)
 
     def _handle_message(self, event: PeerMessage, now_s: float) -> tuple[Change, ...]:
-        replies = self._exchange.take(event.sender, event.message, now_s)
+        replies = self._exchange.handle_message(event.sender, event.message, now_s)
         for message in replies.messages:
             self._send(event.sender, message)
         return replies.changes
@@ -216,7 +222,7 @@
             self._exchange.forget(name)
         self._peers = {peer.name: peer for peer in peers if peer.name != self._name}
         members = [self._own_view(), *self._peers.values()]
-        self._roles = zone_roles(self._zone, members, self._settings)
+        self._roles = compute_zone_roles(self._zone, members, self._settings)
         self._feeders = None
         # A new feeder receives the subscription without delay.
         self._digest_due_s = min(self._digest_due_s, now_s)
@@ -252,7 +258,7 @@
         reachable = self._reachable()
         zone_peers = [n for n in reachable if self._peers[n].zone == self._zone]
         others = [n for n in reachable if self._peers[n].zone != self._zone]
-        return self._readiness.ask(zone_peers, others, now_s)
+        return self._readiness.choose_peers_to_ask(zone_peers, others, now_s)
 
     def _send_watcher_digests(self) -> None:
         writer = self._roles.status_writer
--- a/endivepick/records/roles.py
+++ b/endivepick/records/roles.py
@@ -15,7 +15,7 @@
 from endivepick.membership.view import InstanceView, PeerState
 from endivepick.records.settings import DisseminationSettings
 
-__all__ = ["ZoneRoles", "hash_names", "choose_remote_watchers", "zone_roles"]
+__all__ = ["ZoneRoles", "hash_names", "choose_remote_watchers", "compute_zone_roles"]
 
 
 @dataclass(frozen=True)
@@ -124,7 +124,7 @@
     return assigned
 
 
-def zone_roles(
+def compute_zone_roles(
     zone: str, members: Iterable[InstanceView], settings: DisseminationSettings
 ) -> ZoneRoles:
     """Compute the roles of the instances in a zone.
@@ -191,7 +191,7 @@
     chosen = []
     for step in range(round_number * count, (round_number + 1) * count):
         cycle, index = divmod(step, len(zones))
-        watchers = zone_roles(zones[index], peers, settings).watchers
+        watchers = compute_zone_roles(zones[index], peers, settings).watchers
         if watchers:
             chosen.append(watchers[cycle % len(watchers)])
     return chosen
--- a/endivepick/records/status.py
+++ b/endivepick/records/status.py
@@ -13,7 +13,7 @@
 from endivepick.records._status_body import (
     READY_STATE,
     RECORD_ROWS,
-    ShownRows,
+    RowSelection,
     StatusUpdate,
     StatusView,
     get_in_force_floor,
@@ -27,7 +27,7 @@
 __all__ = [
     "READY_STATE",
     "ReadStatus",
-    "ShownRows",
+    "RowSelection",
     "StatusAction",
     "StatusView",
     "StatusWriter",
@@ -106,7 +106,7 @@
         self._due_s = 0.0
         self._read_at_s = 0.0
 
-    def note(self, sender: str, part: InstanceStatus, now_s: float) -> None:
+    def record_part(self, sender: str, part: InstanceStatus, now_s: float) -> None:
         """Record the part of the status that an instance sent."""
         if sender not in self._parts:
             # Instances that do not write never call ``step``, which expires parts.
@@ -175,19 +175,19 @@
             if record.version <= floor:
                 self._known_in_force[record.name] = record.version
 
-    def resign(self) -> None:
+    def invalidate(self) -> None:
         """Invalidate the known object because another instance writes it now."""
         self._is_read = False
 
-    def was_read(self, stored: StoredObject | None) -> None:
+    def on_read(self, stored: StoredObject | None) -> None:
         """Set the current object, or None if there is none."""
         self._call_pending = False
         self._is_read = True
         self._base = stored
 
-    def was_written(self, stored: StoredObject) -> None:
+    def on_written(self, stored: StoredObject) -> None:
         """Set the version that the write created."""
-        self.was_read(stored)
+        self.on_read(stored)
 
     def failed(self, now_s: float, wait_s: float) -> None:
         """Handle a failed call, such as a version conflict, by reading again.
--- a/endivepick/records/status_groups.py
+++ b/endivepick/records/status_groups.py
@@ -13,10 +13,16 @@
 from math import ceil
 
 from endivepick.core.rendezvous import owner
-from endivepick.records._status_body import ShownRows
+from endivepick.records._status_body import RowSelection
 from endivepick.records.roles import ZoneRoles
 
-__all__ = ["StatusGroup", "group_count", "group_number", "shown_rows", "status_group"]
+__all__ = [
+    "StatusGroup",
+    "group_count",
+    "compute_group_number",
+    "select_rows",
+    "find_status_group",
+]
 
 GROUPS_AT_FULL_RATE = 4
 """Number of groups up to which groups write at the rate of a zone without groups."""
@@ -61,7 +67,7 @@
 
 
 @lru_cache(maxsize=16_384)
-def group_number(name: str, groups: int) -> int:
+def compute_group_number(name: str, groups: int) -> int:
     """Return the group of an instance; adding a group moves few instances."""
     return int(owner(f"status:{name}", _list_group_numbers(groups)) or 0)
 
@@ -71,7 +77,7 @@
     return tuple(str(number) for number in range(1, groups + 1))
 
 
-def status_group(
+def find_status_group(
     name: str, zone: str, roles: ZoneRoles, size: int
 ) -> StatusGroup | None:
     """Return the group of an instance, or None in a zone without groups.
@@ -89,7 +95,7 @@
     groups = group_count(len(all_members), size)
     if groups == 0:
         return None
-    number = group_number(name, groups)
+    number = compute_group_number(name, groups)
     eligible = _filter_group(number, groups, roles.ranked)
     members = frozenset(eligible) | frozenset(
         _filter_group(number, groups, roles.departing)
@@ -100,16 +106,16 @@
 
 
 def _filter_group(number: int, groups: int, names: Iterable[str]) -> list[str]:
-    return [name for name in names if group_number(name, groups) == number]
+    return [name for name in names if compute_group_number(name, groups) == number]
 
 
-def shown_rows(
+def select_rows(
     name: str,
     members: Collection[str],
     group: StatusGroup | None,
     writes_zone: bool,
     of_group: bool,
-) -> ShownRows:
+) -> RowSelection:
     """Select the rows of the object of the zone, or of the group.
 
     An instance of an earlier build, or one whose view yields other groups, may send
@@ -129,10 +135,10 @@
         Whether to select the rows of the object of its group.
     """
     if group is None:
-        return ShownRows()
+        return RowSelection()
     own = group.members.intersection(members)
     if of_group:
         reporting = frozenset() if writes_zone else frozenset(members) - own
-        return ShownRows(own, reporting, group=group.number)
+        return RowSelection(own, reporting, group=group.number)
     in_group_object = own if group.writer == name else frozenset()
-    return ShownRows(frozenset(), frozenset(members) - in_group_object, group.groups)
+    return RowSelection(frozenset(), frozenset(members) - in_group_object, group.groups)
--- a/endivepick/records/tests/test_readiness.py
+++ b/endivepick/records/tests/test_readiness.py
@@ -12,25 +12,25 @@
 class TestReadiness(unittest.TestCase):
     def setUp(self):
         self.readiness = Readiness(SETTINGS, "a", QUESTION)
-        self.readiness.ask(["b"], [], 0.0)
+        self.readiness.choose_peers_to_ask(["b"], [], 0.0)
 
     def receive_digest(self, revision, ready=True, answered=QUESTION):
         digest = ConfigDigest(0, revision, ready, answered=answered)
-        self.readiness.heard("b", digest)
+        self.readiness.record_digest("b", digest)
 
     def test_stale_listing_does_not_suffice_while_a_peer_has_a_newer_revision(self):
-        self.readiness.listed()
+        self.readiness.record_full_listing()
         self.receive_digest(15)
         self.assertFalse(self.readiness.update(10, ["b"], 0.1))
         self.assertTrue(self.readiness.update(15, ["b"], 0.2))
 
     def test_removed_peer_does_not_delay_readiness(self):
-        self.readiness.listed()
+        self.readiness.record_full_listing()
         self.receive_digest(15)
         self.assertTrue(self.readiness.update(10, [], 0.1))
 
     def test_asked_peer_delays_readiness_until_timeout(self):
-        self.readiness.listed()
+        self.readiness.record_full_listing()
         self.assertFalse(self.readiness.update(10, ["b"], 0.1))
         patience_s = SETTINGS.ask_patience_s
         self.assertTrue(self.readiness.update(10, ["b"], patience_s + 0.1))
@@ -38,7 +38,7 @@
     def test_reply_to_an_earlier_process_does_not_count(self):
         for answered in (EARLIER, 0):
             self.setUp()
-            self.readiness.listed()
+            self.readiness.record_full_listing()
             self.receive_digest(10, answered=answered)
             self.assertFalse(self.readiness.update(10, ["b"], 0.1))
             self.receive_digest(15)
@@ -47,7 +47,7 @@
             self.assertTrue(self.readiness.update(15, ["b"], 0.3))
 
     def test_unsolicited_digest_raises_the_required_revision(self):
-        self.readiness.listed()
+        self.readiness.record_full_listing()
         self.receive_digest(10)
         self.receive_digest(15, answered=0)
         self.assertFalse(self.readiness.update(10, ["b"], 0.1))
@@ -60,7 +60,7 @@
         self.assertTrue(self.readiness.update(15, ["b"], patience_s + 0.2))
 
     def test_restarted_peer_with_a_lower_revision_does_not_delay_readiness(self):
-        self.readiness.listed()
+        self.readiness.record_full_listing()
         self.receive_digest(15)
         self.receive_digest(10, ready=False)
         self.assertTrue(self.readiness.update(10, ["b"], 0.1))
