--- a/endivepick/forwarder/breaker.py
+++ b/endivepick/forwarder/breaker.py
@@ -25,16 +25,16 @@
     Examples
     --------
     >>> breaker = CircuitBreaker()
-    >>> breaker.failed("registry"), breaker.failed("configuration")
+    >>> breaker.record_failure("registry"), breaker.record_failure("configuration")
     (True, False)
-    >>> breaker.answered()
-    >>> breaker.failed("configuration")
+    >>> breaker.record_success()
+    >>> breaker.record_failure("configuration")
     True
     >>> with breaker.caller() as feed:
-    ...     breaker.answered()
-    ...     breaker.failed(feed)
+    ...     breaker.record_success()
+    ...     breaker.record_failure(feed)
     True
-    >>> breaker.failed("registry")
+    >>> breaker.record_failure("registry")
     True
     """
 
@@ -54,9 +54,9 @@
         try:
             yield feed
         finally:
-            self.stopped(feed)
+            self.remove_caller(feed)
 
-    def failed(self, feed: Hashable) -> bool:
+    def record_failure(self, feed: Hashable) -> bool:
         """Take in that a call failed; returns whether this feed is to try again."""
         if not self._enabled:
             return True
@@ -64,20 +64,20 @@
             self._trying = feed
         return self._trying == feed
 
-    def answered(self) -> None:
+    def record_success(self) -> None:
         """Take in that the store answered: all may call."""
-        self._let_go()
+        self._release()
 
-    def stopped(self, feed: Hashable) -> None:
+    def remove_caller(self, feed: Hashable) -> None:
         """Take in that a feed makes no further call: another has to try for it."""
         if self._trying == feed:
-            self._let_go()
+            self._release()
 
     def wait(self) -> None:
         """Wait until the store has answered, or nobody tries."""
         self._changed.wait()
 
-    def _let_go(self) -> None:
+    def _release(self) -> None:
         self._trying = None
         waiting, self._changed = self._changed, Event()
         waiting.set()
--- a/endivepick/forwarder/datagrams.py
+++ b/endivepick/forwarder/datagrams.py
@@ -93,7 +93,7 @@
     early : socket, default=None
         Socket that was bound before; it is used if it has the address.
     """
-    with _adopt(early, parse_address(address)) as connection:
+    with _bind_or_reuse(early, parse_address(address)) as connection:
         datagrams = DatagramSocket(connection)
 
         def on_readable() -> None:
@@ -114,7 +114,7 @@
             watcher.close()
 
 
-def _adopt(early: socket | None, address: tuple[str, int]) -> socket:
+def _bind_or_reuse(early: socket | None, address: tuple[str, int]) -> socket:
     if early is not None and early.getsockname() == address:
         return early
     if early is not None:
--- a/endivepick/forwarder/decision_log.py
+++ b/endivepick/forwarder/decision_log.py
@@ -5,7 +5,7 @@
 """
 
 from endivepick.errors import PacketInvalidError
-from endivepick.forwarder.logs import BoundedLog, rounded
+from endivepick.forwarder.logs import BoundedLog, truncate_number
 from endivepick.forwarder.metrics import ForwarderMetrics
 from endivepick.forwarder.ports import FeedKind, UnreadableItem
 from endivepick.forwarding import (
@@ -52,10 +52,10 @@
             target=note.target,
             reason=note.reason,
             candidates=note.candidates,
-            load=rounded(note.load),
+            load=truncate_number(note.load),
             copy=note.copy,
             config_version=note.version,
-            belief_age_s=rounded(note.age_s),
+            belief_age_s=truncate_number(note.age_s),
         )
 
     def belief_change(self, change: BeliefChange) -> None:
@@ -70,7 +70,7 @@
             before=change.before,
             after=change.after,
             reason=change.reason,
-            before_for_s=rounded(change.age_s),
+            before_for_s=truncate_number(change.age_s),
             revision=change.revision,
         )
 
@@ -85,7 +85,9 @@
             service=confirmed.service,
             fault=confirmed.fault.value,
             reason=confirmed.reason,
-            told_before_s=None if told_before_s is None else rounded(told_before_s),
+            told_before_s=None
+            if told_before_s is None
+            else truncate_number(told_before_s),
         )
 
     def reset_with_target(self, reset: Reset) -> None:
@@ -156,7 +158,7 @@
             peer=peer,
             config_version=config_version,
             revision=revision,
-            heard_before_s=rounded(age_s),
+            heard_before_s=truncate_number(age_s),
         )
 
     def unreadable(self, kind: FeedKind, item: UnreadableItem) -> None:
@@ -186,12 +188,14 @@
     def packet_failed(self, error: Exception) -> None:
         """Write that a packet was dropped by a fault of ours."""
         self.metrics.count("packets_dropped", "fault")
-        self._fault("packet", "packet_failed", "packet dropped by a fault", error)
+        self._log_fault("packet", "packet_failed", "packet dropped by a fault", error)
 
     def task_failed(self, name: str, error: Exception) -> None:
         """Write that a task met a fault of ours and begins again."""
         self.metrics.count("tasks_failed", name)
-        self._fault("task", "task_failed", f"{name} begins again after a fault", error)
+        self._log_fault(
+            "task", "task_failed", f"{name} begins again after a fault", error
+        )
         self.log.flush()
 
     def paused(self, paused_s: float) -> None:
@@ -200,7 +204,7 @@
             "clock",
             "process_paused",
             "process stood still, reading everything again",
-            paused_s=rounded(paused_s),
+            paused_s=truncate_number(paused_s),
         )
 
     def started(self, data_address: str) -> None:
@@ -214,7 +218,7 @@
             "start",
             "ready",
             "routes and targets known",
-            after_s=rounded(after_s),
+            after_s=truncate_number(after_s),
             targets=targets,
         )
 
@@ -234,7 +238,7 @@
         self.log.event("stop", "stopped", "stopped", flows=flows)
         self.log.flush()
 
-    def _fault(self, part: str, name: str, message: str, error: Exception) -> None:
+    def _log_fault(self, part: str, name: str, message: str, error: Exception) -> None:
         # Loaded only when it is needed: it would delay the start.
         import traceback
 
--- a/endivepick/forwarder/feed.py
+++ b/endivepick/forwarder/feed.py
@@ -16,8 +16,8 @@
 )
 from endivepick.forwarder.breaker import CircuitBreaker
 from endivepick.forwarder.decision_log import DecisionLog
-from endivepick.forwarder.freshness import ANSWER_SLACK_S, freshness_of
-from endivepick.forwarder.logs import rounded
+from endivepick.forwarder.freshness import ANSWER_TIMEOUT_MARGIN_S, compute_freshness
+from endivepick.forwarder.logs import truncate_number
 from endivepick.forwarder.ports import FeedKind, Item, StoreDialect
 from endivepick.forwarder.settings import ForwarderSettings
 from endivepick.forwarder.tasks import spawn_supervised
@@ -25,7 +25,7 @@
 
 __all__ = ["FeedChanges", "FeedList", "StoreFeed", "heard_before_s"]
 
-_CONFIRM_WAIT_S = 0.2
+_FIRST_WATCH_WAIT_S = 0.2
 """Wait of the first watch after a loss: its answer shows that the store is back."""
 
 
@@ -99,7 +99,7 @@
         breaker: CircuitBreaker,
         asked: PlainSocket | None = None,
     ) -> None:
-        self._asked = asked
+        self._early_connection = asked
         self._settings = settings
         self._kind = kind
         self._dialect = dialect
@@ -114,7 +114,7 @@
         self._connection: StoreConnection | None = None
         self.heard_s = steady_now_s()
         """When the store last answered, here or to a feeder, in seconds."""
-        self._freshness = freshness_of(settings)
+        self._freshness = compute_freshness(settings)
         self._watch_wait_s = self._freshness.watch_wait_s
         self._lost_since_s: float | None = None
 
@@ -198,7 +198,7 @@
             self._settings.retry_base_s, self._settings.retry_cap_s
         )
         backoff = Backoff(bounds)
-        asked, self._asked = self._asked, None
+        asked, self._early_connection = self._early_connection, None
         with (
             store_connection(self._settings.store_address, asked) as connection,
             self._breaker.caller() as caller,
@@ -221,7 +221,7 @@
                     backoff = backoff.failed(random.random(), _wait_asked(error))
                     self._on_failure(error, backoff.wait_s)
                     connection.close()
-                    if self._breaker.failed(caller):
+                    if self._breaker.record_failure(caller):
                         gevent.sleep(backoff.wait_s)
                     else:
                         self._breaker.wait()
@@ -261,9 +261,9 @@
         self._deliver(FeedList(self._kind, tuple(items), revision, asked_s))
 
     def _watch(self, connection: StoreConnection) -> bool:
-        wait_s = _CONFIRM_WAIT_S if self.lost else self._watch_wait_s
+        wait_s = _FIRST_WATCH_WAIT_S if self.lost else self._watch_wait_s
         path = self._dialect.watch_path(self._kind, self._revision, wait_s)
-        body = connection.get(path, wait_s + ANSWER_SLACK_S)
+        body = connection.get(path, wait_s + ANSWER_TIMEOUT_MARGIN_S)
         batch = self._dialect.read_changes(self._kind, body)
         if batch.items or batch.revision > self._revision:
             self._deliver(FeedChanges(self._kind, batch.items, batch.revision))
@@ -283,14 +283,14 @@
             "store lost",
             kind=self._kind.value,
             revision=self._revision,
-            heard_before_s=rounded(self._lost_since_s - self.heard_s),
-            retry_in_s=rounded(wait_s),
+            heard_before_s=truncate_number(self._lost_since_s - self.heard_s),
+            retry_in_s=truncate_number(wait_s),
             error=str(error),
         )
 
     def _on_success(self) -> None:
         self._count("answered")
-        self._breaker.answered()
+        self._breaker.record_success()
         self.heard_s = steady_now_s()
         if self._lost_since_s is None:
             return
@@ -302,7 +302,7 @@
             "store regained",
             kind=self._kind.value,
             revision=self._revision,
-            lost_for_s=rounded(lost_s),
+            lost_for_s=truncate_number(lost_s),
         )
 
     def _count(self, answer: str) -> None:
--- a/endivepick/forwarder/feeders.py
+++ b/endivepick/forwarder/feeders.py
@@ -20,19 +20,19 @@
 from endivepick.forwarder.ports import FeederClaim
 
 __all__ = [
-    "Askers",
+    "FedInstances",
     "Feed",
     "FollowFeeder",
     "FollowStore",
     "Step",
     "WriteClaim",
-    "next_step",
+    "choose_step",
 ]
 
-CLAIM_SHARE = 0.125
+CLAIM_PROBABILITY = 0.125
 """Share of those who find all feeders full that claim a place; were it all, most calls
 of a large zone's start would be claims in vain."""
-ASKED_MEMORY_S = 2.0
+FED_INSTANCE_TTL_S = 2.0
 """How long an instance that asked counts as fed: a question is held for 0.7 s."""
 
 
@@ -61,10 +61,10 @@
 Step = Feed | WriteClaim | FollowFeeder | FollowStore
 
 
-def next_step(
+def choose_step(
     own: str,
-    places: Sequence[str],
-    fewest: int,
+    claim_names: Sequence[str],
+    min_feeders: int,
     claims: Sequence[FeederClaim],
     lost: Collection[str],
     full: Collection[str],
@@ -91,29 +91,29 @@
 
     Examples
     --------
-    >>> next_step("10.0.0.1:1", ["a.0"], 1, [], (), (), lambda: 0.0)
+    >>> choose_step("10.0.0.1:1", ["a.0"], 1, [], (), (), lambda: 0.0)
     WriteClaim(claim=FeederClaim(name='a.0', holder='10.0.0.1:1', revision=0))
     """
-    held = {claim.name: claim for claim in claims if claim.name in places}
+    held = {claim.name: claim for claim in claims if claim.name in claim_names}
     if any(claim.holder == own for claim in held.values()):
         return Feed()
-    wanted = [name for name in places[:fewest] if name not in held]
+    wanted = [name for name in claim_names[:min_feeders] if name not in held]
     if wanted:
-        return WriteClaim(FeederClaim(_draw(wanted, random_share), own))
-    taken = [claim for claim in held.values() if _is_lost(claim, lost)]
-    if taken:
-        claim = _draw(taken, random_share)
+        return WriteClaim(FeederClaim(_choose(wanted, random_share), own))
+    claimed = [claim for claim in held.values() if _is_lost(claim, lost)]
+    if claimed:
+        claim = _choose(claimed, random_share)
         return WriteClaim(FeederClaim(claim.name, own, claim.revision))
     feeders = [c for c in held.values() if c.holder and c.holder not in full]
     if feeders:
-        return FollowFeeder(_draw(feeders, random_share))
-    free = [name for name in places if name not in held]
-    if free and random_share() < CLAIM_SHARE:
-        return WriteClaim(FeederClaim(_draw(free, random_share), own))
+        return FollowFeeder(_choose(feeders, random_share))
+    free = [name for name in claim_names if name not in held]
+    if free and random_share() < CLAIM_PROBABILITY:
+        return WriteClaim(FeederClaim(_choose(free, random_share), own))
     return FollowStore()
 
 
-class Askers:
+class FedInstances:
     """Instances that a feeder feeds, as their questions show.
 
     Parameters
@@ -123,29 +123,31 @@
 
     Examples
     --------
-    >>> askers = Askers(most=1)
-    >>> askers.admit("a", 1.0), askers.admit("b", 1.5), askers.admit("a", 2.0)
+    >>> fed = FedInstances(max_instances=1)
+    >>> fed.admit("a", 1.0), fed.admit("b", 1.5), fed.admit("a", 2.0)
     (True, False, True)
-    >>> askers.admit("b", 4.5)
+    >>> fed.admit("b", 4.5)
     True
     """
 
-    def __init__(self, most: int) -> None:
-        self._most = most
-        self._asked_s: dict[str, float] = {}
+    def __init__(self, max_instances: int) -> None:
+        self._max_instances = max_instances
+        self._last_request_s: dict[str, float] = {}
 
     def admit(self, address: str, now_s: float) -> bool:
         """Take in a question; returns whether it is to be answered."""
-        if address not in self._asked_s:
-            self._forget(now_s)
-            if len(self._asked_s) >= self._most:
+        if address not in self._last_request_s:
+            self._remove_expired(now_s)
+            if len(self._last_request_s) >= self._max_instances:
                 return False
-        self._asked_s[address] = now_s
+        self._last_request_s[address] = now_s
         return True
 
-    def _forget(self, now_s: float) -> None:
-        limit_s = now_s - ASKED_MEMORY_S
-        self._asked_s = {a: s for a, s in self._asked_s.items() if s > limit_s}
+    def _remove_expired(self, now_s: float) -> None:
+        limit_s = now_s - FED_INSTANCE_TTL_S
+        self._last_request_s = {
+            a: s for a, s in self._last_request_s.items() if s > limit_s
+        }
 
 
 def _is_lost(claim: FeederClaim, lost: Collection[str]) -> bool:
@@ -156,5 +158,5 @@
     return claim.holder in lost
 
 
-def _draw(choices: Sequence[_Choice], random_share: Callable[[], float]) -> _Choice:
+def _choose(choices: Sequence[_Choice], random_share: Callable[[], float]) -> _Choice:
     return choices[int(random_share() * len(choices)) % len(choices)]
--- a/endivepick/forwarder/feeding.py
+++ b/endivepick/forwarder/feeding.py
@@ -7,8 +7,8 @@
 
 from endivepick.clock import steady_now_s
 from endivepick.forwarder.feed import StoreFeed, heard_before_s
-from endivepick.forwarder.feeders import Askers
-from endivepick.forwarder.freshness import POLL_WAIT_S, freshness_of
+from endivepick.forwarder.feeders import FedInstances
+from endivepick.forwarder.freshness import POLL_WAIT_S, compute_freshness
 from endivepick.forwarder.http import Response, json_response
 from endivepick.forwarder.logs import BoundedLog
 from endivepick.forwarder.peer_book import Neighbours
@@ -31,14 +31,14 @@
 
 __all__ = ["ZoneFeeder"]
 
-UNASKED_S = 10.0
+REQUEST_IDLE_S = 10.0
 """A feeder that nobody has asked for so long keeps no short watch: the only instance of
 a zone is its feeder, and short watches would cost the store calls for nothing."""
-USUAL_EVERY_S = 0.5
+BASELINE_PERIOD_S = 0.5
 """How often it is added up what is usual in the zone: some milliseconds of work."""
-TARGET_BYTES = 100
+ENTRY_BYTES = 100
 """What an entry of the registry takes in an answer, with a long name of its zone."""
-WHOLE_S = 1.0
+FULL_REGISTRY_SEND_S = 1.0
 """How long the whole registry may keep the feeder's link, told to all whom it feeds:
 packets wait behind it."""
 _MBIT_BYTES = 125_000
@@ -71,22 +71,24 @@
         log: BoundedLog,
     ) -> None:
         self._name = settings.name
-        self._tells_changes = settings.mechanisms.told_changes
+        self._sends_deltas = settings.mechanisms.told_changes
         self._core = core
         self._feeds = feeds
         self._neighbours = neighbours
         self._log = log
-        self._askers = Askers(settings.fed_most)
-        self._watch_wait_s = freshness_of(settings).feeding_wait_s
-        told_bytes = TARGET_BYTES * settings.fed_most
-        self._whole_targets = WHOLE_S * settings.link_mbps * _MBIT_BYTES / told_bytes
-        self._seen: dict[str, tuple[float, FitnessReport]] = {}
-        self._usual: list[UsualCounts] = []
-        self._usual_s = float("-inf")
-        self._alarming: frozenset[str] = frozenset()
-        self._alarms = 0
-        self._changed = Event()
-        self._asked_s = float("-inf")
+        self._fed_instances = FedInstances(settings.fed_most)
+        self._watch_wait_s = compute_freshness(settings).feeding_wait_s
+        sent_bytes = ENTRY_BYTES * settings.fed_most
+        self._max_full_targets = (
+            FULL_REGISTRY_SEND_S * settings.link_mbps * _MBIT_BYTES / sent_bytes
+        )
+        self._reports: dict[str, tuple[float, FitnessReport]] = {}
+        self._baselines: list[UsualCounts] = []
+        self._baselines_at_s = float("-inf")
+        self._known_outliers: frozenset[str] = frozenset()
+        self._alert_number = 0
+        self._news_event = Event()
+        self._last_request_s = float("-inf")
         self._stopping = False
         self.feeding = False
         """Whether others may be fed here."""
@@ -114,7 +116,7 @@
 
     def notify(self) -> None:
         """Answer those who wait for news."""
-        waiting, self._changed = self._changed, Event()
+        waiting, self._news_event = self._news_event, Event()
         waiting.set()
 
     def answer(self, query: str) -> Response:
@@ -122,68 +124,81 @@
         question = ZoneQuestion.read(query)
         if question is None:
             return _NOT_FEEDING
-        self._asked_s = steady_now_s()
-        if self.feeding and not self._askers.admit(question.asker, self._asked_s):
+        self._last_request_s = steady_now_s()
+        if self.feeding and not self._fed_instances.admit(
+            question.asker, self._last_request_s
+        ):
             return json_response(FeederFull(self._name))
-        self._neighbours.heard(question.asker, self._asked_s)
-        self._seen[question.asker] = (self._asked_s, question.seen)
+        self._neighbours.mark_alive(question.asker, self._last_request_s)
+        self._reports[question.asker] = (self._last_request_s, question.seen)
         self._set_watch_wait()
-        alarms = self._alarms
+        alert_number = self._alert_number
         with gevent.Timeout(POLL_WAIT_S, False):
-            while self._may_wait(question, alarms):
-                self._changed.wait()
+            while self._should_wait(question, alert_number):
+                self._news_event.wait()
         if not self.feeding or not self._core.ready:
             return _NOT_FEEDING
-        if self._is_too_much(question):
+        if self._exceeds_link(question):
             return json_response(FeederAhead(self._name))
-        return json_response(self._news(question))
+        return json_response(self._make_news(question))
 
-    def _may_wait(self, question: ZoneQuestion, alarms: int) -> bool:
+    def _should_wait(self, question: ZoneQuestion, alert_number: int) -> bool:
         """Whether there is nothing to tell an instance yet."""
-        return self.feeding and self._alarms == alarms and not self._has_news(question)
+        return (
+            self.feeding
+            and self._alert_number == alert_number
+            and not self._has_news(question)
+        )
 
-    def note_seen(self, query: str) -> Response:
+    def receive_report(self, query: str) -> Response:
         """Take in what an instance has seen of targets, between its questions."""
         question = ZoneQuestion.read(query)
         if question is None or not self.feeding:
             return _NOT_FEEDING
-        self._seen[question.asker] = (steady_now_s(), question.seen)
-        self.review_seen()
+        self._reports[question.asker] = (steady_now_s(), question.seen)
+        self.notify_new_outliers()
         return Response(200)
 
-    def review_seen(self) -> None:
+    def notify_new_outliers(self) -> None:
         """Tell all who are fed at once when one more target fails or is silent."""
         if not self.feeding:
             return
-        together = self._seen_together()
+        together = self._merge_zone_reports()
         alarming = self._core.fitness.alarming(steady_now_s())
         alarming |= {told.name for told in together.silent}
-        if not alarming <= self._alarming:
-            self._alarms += 1
+        if not alarming <= self._known_outliers:
+            self._alert_number += 1
             self.notify()
-        self._alarming = alarming
+        self._known_outliers = alarming
 
-    def _is_too_much(self, question: ZoneQuestion) -> bool:
+    def _exceeds_link(self, question: ZoneQuestion) -> bool:
         """Whether all of a large registry would have to be told."""
         registry = self._core.registry
         if question.registry_revision >= registry.told_from:
             return False
-        return len(registry) > self._whole_targets
+        return len(registry) > self._max_full_targets
 
-    def _seen_together(self) -> FitnessReport:
+    def _merge_zone_reports(self) -> FitnessReport:
         """Add up what instances of the zone see; a silent one tells nothing."""
         now_s = steady_now_s()
         oldest_s = now_s - TOLD_S
-        self._seen = {a: seen for a, seen in self._seen.items() if seen[0] >= oldest_s}
-        reports = [self._core.seen(now_s), *(seen for _, seen in self._seen.values())]
-        if now_s - self._usual_s >= USUAL_EVERY_S:
-            self._usual_s = now_s
-            self._usual = merge_usual(each for seen in reports for each in seen.usual)
-        together = merge_reports(reports, self._usual)
+        self._reports = {
+            a: seen for a, seen in self._reports.items() if seen[0] >= oldest_s
+        }
+        reports = [
+            self._core.seen(now_s),
+            *(seen for _, seen in self._reports.values()),
+        ]
+        if now_s - self._baselines_at_s >= BASELINE_PERIOD_S:
+            self._baselines_at_s = now_s
+            self._baselines = merge_usual(
+                each for seen in reports for each in seen.usual
+            )
+        together = merge_reports(reports, self._baselines)
         self._core.on_seen(together, now_s)
         return together
 
-    def _news(self, question: ZoneQuestion) -> ZoneNews:
+    def _make_news(self, question: ZoneQuestion) -> ZoneNews:
         return ZoneNews(
             self._name,
             self._core.routes.revision,
@@ -191,11 +206,11 @@
             self._core.registry.news_since(question.registry_revision),
             heard_before_s(self._feeds.values()),
             heard_before_s([self._feeds[FeedKind.REGISTRY]]),
-            self._seen_together(),
+            self._merge_zone_reports(),
         )
 
     def _change_since(self, revision: int) -> ConfigurationChange | None:
-        if not self._tells_changes:
+        if not self._sends_deltas:
             return None
         return self._core.routes.change_since(revision)
 
@@ -211,6 +226,6 @@
         The registry changes more often than the configuration, so that the short wait
         costs fewer calls there.
         """
-        asked = steady_now_s() - self._asked_s < UNASKED_S
+        asked = steady_now_s() - self._last_request_s < REQUEST_IDLE_S
         wait_s = self._watch_wait_s if self.feeding and asked else None
         self._feeds[FeedKind.REGISTRY].hold_watches(wait_s)
--- a/endivepick/forwarder/forwarder.py
+++ b/endivepick/forwarder/forwarder.py
@@ -20,10 +20,10 @@
 from endivepick.forwarder.http import http_server
 from endivepick.forwarder.logs import BoundedLog
 from endivepick.forwarder.metrics import ForwarderMetrics
-from endivepick.forwarder.news import NewsIntake
+from endivepick.forwarder.news import NewsHandler
 from endivepick.forwarder.packet_path import PacketPath, PathRequests
 from endivepick.forwarder.pages import Pages
-from endivepick.forwarder.peers import PeerFeed
+from endivepick.forwarder.peers import PeerExchange
 from endivepick.forwarder.ports import FeedKind, PacketCodec, StoreDialect
 from endivepick.forwarder.settings import ForwarderSettings
 from endivepick.forwarder.tasks import spawn_supervised
@@ -77,16 +77,18 @@
         asked: Mapping[FeedKind, socket] | None = None,
     ) -> None:
         self.settings = settings
-        self.core = ForwardingCore(_core_settings(settings), random.random)
+        self.core = ForwardingCore(_make_core_settings(settings), random.random)
         self.decisions = DecisionLog(log, ForwarderMetrics())
         self.stopping = False
         self._was_ready = False
         self._started_s = steady_now_s()
-        self._ticked_s = self._started_s
+        self._last_tick_s = self._started_s
         self._dialect = dialect
         self._zone: ZoneMember | None = None
         self._zone_task: gevent.Greenlet | None = None
-        self._news = news = NewsIntake(self.core, self.decisions, self._after_news)
+        self._news = news = NewsHandler(
+            self.core, self.decisions, self._on_news_applied
+        )
         breaker = CircuitBreaker(settings.mechanisms.breaker)
         self._feeds = {
             kind: StoreFeed(
@@ -100,7 +102,7 @@
             )
             for kind in FeedKind
         }
-        self._peers = PeerFeed(
+        self._peers = PeerExchange(
             settings,
             self.core,
             list(self._feeds.values()),
@@ -168,7 +170,7 @@
             self._zone.stop()
         self.decisions.stop_begun(len(self.core.flows), self.forwards_for_s)
 
-    def _after_news(self) -> None:
+    def _on_news_applied(self) -> None:
         self._path.perform()
         if self._zone is not None:
             self._zone.feeder.notify()
@@ -211,8 +213,8 @@
         while True:
             gevent.sleep(TICK_S)
             now_s = steady_now_s()
-            late_s = now_s - self._ticked_s - TICK_S
-            self._ticked_s = now_s
+            late_s = now_s - self._last_tick_s - TICK_S
+            self._last_tick_s = now_s
             if late_s > PAUSE_S:
                 self._on_pause(late_s, now_s)
             self.core.on_wall_clock(time.time() - now_s)
@@ -222,7 +224,7 @@
             self.core.tick(now_s, registry.heard_s)
             self._path.perform()
             if self._zone is not None:
-                self._zone.tell_seen()
+                self._zone.report_observations()
             self.decisions.metrics.fold()
             self.decisions.log.flush()
 
@@ -233,7 +235,7 @@
             feed.list_again()
 
 
-def _core_settings(settings: ForwarderSettings) -> ForwardingSettings:
+def _make_core_settings(settings: ForwarderSettings) -> ForwardingSettings:
     patience_s = PROBE_TIMEOUTS_S[1] + LARGEST_OBJECT_MBIT / settings.link_mbps
     timeouts_s = (PROBE_TIMEOUTS_S[0], patience_s)
     return ForwardingSettings(
--- a/endivepick/forwarder/http.py
+++ b/endivepick/forwarder/http.py
@@ -12,7 +12,7 @@
 
 from endivepick.addresses import parse_address
 
-__all__ = ["Response", "http_server", "json_response", "query_fields"]
+__all__ = ["Response", "http_server", "json_response", "parse_query"]
 
 _READ_BYTES = 4096
 _IDLE_S = 30.0
@@ -34,18 +34,18 @@
     return Response(200, msgspec.json.encode(value), "application/json")
 
 
-def query_fields(query: str) -> dict[str, str]:
+def parse_query(query: str) -> dict[str, str]:
     """Return the fields of a query; one without a value has an empty one.
 
     Examples
     --------
-    >>> query_fields("config=7&from")
+    >>> parse_query("config=7&from")
     {'config': '7', 'from': ''}
     """
     return dict(each.partition("=")[::2] for each in query.split("&"))
 
 
-Answerer = Callable[[str, str], Response]
+RequestHandler = Callable[[str, str], Response]
 
 
 class _Requests:
@@ -53,7 +53,7 @@
 
     def __init__(self) -> None:
         self.parser = httptools.HttpRequestParser(self)
-        self.kept = True
+        self.keep_alive = True
         self.targets: list[tuple[str, str]] = []
         self._url = b""
 
@@ -64,12 +64,12 @@
         path, _, query = self._url.decode("ascii", "replace").partition("?")
         self.targets.append((path, query))
         # The parser knows only until the callback returns.
-        self.kept = self.parser.should_keep_alive()
+        self.keep_alive = self.parser.should_keep_alive()
         self._url = b""
 
 
 @contextmanager
-def http_server(address: str, answer: Answerer) -> Iterator[str]:
+def http_server(address: str, answer: RequestHandler) -> Iterator[str]:
     """Answer GET requests while the context is open.
 
     Parameters
@@ -94,7 +94,7 @@
         server.stop(timeout=0)
 
 
-def _serve(connection: socket.socket, answer: Answerer) -> None:
+def _serve(connection: socket.socket, answer: RequestHandler) -> None:
     requests = _Requests()
     try:
         while True:
@@ -105,7 +105,7 @@
             requests.parser.feed_data(data)
             while requests.targets:
                 connection.sendall(_encode(answer(*requests.targets.pop(0))))
-            if not requests.kept:
+            if not requests.keep_alive:
                 return
     except (OSError, gevent.Timeout, httptools.HttpParserError):
         # The other end left or does not speak HTTP; there is nobody to tell.
--- a/endivepick/forwarder/logs.py
+++ b/endivepick/forwarder/logs.py
@@ -15,7 +15,7 @@
 
 import msgspec
 
-__all__ = ["BoundedLog", "open_log", "rounded"]
+__all__ = ["BoundedLog", "open_log", "truncate_number"]
 
 LINES_PER_S = 40
 """Lines of one event a second; a forwarder places some ten flows a second."""
@@ -31,7 +31,7 @@
 _encoder = msgspec.json.Encoder(enc_hook=str)
 
 
-def rounded(number: float, parts: int = PARTS_PER_UNIT) -> float:
+def truncate_number(number: float, parts: int = PARTS_PER_UNIT) -> float:
     """Return a number cut to whole parts of a unit, for a line.
 
     It is several times as fast as ``round``, which each line would call three times.
@@ -39,7 +39,7 @@
 
     Examples
     --------
-    >>> rounded(0.12345), rounded(1.5), rounded(float("inf"))
+    >>> truncate_number(0.12345), truncate_number(1.5), truncate_number(float("inf"))
     (0.123, 1.5, inf)
     """
     if not isfinite(number):
@@ -136,7 +136,7 @@
         self, level: str, part: str, name: str, message: str, fields: dict[str, Any]
     ) -> None:
         whole = {
-            "at_s": rounded(self._wall_time_s(), _TIME_PARTS),
+            "at_s": truncate_number(self._wall_time_s(), _TIME_PARTS),
             "process": self._process,
             "part": part,
             "event": name,
--- a/endivepick/forwarder/news.py
+++ b/endivepick/forwarder/news.py
@@ -18,13 +18,13 @@
     check_target,
 )
 
-__all__ = ["NewsIntake"]
+__all__ = ["NewsHandler"]
 
 STORE, FEEDER, PEER = "store", "feeder", "peer"
 """Who told of a configuration, for the log."""
 
 
-class NewsIntake:
+class NewsHandler:
     """Hands news to the core, and has what it decides carried out.
 
     Parameters
--- a/endivepick/forwarder/packet_path.py
+++ b/endivepick/forwarder/packet_path.py
@@ -35,9 +35,9 @@
 
 _NOT_SENT = "not_sent"
 """The kernel did not take the packet."""
-HINT_WITHIN_S = 0.05
+MAX_VERDICT_AGE_S = 0.05
 """A verdict is told to peers when it is new, not each time it is confirmed."""
-HINT_MEMORY_S = 2.0
+HINT_VALID_S = 2.0
 """A probe that follows a peer's word ends within some tenths of a second."""
 
 
@@ -129,7 +129,7 @@
                     self._decisions.reset_with_target(effect)
                     self._reset(effect)
                 case Release(data, verdict):
-                    self._carry_out(verdict, data)
+                    self._apply_verdict(verdict, data)
                 case ProbeTarget():
                     self._probe(effect)
                 case ReadRegistry():
@@ -147,12 +147,12 @@
         except PacketInvalidError as error:
             self._decisions.malformed(error, len(data))
             return
-        self._carry_out(self._core.on_packet(packet, data, now_s), data)
+        self._apply_verdict(self._core.on_packet(packet, data, now_s), data)
         if self._core.effects:
             self.perform()
             self._decisions.log.flush()
 
-    def _carry_out(self, verdict: Verdict, data: bytes) -> None:
+    def _apply_verdict(self, verdict: Verdict, data: bytes) -> None:
         match verdict:
             case Forward(belief):
                 self._forward(data, belief)
@@ -209,6 +209,6 @@
         if belief is None or not belief.takes_flows:
             return
         now_s = steady_now_s()
-        if belief.reachability_since_s >= now_s - HINT_WITHIN_S:
-            found_here = belief.hinted_s < now_s - HINT_MEMORY_S
+        if belief.reachability_since_s >= now_s - MAX_VERDICT_AGE_S:
+            found_here = belief.hinted_s < now_s - HINT_VALID_S
             self._requests.hint_peers(target, found_here)
--- a/endivepick/forwarder/pages.py
+++ b/endivepick/forwarder/pages.py
@@ -13,10 +13,10 @@
 from endivepick.forwarder.feed import StoreFeed
 from endivepick.forwarder.http import Response, json_response
 from endivepick.forwarder.metrics import render_page
-from endivepick.forwarder.peers import PeerFeed
+from endivepick.forwarder.peers import PeerExchange
 from endivepick.forwarder.ports import FeedKind
 from endivepick.forwarder.settings import ForwarderSettings
-from endivepick.forwarder.status import status_of
+from endivepick.forwarder.status import build_status
 from endivepick.forwarding import ForwardingCore
 
 if TYPE_CHECKING:
@@ -36,7 +36,7 @@
         What is known.
     feeds : mapping of FeedKind to StoreFeed
         How long ago the store answered.
-    peer_feed : PeerFeed
+    peer_exchange : PeerExchange
         Answers peers.
     zone : callable
         Returns what answers those of the zone that are fed here, None before it is
@@ -54,7 +54,7 @@
         settings: ForwarderSettings,
         core: ForwardingCore,
         feeds: Mapping[FeedKind, StoreFeed],
-        peer_feed: PeerFeed,
+        peer_exchange: PeerExchange,
         zone: Callable[[], ZoneMember | None],
         decisions: DecisionLog,
         on_hint: Callable[[str], None],
@@ -63,7 +63,7 @@
         self._settings = settings
         self._core = core
         self._feeds = feeds
-        self._peers = peer_feed
+        self._peers = peer_exchange
         self._zone = zone
         self._decisions = decisions
         self._on_hint = on_hint
@@ -84,11 +84,13 @@
                 return Response(404) if zone is None else zone.feeder.answer(query)
             case peers.SEEN_PATH:
                 zone = self._zone()
-                return Response(404) if zone is None else zone.feeder.note_seen(query)
+                return (
+                    Response(404) if zone is None else zone.feeder.receive_report(query)
+                )
             case "/metrics":
                 return self._metrics()
             case "/status":
-                return json_response(status_of(self._core, steady_now_s()))
+                return json_response(build_status(self._core, steady_now_s()))
             case _:
                 return Response(404)
 
--- a/endivepick/forwarder/peer_book.py
+++ b/endivepick/forwarder/peer_book.py
@@ -3,18 +3,18 @@
 from collections import OrderedDict
 from collections.abc import Sequence
 
-__all__ = ["MAX_PEERS", "Neighbours", "PeerBook"]
+__all__ = ["MAX_PEERS", "Neighbours", "PeerDirectory"]
 
 MAX_PEERS = 32
 """Peers that are remembered; a few that live are enough to learn from one."""
-SILENT_AFTER_S = 2.0
+NEIGHBOUR_TIMEOUT_S = 2.0
 """From then on a neighbour is taken for lost: a question is not held for so long."""
-GREETED_FOR_S = 30.0
+LOST_NEIGHBOUR_TTL_S = 30.0
 """How long a lost neighbour is greeted: a planned stop and the start after it take some
 3 s, an instance without power may be back after some ten seconds."""
 
 
-class PeerBook:
+class PeerDirectory:
     """Addresses of peers, the last heard last.
 
     Parameters
@@ -26,40 +26,40 @@
 
     Examples
     --------
-    >>> book = PeerBook("10.0.0.1:1", ["10.0.0.1:1", "10.0.0.2:1"])
-    >>> book.heard("10.0.0.3:1")
-    >>> book.recent(2)
+    >>> directory = PeerDirectory("10.0.0.1:1", ["10.0.0.1:1", "10.0.0.2:1"])
+    >>> directory.mark_alive("10.0.0.3:1")
+    >>> directory.list_recent(2)
     ['10.0.0.3:1', '10.0.0.2:1']
     """
 
     def __init__(self, own: str, seeds: Sequence[str]) -> None:
-        self._own = own
+        self._own_address = own
         self._peers: OrderedDict[str, None] = OrderedDict()
         for seed in seeds:
-            self.told(seed)
+            self.add_candidate(seed)
 
-    def heard(self, address: str) -> None:
+    def mark_alive(self, address: str) -> None:
         """Note that a peer lives."""
         self._peers.pop(address, None)
-        if address != self._own:
+        if address != self._own_address:
             self._peers[address] = None
         while len(self._peers) > MAX_PEERS:
             self._peers.popitem(last=False)
 
-    def told(self, address: str) -> None:
+    def add_candidate(self, address: str) -> None:
         """Note an address that another told."""
-        if address in self._peers or address == self._own:
+        if address in self._peers or address == self._own_address:
             return
         if len(self._peers) < MAX_PEERS:
             self._peers[address] = None
             self._peers.move_to_end(address, last=False)
 
-    def failed(self, address: str) -> None:
+    def mark_failed(self, address: str) -> None:
         """Note that a peer did not answer: the others go first."""
         if address in self._peers:
             self._peers.move_to_end(address, last=False)
 
-    def recent(self, number: int) -> list[str]:
+    def list_recent(self, number: int) -> list[str]:
         """Return some peers, the last heard first."""
         return list(reversed(self._peers))[:number]
 
@@ -75,25 +75,25 @@
     Examples
     --------
     >>> neighbours = Neighbours()
-    >>> neighbours.heard("a", 1.0)
-    >>> neighbours.lost(2.0), neighbours.lost(3.5), neighbours.lost(40.0)
+    >>> neighbours.mark_alive("a", 1.0)
+    >>> neighbours.find_lost(2.0), neighbours.find_lost(3.5), neighbours.find_lost(40.0)
     ([], ['a'], [])
     """
 
     def __init__(self) -> None:
         self._heard_s: dict[str, float] = {}
 
-    def heard(self, address: str, now_s: float) -> None:
+    def mark_alive(self, address: str, now_s: float) -> None:
         """Take in a question or an answer of a neighbour."""
         self._heard_s[address] = now_s
 
-    def greeted(self, address: str) -> None:
+    def mark_found(self, address: str) -> None:
         """Take in that a lost neighbour has answered a greeting."""
         self._heard_s.pop(address, None)
 
-    def lost(self, now_s: float) -> list[str]:
+    def find_lost(self, now_s: float) -> list[str]:
         """Return those that are to be greeted; forget those lost for long."""
-        limit_s = now_s - GREETED_FOR_S
+        limit_s = now_s - LOST_NEIGHBOUR_TTL_S
         self._heard_s = {a: s for a, s in self._heard_s.items() if s > limit_s}
-        silent_s = now_s - SILENT_AFTER_S
+        silent_s = now_s - NEIGHBOUR_TIMEOUT_S
         return [address for address, s in self._heard_s.items() if s <= silent_s]
--- a/endivepick/forwarder/peers.py
+++ b/endivepick/forwarder/peers.py
@@ -20,9 +20,9 @@
 from endivepick.clock import steady_now_s
 from endivepick.errors import EndivepickError
 from endivepick.forwarder.feed import StoreFeed, heard_before_s
-from endivepick.forwarder.http import Response, json_response, query_fields
+from endivepick.forwarder.http import Response, json_response, parse_query
 from endivepick.forwarder.logs import BoundedLog
-from endivepick.forwarder.peer_book import MAX_PEERS, Neighbours, PeerBook
+from endivepick.forwarder.peer_book import MAX_PEERS, Neighbours, PeerDirectory
 from endivepick.forwarder.settings import ForwarderSettings
 from endivepick.forwarding import Configuration, ForwardingCore, Target, TargetState
 from endivepick.store import store_connection
@@ -33,9 +33,9 @@
     "NEWS_PATH",
     "SNAPSHOT_PATH",
     "SEEN_PATH",
-    "PeerFeed",
+    "PeerExchange",
     "PeerSnapshot",
-    "asks_peers",
+    "should_query_peers",
 ]
 
 SNAPSHOT_PATH = "/peers/snapshot"
@@ -50,22 +50,22 @@
 _CONFIG = "config"
 _REGISTRY = "registry"
 """Fields of a question: who asks, and the revisions that it knows."""
-TOLD_PEERS = 8
+MAX_SHARED_PEERS = 8
 """Peers that are told to another, the last heard first."""
-MAX_ASKED = 8
+MAX_QUERIED_PEERS = 8
 """Peers that are asked in one round."""
-ASK_AFTER_S = 0.3
+INITIAL_STORE_WAIT_S = 0.3
 """Wait for the store before peers are asked; it answers within milliseconds."""
-ASK_EVERY_S = 1.0
+PEER_QUERY_PERIOD_S = 1.0
 """How often a peer is asked while the store is out of reach; a third of the time in
 which a change has to be in force."""
-HELLO_EVERY_S = 10.0
+HELLO_PERIOD_S = 10.0
 """How often one peer is greeted, so that peers know of each other in time."""
-MAX_HINTS = 16
+MAX_PENDING_HINTS = 16
 """Hints under way at a time; more are left out, since in a partition most fail."""
-PASSED_ON = 3
+HINT_FAN_OUT = 3
 """Peers to whom a hint is passed on; told by each to three, it reaches nearly all."""
-MAX_GREETINGS = 16
+MAX_PENDING_HELLOS = 16
 """Greetings of lost neighbours under way at a time."""
 CALL_TIMEOUT_S = 0.5
 """Longest wait for a peer; the next one is asked then."""
@@ -109,7 +109,7 @@
 _read_peers = msgspec.json.Decoder(list[str])
 
 
-def asks_peers(ready: bool, store_lost: bool, arriving: bool) -> bool:
+def should_query_peers(ready: bool, store_lost: bool, arriving: bool) -> bool:
     """Whether peers are asked for what they know.
 
     Load pattern: hundreds of instances start at once, and the lists of thousands of
@@ -128,7 +128,7 @@
     return store_lost or not (ready or arriving)
 
 
-class PeerFeed:
+class PeerExchange:
     """Task that learns from peers, and answers theirs.
 
     Parameters
@@ -150,38 +150,38 @@
         settings: ForwarderSettings,
         core: ForwardingCore,
         feeds: Sequence[StoreFeed],
-        take: Callable[[PeerSnapshot], None],
+        apply_snapshot: Callable[[PeerSnapshot], None],
         log: BoundedLog,
     ) -> None:
         self._name = settings.name
-        self._used = settings.mechanisms
-        self._own = settings.reached_at
+        self._mechanisms = settings.mechanisms
+        self._own_address = settings.reached_at
         self._core = core
         self._feeds = feeds
-        self._take = take
+        self._apply_snapshot = apply_snapshot
         self._log = log
-        self.book = PeerBook(self._own, settings.seeds)
+        self.directory = PeerDirectory(self._own_address, settings.seeds)
         self.neighbours = Neighbours()
         self.stopping = False
         """A neighbour that stops is to be greeted again when it has started."""
-        self._hints = Pool(MAX_HINTS)
-        self._greetings = Pool(MAX_GREETINGS)
-        self._found = Event()
+        self._pending_hints = Pool(MAX_PENDING_HINTS)
+        self._pending_hellos = Pool(MAX_PENDING_HELLOS)
+        self._peer_heard = Event()
 
     def run(self) -> None:
         """Greet peers now and then; ask them while the store is out of reach."""
-        gevent.sleep(ASK_AFTER_S)
+        gevent.sleep(INITIAL_STORE_WAIT_S)
         until_hello_s = 0.0
         while True:
-            self._found.clear()
-            self._greet_lost()
-            if asks_peers(self._core.ready, self._store_lost, self._arriving):
-                self._ask()
+            self._peer_heard.clear()
+            self._hello_lost_neighbours()
+            if should_query_peers(self._core.ready, self._store_lost, self._arriving):
+                self._query_peers()
             elif until_hello_s <= 0:
-                self._greet()
-                until_hello_s = HELLO_EVERY_S
-            self._found.wait(ASK_EVERY_S)
-            until_hello_s -= ASK_EVERY_S
+                self._hello_recent_peer()
+                until_hello_s = HELLO_PERIOD_S
+            self._peer_heard.wait(PEER_QUERY_PERIOD_S)
+            until_hello_s -= PEER_QUERY_PERIOD_S
 
     def hint(self, target: str, found_here: bool) -> None:
         """Tell peers that a target does not answer, so that each sees for itself.
@@ -197,39 +197,39 @@
         found_here : bool
             No peer had told it before.
         """
-        if not self._used.hints:
+        if not self._mechanisms.hints:
             return
-        peers = self.book.recent(MAX_PEERS)
+        peers = self.directory.list_recent(MAX_PEERS)
         if not found_here:
-            peers = random.sample(peers, min(PASSED_ON, len(peers)))
+            peers = random.sample(peers, min(HINT_FAN_OUT, len(peers)))
         for address in peers:
-            if self._hints.free_count() > 0:
-                self._hints.spawn(self._call, address, HINT_PATH + target)
+            if self._pending_hints.free_count() > 0:
+                self._pending_hints.spawn(self._call, address, HINT_PATH + target)
 
     def answer(self, path: str, query: str) -> Response:
         """Answer a peer."""
-        fields = query_fields(query)
+        fields = parse_query(query)
         if _is_address(fields.get(_FROM, "")):
-            self.book.heard(fields[_FROM])
+            self.directory.mark_alive(fields[_FROM])
             if not self._core.ready:
-                self._found.set()
+                self._peer_heard.set()
         if path == HELLO_PATH and self.stopping:
             return Response(503)
         if path == HELLO_PATH:
-            return json_response(self.book.recent(TOLD_PEERS))
-        known = (_number(fields, _CONFIG), _number(fields, _REGISTRY))
-        snapshot = self._snapshot(*known)
+            return json_response(self.directory.list_recent(MAX_SHARED_PEERS))
+        known = (_parse_number(fields, _CONFIG), _parse_number(fields, _REGISTRY))
+        snapshot = self._make_snapshot(*known)
         return Response(503) if snapshot is None else json_response(snapshot)
 
     @property
     def _arriving(self) -> bool:
-        return any(feed.arriving(ASK_AFTER_S) for feed in self._feeds)
+        return any(feed.arriving(INITIAL_STORE_WAIT_S) for feed in self._feeds)
 
     @property
     def _store_lost(self) -> bool:
         return any(feed.lost for feed in self._feeds)
 
-    def _snapshot(self, config: int, registry: int) -> PeerSnapshot | None:
+    def _make_snapshot(self, config: int, registry: int) -> PeerSnapshot | None:
         """Return what is newer than the asker's revisions, None if not ready."""
         configuration = self._core.routes.configuration
         if configuration is None or not self._core.ready:
@@ -238,68 +238,68 @@
         return PeerSnapshot(
             self._name,
             configuration if newer else None,
-            self._targets() if self._core.registry.revision > registry else None,
+            self._list_targets() if self._core.registry.revision > registry else None,
             self._core.registry.revision,
             heard_before_s(self._feeds),
             self._store_lost,
-            self.book.recent(TOLD_PEERS),
+            self.directory.list_recent(MAX_SHARED_PEERS),
             [b.name for b in self._core.registry if b.state is TargetState.UNREADABLE],
         )
 
-    def _targets(self) -> list[Target]:
+    def _list_targets(self) -> list[Target]:
         named = (TargetState.READY, TargetState.DRAINING, TargetState.LAPSED)
         return [b.target for b in self._core.registry if b.state in named]
 
-    def _greet(self) -> None:
-        for address in self.book.recent(1):
-            self._hello(address)
+    def _hello_recent_peer(self) -> None:
+        for address in self.directory.list_recent(1):
+            self._send_hello(address)
 
-    def _greet_lost(self) -> None:
+    def _hello_lost_neighbours(self) -> None:
         """Greet neighbours that have fallen silent, beside all else."""
-        if not self._used.greet_neighbours:
+        if not self._mechanisms.greet_neighbours:
             return
-        for address in self.neighbours.lost(steady_now_s()):
-            if self._greetings.free_count() > 0:
-                self._greetings.spawn(self._greet_back, address)
+        for address in self.neighbours.find_lost(steady_now_s()):
+            if self._pending_hellos.free_count() > 0:
+                self._pending_hellos.spawn(self._hello_neighbour, address)
 
-    def _greet_back(self, address: str) -> None:
-        if self._hello(address):
-            self.neighbours.greeted(address)
+    def _hello_neighbour(self, address: str) -> None:
+        if self._send_hello(address):
+            self.neighbours.mark_found(address)
             self._log.event(
                 "peer", "neighbour_found", "lost neighbour answers", peer=address
             )
 
-    def _hello(self, address: str) -> bool:
+    def _send_hello(self, address: str) -> bool:
         """Greet a peer, and learn of others; returns whether it answered."""
-        body = self._call(address, f"{HELLO_PATH}?{_FROM}={self._own}")
+        body = self._call(address, f"{HELLO_PATH}?{_FROM}={self._own_address}")
         if body is None:
             return False
         try:
-            self._learn(_read_peers.decode(body))
+            self._add_candidates(_read_peers.decode(body))
         except msgspec.MsgspecError as error:
             # A peer of another build; it lives all the same.
-            self._say_failed(address, str(error))
+            self._log_failure(address, str(error))
         return True
 
-    def _ask(self) -> None:
+    def _query_peers(self) -> None:
         """Ask one peer after the other until one is in touch with the store."""
         # At random, so that the few that all know do not get the questions of all.
-        peers = self.book.recent(MAX_PEERS)
-        asked = random.sample(peers, k=min(MAX_ASKED, len(peers)))
+        peers = self.directory.list_recent(MAX_PEERS)
+        asked = random.sample(peers, k=min(MAX_QUERIED_PEERS, len(peers)))
         helped = False
-        likely = asked if self._core.ready else self._answering(asked)
+        likely = asked if self._core.ready else self._find_responsive(asked)
         for address in likely:
-            body = self._call(address, f"{SNAPSHOT_PATH}?{self._question()}")
+            body = self._call(address, f"{SNAPSHOT_PATH}?{self._format_query()}")
             if body is None:
                 continue
             try:
                 snapshot = _read_snapshot.decode(body)
             except msgspec.MsgspecError as error:
                 # A peer of another build; the others may be of this one.
-                self._say_failed(address, str(error))
+                self._log_failure(address, str(error))
                 continue
-            self._learn(snapshot.peers)
-            self._take(snapshot)
+            self._add_candidates(snapshot.peers)
+            self._apply_snapshot(snapshot)
             helped = True
             if not snapshot.store_lost:
                 return
@@ -312,14 +312,14 @@
                 ready=self._core.ready,
             )
 
-    def _answering(self, addresses: Sequence[str]) -> Iterator[str]:
+    def _find_responsive(self, addresses: Sequence[str]) -> Iterator[str]:
         """Greet some peers at once, and yield those that answer, the first first.
 
         One that has just started knows little else than seeds.  Asked one after the
         other, those in other zones would take half a second each in a partition.
         """
         greetings = {
-            gevent.spawn(self._hello, address): address for address in addresses
+            gevent.spawn(self._send_hello, address): address for address in addresses
         }
         try:
             for greeting in gevent.iwait(list(greetings)):
@@ -328,27 +328,27 @@
         finally:
             gevent.killall(list(greetings), block=False)
 
-    def _question(self) -> str:
+    def _format_query(self) -> str:
         config = self._core.routes.revision
         registry = self._core.registry.revision if self._core.registry.known else 0
-        return f"{_FROM}={self._own}&{_CONFIG}={config}&{_REGISTRY}={registry}"
+        return f"{_FROM}={self._own_address}&{_CONFIG}={config}&{_REGISTRY}={registry}"
 
-    def _learn(self, addresses: Sequence[str]) -> None:
+    def _add_candidates(self, addresses: Sequence[str]) -> None:
         for address in addresses:
-            self.book.told(address)
+            self.directory.add_candidate(address)
 
     def _call(self, address: str, path: str) -> bytes | None:
         try:
             with store_connection(address) as connection:
                 body = connection.get(path, CALL_TIMEOUT_S)
         except (EndivepickError, ValueError) as error:
-            self.book.failed(address)
-            self._say_failed(address, str(error))
+            self.directory.mark_failed(address)
+            self._log_failure(address, str(error))
             return None
-        self.book.heard(address)
+        self.directory.mark_alive(address)
         return body
 
-    def _say_failed(self, address: str, error: str) -> None:
+    def _log_failure(self, address: str, error: str) -> None:
         self._log.event(
             "peer", "peer_failed", "peer did not help", peer=address, error=error
         )
@@ -362,6 +362,6 @@
     return True
 
 
-def _number(fields: dict[str, str], key: str) -> int:
+def _parse_number(fields: dict[str, str], key: str) -> int:
     text = fields.get(key, "")
     return int(text) if text.isascii() and text.isdigit() else 0
--- a/endivepick/forwarder/probes.py
+++ b/endivepick/forwarder/probes.py
@@ -24,15 +24,15 @@
 ANSWER_TIMEOUT_S = 0.5
 """A target that accepted a connection lives; its answer only tells who it is, and
 waits for a free slot."""
-_AT_HAND_S = 0.02
+_MIN_ANSWER_WAIT_S = 0.02
 """An answer that came with that of another target is taken in within that time, also
 after this process stood still."""
 _READ_BYTES = 4096
-LONGEST_BODY_BYTES = 65536
+MAX_BODY_BYTES = 65536
 """What is read of an answer that says who gives it."""
 
 
-_Reached: TypeAlias = socket.socket | ProbeOutcome
+_ConnectResult: TypeAlias = socket.socket | ProbeOutcome
 """A connection, or ``REFUSED`` or ``SILENT``."""
 
 
@@ -51,7 +51,7 @@
 
     def on_body(self, data: bytes) -> None:
         self.body += data
-        self.complete = len(self.body) > LONGEST_BODY_BYTES
+        self.complete = len(self.body) > MAX_BODY_BYTES
 
     def on_message_complete(self) -> None:
         self.complete = True
@@ -83,25 +83,27 @@
     deliver : callable
         Called once with the outcome.
     """
-    ended = _outcome(probe, dialect, settings)
+    ended = _run_probe(probe, dialect, settings)
     target = probe.target
     deliver(ProbeResult(target.name, ended.outcome, target.born_ms, ended.born_ms))
 
 
-def _outcome(
+def _run_probe(
     probe: ProbeTarget, dialect: StoreDialect, settings: ForwardingSettings
 ) -> _Outcome:
-    reached = _reach(probe, settings)
+    reached = _connect_repeatedly(probe, settings)
     if isinstance(reached, ProbeOutcome):
         return _Outcome(reached)
     with _closing(reached):
-        identity = _identity(reached, probe.path, dialect)
+        identity = _read_identity(reached, probe.path, dialect)
     if identity.name and identity.name != probe.target.name:
         return _Outcome(ProbeOutcome.REPLACED)
     return _Outcome(ProbeOutcome.ALIVE, identity.born_ms)
 
 
-def _reach(probe: ProbeTarget, settings: ForwardingSettings) -> _Reached:
+def _connect_repeatedly(
+    probe: ProbeTarget, settings: ForwardingSettings
+) -> _ConnectResult:
     """Connect to a target, in several attempts if it is silent."""
     *earlier_s, last_s = settings.probe_timeouts_s
     for timeout_s in earlier_s:
@@ -115,22 +117,22 @@
 
 def _connect_compared(
     target: Target, control: Target, settings: ForwardingSettings
-) -> _Reached:
+) -> _ConnectResult:
     """Connect to a target, and to another to see whether answers arrive here at all."""
     last_s = settings.probe_timeouts_s[-1]
     attempt = gevent.spawn(_connect, target, last_s)
-    compared = gevent.spawn(_answered_after_s, control, last_s)
+    compared = gevent.spawn(_measure_answer_s, control, last_s)
     try:
         attempt.join(settings.probe_compared_s)
         gevent.wait((attempt, compared), count=1)
         other_s = compared.value if compared.ready() else None
-        attempt.join(None if other_s is None else max(other_s, _AT_HAND_S))
+        attempt.join(None if other_s is None else max(other_s, _MIN_ANSWER_WAIT_S))
         return attempt.value if attempt.ready() else ProbeOutcome.SILENT
     finally:
         gevent.killall([attempt, compared], block=False)
 
 
-def _answered_after_s(target: Target, timeout_s: float) -> float | None:
+def _measure_answer_s(target: Target, timeout_s: float) -> float | None:
     """Return how long a target took to answer, None if it did not.
 
     A refusal is an answer as well.
@@ -144,7 +146,7 @@
     return steady_now_s() - began_s
 
 
-def _connect(target: Target, timeout_s: float) -> _Reached:
+def _connect(target: Target, timeout_s: float) -> _ConnectResult:
     """Make one attempt."""
     try:
         with gevent.Timeout(timeout_s):
@@ -163,21 +165,21 @@
         connection.close()
 
 
-def _identity(
+def _read_identity(
     connection: socket.socket, path: str, dialect: StoreDialect
 ) -> TargetIdentity:
     """Return who answers, as far as the answer says it in time."""
     answer = _Answer(dialect.identity_header)
     try:
         with gevent.Timeout(ANSWER_TIMEOUT_S):
-            _ask(connection, path, answer)
+            _request_health(connection, path, answer)
     except (OSError, gevent.Timeout, httptools.HttpParserError):
         # It accepted the connection, so something lives there; what came counts.
         pass
     return dialect.read_health(answer.header, answer.body)
 
 
-def _ask(connection: socket.socket, path: str, answer: _Answer) -> None:
+def _request_health(connection: socket.socket, path: str, answer: _Answer) -> None:
     request = f"GET {path} HTTP/1.1\r\nHost: target\r\nConnection: close\r\n\r\n"
     connection.sendall(request.encode())
     parser = httptools.HttpResponseParser(answer)
--- a/endivepick/forwarder/reload.py
+++ b/endivepick/forwarder/reload.py
@@ -9,9 +9,9 @@
 from endivepick.forwarder.logs import BoundedLog
 from endivepick.forwarder.settings import ForwarderSettings
 
-__all__ = ["LOOK_EVERY_S", "SettingsLoader", "SettingsReload"]
+__all__ = ["CHECK_PERIOD_S", "SettingsLoader", "SettingsReload"]
 
-LOOK_EVERY_S = 2.0
+CHECK_PERIOD_S = 2.0
 """How often the file is looked at; it may change without a signal."""
 
 SettingsLoader = Callable[[str], ForwarderSettings]
@@ -49,10 +49,10 @@
         self._log = log
         self._stamp = _stamp(path)
 
-    def look_forever(self) -> None:
+    def watch_file(self) -> None:
         """Read the file whenever it has changed."""
         while True:
-            gevent.sleep(LOOK_EVERY_S)
+            gevent.sleep(CHECK_PERIOD_S)
             stamp = _stamp(self._path)
             if stamp != self._stamp:
                 self._stamp = stamp
--- a/endivepick/forwarder/run.py
+++ b/endivepick/forwarder/run.py
@@ -58,10 +58,10 @@
         decisions.started(datagrams.address)
         reload = SettingsReload(path, load, settings, log)
         gevent.signal_handler(signal.SIGHUP, reload.read, "signal")
-        looking = spawn_supervised("settings", reload.look_forever, decisions)
+        watching = spawn_supervised("settings", reload.watch_file, decisions)
         stop_wanted.wait()
         forwarder.stop()
         gevent.sleep(forwarder.forwards_for_s)
-        looking.kill()
+        watching.kill()
     decisions.stopped(len(forwarder.core.flows))
     return 0
--- a/endivepick/forwarder/status.py
+++ b/endivepick/forwarder/status.py
@@ -2,13 +2,13 @@
 
 from typing import Any
 
-from endivepick.forwarder.logs import rounded
+from endivepick.forwarder.logs import truncate_number
 from endivepick.forwarding import ForwardingCore, TargetBelief
 
-__all__ = ["status_of"]
+__all__ = ["build_status"]
 
 
-def status_of(core: ForwardingCore, now_s: float) -> dict[str, Any]:
+def build_status(core: ForwardingCore, now_s: float) -> dict[str, Any]:
     """Return the beliefs of a forwarder as JSON values.
 
     Parameters
@@ -23,7 +23,7 @@
         "ready": core.ready,
         "flows": len(core.flows),
         "config_version": configuration.version if configuration else None,
-        "config_since_s": rounded(now_s - core.routes.since_s),
+        "config_since_s": truncate_number(now_s - core.routes.since_s),
         "targets": [_target(belief, now_s) for belief in core.registry],
     }
 
@@ -35,17 +35,17 @@
         "zone": belief.target.zone,
         "born_ms": belief.target.born_ms,
         "state": belief.state.value,
-        "state_for_s": rounded(now_s - belief.state_since_s),
+        "state_for_s": truncate_number(now_s - belief.state_since_s),
         "reachability": belief.reachability.value,
-        "reachability_for_s": rounded(now_s - belief.reachability_since_s),
+        "reachability_for_s": truncate_number(now_s - belief.reachability_since_s),
         "fitness": belief.fitness.value,
-        "fitness_for_s": rounded(now_s - belief.fitness_since_s),
+        "fitness_for_s": truncate_number(now_s - belief.fitness_since_s),
         "requests": {
-            "good": rounded(belief.requests.good),
-            "failed": rounded(belief.requests.failed),
-            "poor": rounded(belief.requests.poor),
-            "late": rounded(belief.requests.late),
-            "counted_before_s": rounded(now_s - belief.requests.at_s),
+            "good": truncate_number(belief.requests.good),
+            "failed": truncate_number(belief.requests.failed),
+            "poor": truncate_number(belief.requests.poor),
+            "late": truncate_number(belief.requests.late),
+            "counted_before_s": truncate_number(now_s - belief.requests.at_s),
         },
         "flows": belief.flows,
         "busy_flows": belief.busy_flows,
--- a/endivepick/forwarder/tests/test_breaker.py
+++ b/endivepick/forwarder/tests/test_breaker.py
@@ -21,26 +21,26 @@
 class TestCircuitBreaker(unittest.TestCase):
     def test_another_tries_once_the_first_has_stopped(self):
         breaker = CircuitBreaker()
-        self.assertTrue(breaker.failed("a"))
-        self.assertFalse(breaker.failed("b"))
+        self.assertTrue(breaker.record_failure("a"))
+        self.assertFalse(breaker.record_failure("b"))
         waiting = gevent.spawn(breaker.wait)
         gevent.sleep(0)
-        breaker.stopped("b")
+        breaker.remove_caller("b")
         self.assertFalse(waiting.ready())
-        breaker.stopped("a")
+        breaker.remove_caller("a")
         waiting.get(timeout=TIMEOUT_S)
-        self.assertTrue(breaker.failed("b"))
+        self.assertTrue(breaker.record_failure("b"))
 
     def test_without_it_each_tries(self):
         breaker = CircuitBreaker(enabled=False)
-        self.assertEqual([breaker.failed(feed) for feed in "aba"], [True] * 3)
+        self.assertEqual([breaker.record_failure(feed) for feed in "aba"], [True] * 3)
 
     def test_an_answer_lets_all_call(self):
         breaker = CircuitBreaker()
-        breaker.failed("a")
+        breaker.record_failure("a")
         waiting = gevent.spawn(breaker.wait)
         gevent.sleep(0)
-        breaker.answered()
+        breaker.record_success()
         waiting.get(timeout=TIMEOUT_S)
 
 
@@ -140,7 +140,7 @@
         self.dialect.refuse.set()
         self.feed.suspend()
         self.wait_lost()
-        self.assertTrue(self.breaker.failed(FeedKind.CONFIGURATION))
+        self.assertTrue(self.breaker.record_failure(FeedKind.CONFIGURATION))
 
     def test_a_feed_that_lists_again_does_not_wait_for_its_own_ended_task(self):
         self.dialect.refuse.set()
--- a/endivepick/forwarder/tests/test_feeders.py
+++ b/endivepick/forwarder/tests/test_feeders.py
@@ -2,15 +2,15 @@
 import unittest
 
 from endivepick.forwarder.feeders import (
-    CLAIM_SHARE,
+    CLAIM_PROBABILITY,
     Feed,
     FollowFeeder,
     FollowStore,
     WriteClaim,
-    next_step,
+    choose_step,
 )
 from endivepick.forwarder.ports import FeederClaim
-from endivepick.forwarder.zone import MOST_PLACES
+from endivepick.forwarder.zone import MAX_FEEDERS
 
 OWN = "10.0.0.1:1"
 PLACES = ["a.0", "a.1", "a.2"]
@@ -23,7 +23,7 @@
 
 
 def step(claims, lost=(), full=(), share=0.0):
-    return next_step(OWN, PLACES, FEWEST, claims, lost, full, lambda: share)
+    return choose_step(OWN, PLACES, FEWEST, claims, lost, full, lambda: share)
 
 
 class TestNextStep(unittest.TestCase):
@@ -59,9 +59,11 @@
 
     def test_some_of_those_who_find_all_full_become_feeders(self):
         full = ["10.0.0.2:1", "10.0.0.3:1"]
-        taken = step(OTHERS, full=full, share=CLAIM_SHARE - 0.01)
+        taken = step(OTHERS, full=full, share=CLAIM_PROBABILITY - 0.01)
         self.assertEqual(taken, WriteClaim(FeederClaim("a.2", OWN)))
-        self.assertEqual(step(OTHERS, full=full, share=CLAIM_SHARE), FollowStore())
+        self.assertEqual(
+            step(OTHERS, full=full, share=CLAIM_PROBABILITY), FollowStore()
+        )
 
     def test_without_a_free_place_the_store_is_followed(self):
         claims = [*OTHERS, FeederClaim("a.2", "10.0.0.5:1", 8)]
@@ -79,14 +81,14 @@
         random_share = random.Random(seed).random
         claims, vain, feeder_of = {}, 0, {}
         full = {n: set() for n in range(number)}
-        places = [f"z.{n}" for n in range(MOST_PLACES)]
+        places = [f"z.{n}" for n in range(MAX_FEEDERS)]
         for _ in range(rounds):
             seen = list(claims.values())
             for n in range(number):
                 if n in feeder_of:
                     continue
                 own = str(n)
-                taken = next_step(own, places, 1, seen, (), full[n], random_share)
+                taken = choose_step(own, places, 1, seen, (), full[n], random_share)
                 match taken:
                     case WriteClaim(claim) if claim.name in claims:
                         vain += 1
--- a/endivepick/forwarder/tests/test_feeding.py
+++ b/endivepick/forwarder/tests/test_feeding.py
@@ -80,7 +80,7 @@
             self.core.on_target(target, 1.0)
         self.core.on_target_list([b.target for b in self.core.registry], 900, 1.0)
         self.assertTrue(self.ask(registry=899).registry.whole)
-        self.member.feeder._whole_targets = 300
+        self.member.feeder._max_full_targets = 300
         query = "from=a&config=1&registry=899"
         answer = self.member.feeder.answer(query)
         self.assertEqual(
@@ -92,7 +92,7 @@
     def test_how_much_may_be_told_follows_from_the_link(self):
         settings = decode_settings(json.dumps(GOOD | {"link_mbps": 10}).encode())
         feeder = ZoneFeeder(settings, self.core, self.feeds, self.neighbours, None)
-        self.assertAlmostEqual(feeder._whole_targets, 520, delta=1)
+        self.assertAlmostEqual(feeder._max_full_targets, 520, delta=1)
 
     def test_of_a_new_configuration_the_change_is_told(self):
         self.feed()
@@ -114,7 +114,7 @@
         self.assertIsNone(feed.wait_s)
         self.ask(config=0)
         self.assertEqual(feed.wait_s, self.member._freshness.feeding_wait_s)
-        with patch.object(feeding, "UNASKED_S", 0.0):
+        with patch.object(feeding, "REQUEST_IDLE_S", 0.0):
             self.member.feeder.begin()
         self.assertIsNone(feed.wait_s)
         self.assertIsNone(self.feeds[FeedKind.CONFIGURATION].wait_s)
@@ -178,11 +178,11 @@
         waiting = gevent.spawn(self.member.feeder.answer, "from=a&config=1&registry=10")
         gevent.sleep(0)
         question = ZoneQuestion("10.0.0.2:1", 0, 0, self.report(1.0, 400.0))
-        self.member.feeder.note_seen(question.query)
+        self.member.feeder.receive_report(question.query)
         gevent.sleep(0)
         self.assertFalse(waiting.ready())
         question = ZoneQuestion("10.0.0.2:1", 0, 0, self.report(9.0, 400.0))
-        self.assertEqual(self.member.feeder.note_seen(question.query).status, 200)
+        self.assertEqual(self.member.feeder.receive_report(question.query).status, 200)
         news = waiting.get(timeout=TIMEOUT_S)
         seen = msgspec.json.decode(news.body, type=ZoneNews).seen
         self.assertEqual(seen.targets[0].failed, 9.0)
@@ -193,7 +193,7 @@
         gevent.sleep(0)
         silent = FitnessReport([], [], silent=[SilentTarget("i-1", 0)])
         question = ZoneQuestion("10.0.0.2:1", 0, 0, silent)
-        self.assertEqual(self.member.feeder.note_seen(question.query).status, 200)
+        self.assertEqual(self.member.feeder.receive_report(question.query).status, 200)
         news = waiting.get(timeout=TIMEOUT_S)
         seen = msgspec.json.decode(news.body, type=ZoneNews).seen
         self.assertEqual(seen.silent, silent.silent)
@@ -212,7 +212,7 @@
             self.member.fed = True
             self.member._feeder_address = address
             for _ in range(3):
-                self.member.tell_seen()
+                self.member.report_observations()
             with gevent.Timeout(TIMEOUT_S):
                 while not asked:
                     gevent.sleep(0.001)
@@ -223,12 +223,12 @@
     def test_without_a_doubt_nothing_is_told(self):
         self.member.fed = True
         self.member._feeder_address = "127.0.0.1:1"
-        self.member.tell_seen()
-        self.assertEqual(self.member._seen_told_s, float("-inf"))
+        self.member.report_observations()
+        self.assertEqual(self.member._report_sent_s, float("-inf"))
 
     def test_one_that_does_not_feed_takes_no_word(self):
         question = ZoneQuestion("10.0.0.2:1", 0, 0, self.report(9.0))
-        self.assertEqual(self.member.feeder.note_seen(question.query).status, 404)
+        self.assertEqual(self.member.feeder.receive_report(question.query).status, 404)
 
     def test_a_question_of_the_build_before_has_seen_nothing(self):
         question = ZoneQuestion.read("from=a&config=1&registry=10")
--- a/endivepick/forwarder/tests/test_freshness.py
+++ b/endivepick/forwarder/tests/test_freshness.py
@@ -2,11 +2,11 @@
 
 from endivepick.forwarder.forwarder import STOP_MARGIN_S, Forwarder
 from endivepick.forwarder.freshness import (
-    ANSWER_SLACK_S,
+    ANSWER_TIMEOUT_MARGIN_S,
+    CHANGE_READ_S,
     POLL_WAIT_S,
-    READ_S,
     WATCH_BOUNDS_S,
-    freshness_of,
+    compute_freshness,
 )
 from endivepick.forwarder.logs import BoundedLog
 from endivepick.forwarder.tests.test_settings import decode
@@ -27,13 +27,13 @@
                     store_settles_ms=settles_ms,
                 )
                 with self.subTest(in_force_ms=in_force_ms, settles_ms=settles_ms):
-                    yield settings, freshness_of(settings), in_force_ms / 1000
+                    yield settings, compute_freshness(settings), in_force_ms / 1000
 
     def test_a_watch_lost_in_an_outage_is_given_up_before_changes_have_to_be_known(
         self,
     ):
         for settings, limits, in_force_s in self.cases():
-            missed_s = limits.watch_wait_s + ANSWER_SLACK_S
+            missed_s = limits.watch_wait_s + ANSWER_TIMEOUT_MARGIN_S
             known_s = missed_s + limits.gather_s + settings.retry_cap_s
             allowed_s = settings.store_settles_ms / 1000 + in_force_s
             self.assertLess(known_s, allowed_s)
@@ -41,7 +41,7 @@
     def test_a_feeder_without_the_store_is_left_in_time_for_a_list(self):
         for _, limits, in_force_s in self.cases():
             left_s = limits.feeder_silent_s + POLL_WAIT_S
-            self.assertLessEqual(left_s + READ_S, in_force_s + 1e-9)
+            self.assertLessEqual(left_s + CHANGE_READ_S, in_force_s + 1e-9)
 
     def test_a_feeder_is_heard_of_before_it_is_left(self):
         for _, limits, in_force_s in self.cases():
@@ -51,7 +51,7 @@
 
     def test_a_feeder_watches_longer_where_changes_have_more_time(self):
         times_s = {
-            in_force_ms: freshness_of(
+            in_force_ms: compute_freshness(
                 decode(change_in_force_ms=in_force_ms, drain_in_force_ms=in_force_ms)
             ).feeding_wait_s
             for in_force_ms in (3000, 5000, 6000, 20000)
@@ -60,17 +60,21 @@
 
     def test_a_change_during_the_pause_for_others_is_known_in_time(self):
         for _, limits, in_force_s in self.cases():
-            self.assertLess(limits.gather_s + READ_S, in_force_s)
+            self.assertLess(limits.gather_s + CHANGE_READ_S, in_force_s)
 
     def test_the_shorter_of_two_times_counts(self):
-        short = freshness_of(decode(change_in_force_ms=9000, drain_in_force_ms=2000))
-        long = freshness_of(decode(change_in_force_ms=20000, drain_in_force_ms=20000))
+        short = compute_freshness(
+            decode(change_in_force_ms=9000, drain_in_force_ms=2000)
+        )
+        long = compute_freshness(
+            decode(change_in_force_ms=20000, drain_in_force_ms=20000)
+        )
         self.assertLess(short.gather_s, long.gather_s)
         self.assertLess(short.watch_wait_s, long.watch_wait_s)
         self.assertEqual(long.watch_wait_s, WATCH_BOUNDS_S[1])
 
     def test_what_the_settings_say_goes_before(self):
-        limits = freshness_of(decode(watch_wait_s=1.5, gather_s=0.0))
+        limits = compute_freshness(decode(watch_wait_s=1.5, gather_s=0.0))
         self.assertEqual((limits.watch_wait_s, limits.gather_s), (1.5, 0.0))
 
 
--- a/endivepick/forwarder/tests/test_news.py
+++ b/endivepick/forwarder/tests/test_news.py
@@ -8,7 +8,7 @@
 from endivepick.forwarder.feed import FeedChanges, FeedList
 from endivepick.forwarder.logs import BoundedLog
 from endivepick.forwarder.metrics import ForwarderMetrics
-from endivepick.forwarder.news import NewsIntake
+from endivepick.forwarder.news import NewsHandler
 from endivepick.forwarder.peers import PeerSnapshot
 from endivepick.forwarder.ports import FeedKind, UnreadableItem
 from endivepick.forwarding import (
@@ -42,7 +42,7 @@
         self.lines = []
         log = BoundedLog("a", lambda data: self.lines.append(data) or len(data))
         self.decisions = DecisionLog(log, ForwarderMetrics())
-        self.intake = NewsIntake(self.core, self.decisions, log.flush)
+        self.intake = NewsHandler(self.core, self.decisions, log.flush)
 
     def state(self, name):
         belief = self.core.registry.get(name)
--- a/endivepick/forwarder/tests/test_peers.py
+++ b/endivepick/forwarder/tests/test_peers.py
@@ -9,15 +9,15 @@
 from endivepick.clock import steady_now_s
 from endivepick.forwarder.http import Response, http_server
 from endivepick.forwarder.logs import BoundedLog
-from endivepick.forwarder.peer_book import MAX_PEERS, Neighbours, PeerBook
+from endivepick.forwarder.peer_book import MAX_PEERS, Neighbours, PeerDirectory
 from endivepick.forwarder.peers import (
     HELLO_PATH,
-    MAX_HINTS,
-    PASSED_ON,
+    HINT_FAN_OUT,
+    MAX_PENDING_HINTS,
     SNAPSHOT_PATH,
-    PeerFeed,
+    PeerExchange,
     PeerSnapshot,
-    asks_peers,
+    should_query_peers,
 )
 from endivepick.forwarder.settings import decode_settings
 from endivepick.forwarder.tests.test_settings import GOOD
@@ -32,7 +32,7 @@
     settings = decode_settings(
         json.dumps(GOOD | {"peer_address": OWN, "seeds": seeds}).encode()
     )
-    return PeerFeed(settings, core, [Feed()], lambda _: None, BoundedLog("a", len))
+    return PeerExchange(settings, core, [Feed()], lambda _: None, BoundedLog("a", len))
 
 
 class Feed:
@@ -48,20 +48,20 @@
     def told(self, found_here, peers):
         feed = make_feed(make_core())
         for number in range(peers):
-            feed.book.heard(f"10.0.0.{number + 2}:1")
+            feed.directory.mark_alive(f"10.0.0.{number + 2}:1")
         told = []
         with patch.object(feed, "_call", lambda address, path: told.append(address)):
             feed.hint("i-1", found_here)
-            feed._hints.join(timeout=TIMEOUT_S)
+            feed._pending_hints.join(timeout=TIMEOUT_S)
         return told
 
     def test_who_finds_a_target_dead_tells_all_that_it_may(self):
         self.assertEqual(len(self.told(True, peers=8)), 8)
-        self.assertEqual(len(self.told(True, peers=40)), MAX_HINTS)
+        self.assertEqual(len(self.told(True, peers=40)), MAX_PENDING_HINTS)
 
     def test_who_was_told_passes_it_on_to_few(self):
         told = self.told(False, peers=40)
-        self.assertEqual(len(set(told)), PASSED_ON)
+        self.assertEqual(len(set(told)), HINT_FAN_OUT)
         self.assertEqual(len(self.told(False, peers=1)), 1)
 
     def test_a_word_that_few_pass_on_reaches_nearly_all(self):
@@ -69,39 +69,39 @@
         source = random.Random(1)
         fleet = range(200)
         known = {one: source.sample(fleet, MAX_PEERS) for one in fleet}
-        heard, messages = {0, *known[0][:MAX_HINTS]}, MAX_HINTS
+        heard, messages = {0, *known[0][:MAX_PENDING_HINTS]}, MAX_PENDING_HINTS
         waiting = [one for one in heard if one]
         while waiting:
-            for peer in source.sample(known[waiting.pop()], PASSED_ON):
+            for peer in source.sample(known[waiting.pop()], HINT_FAN_OUT):
                 messages += 1
                 if peer not in heard:
                     heard.add(peer)
                     waiting.append(peer)
         self.assertGreater(len(heard), 0.9 * len(fleet))
-        self.assertLess(messages, (PASSED_ON + 1) * len(fleet))
+        self.assertLess(messages, (HINT_FAN_OUT + 1) * len(fleet))
 
 
 class TestPeerBook(unittest.TestCase):
     def test_peers_that_answered_last_are_asked_first(self):
-        book = PeerBook(OWN, ["b", "c", OWN])
-        book.heard("b")
-        book.failed("b")
-        book.heard("d")
-        self.assertEqual(book.recent(3), ["d", "c", "b"])
+        directory = PeerDirectory(OWN, ["b", "c", OWN])
+        directory.mark_alive("b")
+        directory.mark_failed("b")
+        directory.mark_alive("d")
+        self.assertEqual(directory.list_recent(3), ["d", "c", "b"])
 
     def test_what_others_tell_comes_after_what_was_heard(self):
-        book = PeerBook(OWN, [])
-        book.heard("b")
-        book.told("c")
-        book.told(OWN)
-        self.assertEqual(book.recent(5), ["b", "c"])
+        directory = PeerDirectory(OWN, [])
+        directory.mark_alive("b")
+        directory.add_candidate("c")
+        directory.add_candidate(OWN)
+        self.assertEqual(directory.list_recent(5), ["b", "c"])
 
     def test_it_is_bounded_and_forgets_the_oldest(self):
-        book = PeerBook(OWN, [])
+        directory = PeerDirectory(OWN, [])
         for number in range(MAX_PEERS * 3):
-            book.heard(f"p{number}")
-            book.told(f"q{number}")
-        recent = book.recent(MAX_PEERS * 3)
+            directory.mark_alive(f"p{number}")
+            directory.add_candidate(f"q{number}")
+        recent = directory.list_recent(MAX_PEERS * 3)
         self.assertEqual(len(recent), MAX_PEERS)
         self.assertEqual(recent[0], f"p{MAX_PEERS * 3 - 1}")
 
@@ -110,24 +110,24 @@
     def test_one_that_asks_on_is_not_greeted(self):
         neighbours = Neighbours()
         for tenths in range(0, 100, 7):
-            neighbours.heard("a", tenths / 10)
-            self.assertEqual(neighbours.lost(tenths / 10 + 1.0), [])
+            neighbours.mark_alive("a", tenths / 10)
+            self.assertEqual(neighbours.find_lost(tenths / 10 + 1.0), [])
 
     def test_a_lost_one_is_greeted_until_it_answers(self):
         neighbours = Neighbours()
-        neighbours.heard("a", 1.0)
-        neighbours.heard("b", 9.0)
+        neighbours.mark_alive("a", 1.0)
+        neighbours.mark_alive("b", 9.0)
         for now_s in (4.0, 9.0, 10.0):
-            self.assertEqual(neighbours.lost(now_s), ["a"])
-        neighbours.greeted("a")
-        self.assertEqual(neighbours.lost(10.5), [])
-        neighbours.greeted("c")
+            self.assertEqual(neighbours.find_lost(now_s), ["a"])
+        neighbours.mark_found("a")
+        self.assertEqual(neighbours.find_lost(10.5), [])
+        neighbours.mark_found("c")
 
     def test_one_that_never_returns_is_forgotten(self):
         neighbours = Neighbours()
-        neighbours.heard("a", 1.0)
-        self.assertEqual(neighbours.lost(20.0), ["a"])
-        self.assertEqual(neighbours.lost(32.0), [])
+        neighbours.mark_alive("a", 1.0)
+        self.assertEqual(neighbours.find_lost(20.0), ["a"])
+        self.assertEqual(neighbours.find_lost(32.0), [])
 
 
 class TestGreetings(unittest.TestCase):
@@ -136,16 +136,16 @@
         feed = make_feed(make_core())
         answer = Response(200, body, "application/json")
         with http_server("127.0.0.1:0", lambda *_: answer) as address:
-            feed.neighbours.heard(address, steady_now_s() - 5.0)
-            feed._greet_lost()
+            feed.neighbours.mark_alive(address, steady_now_s() - 5.0)
+            feed._hello_lost_neighbours()
             with gevent.Timeout(TIMEOUT_S):
-                feed._greetings.join()
-        return feed, feed.neighbours.lost(steady_now_s())
+                feed._pending_hellos.join()
+        return feed, feed.neighbours.find_lost(steady_now_s())
 
     def test_peers_of_one_that_was_found_are_learnt(self):
         feed, lost = self.greeted(b'["10.0.0.7:1"]')
         self.assertEqual(lost, [])
-        self.assertIn("10.0.0.7:1", feed.book.recent(9))
+        self.assertIn("10.0.0.7:1", feed.directory.list_recent(9))
 
     def test_an_answer_of_another_build_is_one_all_the_same(self):
         _, lost = self.greeted(b'{"peers": 3}')
@@ -155,15 +155,21 @@
 class TestAsksPeers(unittest.TestCase):
     def test_hundreds_that_start_at_once_leave_their_peers_alone(self):
         # Lists of 480 kB arrive for seconds on links of 2 Mbit/s.
-        self.assertFalse(asks_peers(ready=False, store_lost=False, arriving=True))
+        self.assertFalse(
+            should_query_peers(ready=False, store_lost=False, arriving=True)
+        )
 
     def test_a_store_that_is_silent_or_refuses(self):
-        self.assertTrue(asks_peers(ready=False, store_lost=False, arriving=False))
-        self.assertTrue(asks_peers(ready=True, store_lost=True, arriving=False))
-        self.assertTrue(asks_peers(ready=False, store_lost=True, arriving=True))
+        self.assertTrue(
+            should_query_peers(ready=False, store_lost=False, arriving=False)
+        )
+        self.assertTrue(should_query_peers(ready=True, store_lost=True, arriving=False))
+        self.assertTrue(should_query_peers(ready=False, store_lost=True, arriving=True))
 
     def test_nothing_is_asked_while_all_is_known(self):
-        self.assertFalse(asks_peers(ready=True, store_lost=False, arriving=False))
+        self.assertFalse(
+            should_query_peers(ready=True, store_lost=False, arriving=False)
+        )
 
 
 class TestPeerFeed(unittest.TestCase):
@@ -188,7 +194,7 @@
         feed = make_feed(make_core())
         for query in ("", "from=", "from=store:80", "from=1.2.3.4:x&a=b"):
             feed.answer(HELLO_PATH, query)
-        self.assertEqual(feed.book.recent(9), [])
+        self.assertEqual(feed.directory.list_recent(9), [])
 
     def test_only_what_is_newer_is_told(self):
         core = make_core([make_target("i-1", revision=1)])
--- a/endivepick/forwarder/tests/test_zone.py
+++ b/endivepick/forwarder/tests/test_zone.py
@@ -7,7 +7,7 @@
 
 from endivepick.clock import steady_now_s
 from endivepick.forwarder import zone
-from endivepick.forwarder.freshness import ANSWER_SLACK_S
+from endivepick.forwarder.freshness import ANSWER_TIMEOUT_MARGIN_S
 from endivepick.forwarder.http import Response, http_server
 from endivepick.forwarder.ports import FeederClaim, FeedKind
 from endivepick.forwarder.tests.zone_case import NOTHING, TIMEOUT_S, ZoneCase
@@ -71,7 +71,7 @@
         self.follow(self.news(), self.news(registry=change))
         self.assertEqual(self.done(FeedKind.REGISTRY), ["suspend", "resume 44"])
         self.assertIs(self.core.registry.get("i-2").state, TargetState.READY)
-        self.assertEqual(self.member._lost(), [])
+        self.assertEqual(self.member._lost_feeders(), [])
 
     def test_the_registry_is_as_old_as_the_feeders_registry(self):
         self.follow(self.news(), self.news(heard_before_s=0.2, registry_s=3.0))
@@ -84,20 +84,20 @@
         stale_s = self.member._freshness.feeder_silent_s + 0.1
         self.follow(self.news(), self.news(heard_before_s=stale_s), self.news())
         self.assertEqual(self.reasons(), ["store silent there for 1.7 s"])
-        self.assertEqual(self.member._lost(), [])
+        self.assertEqual(self.member._lost_feeders(), [])
 
     def test_those_who_feed_or_are_fed_are_neighbours(self):
         address = self.follow(self.news())
         self.feed()
         self.member.feeder.answer("from=10.0.0.9:1&config=0&registry=1")
         later_s = steady_now_s() + 5.0
-        self.assertEqual(self.neighbours.lost(later_s), [address, "10.0.0.9:1"])
+        self.assertEqual(self.neighbours.find_lost(later_s), [address, "10.0.0.9:1"])
 
     def test_one_that_had_a_long_watch_is_asked_again(self):
         stale = self.news(heard_before_s=9.0)
         address = self.follow(stale, stale, self.news(), self.news())
         self.assertEqual(self.done(FeedKind.REGISTRY), ["suspend", "resume 10"])
-        self.assertNotIn(address, self.member._lost())
+        self.assertNotIn(address, self.member._lost_feeders())
 
     def test_one_that_stays_stale_is_asked_now_and_then(self):
         """It has a newer configuration, so that it answers each question at once."""
@@ -111,13 +111,13 @@
         with http_server("127.0.0.1:0", answer) as address, limit:
             self.member._follow(address)
         limits = self.member._freshness
-        asked_for_s = limits.feeding_wait_s + ANSWER_SLACK_S
-        self.assertLessEqual(len(asked), asked_for_s / zone.ASK_AGAIN_S + 2)
+        asked_for_s = limits.feeding_wait_s + ANSWER_TIMEOUT_MARGIN_S
+        self.assertLessEqual(len(asked), asked_for_s / zone.POLL_RETRY_DELAY_S + 2)
 
     def test_one_that_stays_stale_is_not_followed(self):
         address = self.follow(then=self.news(heard_before_s=9.0), after_s=0.1)
         self.assertEqual(self.done(FeedKind.REGISTRY), [])
-        self.assertEqual(self.member._lost(), [address])
+        self.assertEqual(self.member._lost_feeders(), [address])
 
     def test_a_new_configuration_is_read_from_the_store(self):
         self.follow(self.news(), self.news(config=7))
@@ -158,29 +158,31 @@
         slack = patch.object(zone, "POLL_WAIT_S", 0.1)
         with slack, http_server("127.0.0.1:0", silent) as address:
             self.member._follow(address)
-        self.assertEqual(self.member._lost(), [address])
+        self.assertEqual(self.member._lost_feeders(), [address])
 
     def test_one_that_is_ahead_is_followed_later(self):
         ahead = Response(200, msgspec.json.encode(FeederAhead("f")), "application/json")
         self.follow(ahead)
         self.assertEqual(self.reasons(), ["it cannot tell what changed"])
-        self.assertEqual((self.member._full(), self.member._lost()), ([], []))
+        self.assertEqual(
+            (self.member._full_feeders(), self.member._lost_feeders()), ([], [])
+        )
 
     def test_one_that_is_full_is_remembered_but_not_lost(self):
         full = Response(200, msgspec.json.encode(FeederFull("f")), "application/json")
         address = self.follow(full)
         self.assertEqual(self.reasons(), ["it feeds as many as it can"])
-        self.assertEqual(self.member._full(), [address])
-        self.assertEqual(self.member._lost(), [])
+        self.assertEqual(self.member._full_feeders(), [address])
+        self.assertEqual(self.member._lost_feeders(), [])
 
     def test_one_that_cannot_be_read_counts_as_lost(self):
         address = self.follow(Response(200, b"[]", "application/json"))
-        self.assertEqual(self.member._lost(), [address])
+        self.assertEqual(self.member._lost_feeders(), [address])
 
     def test_one_that_is_about_to_stop_is_not_lost(self):
         self.follow(self.news())
         self.assertEqual(self.reasons(), ["it does not feed"])
-        self.assertEqual(self.member._lost(), [])
+        self.assertEqual(self.member._lost_feeders(), [])
 
 
 class TestFirstClaims(ZoneCase):
@@ -201,20 +203,20 @@
         self.core.on_configuration(make_configuration(revision=9, version=9), 1.0)
         with (
             patch.object(zone, "_sleep", lambda _bounds_s: gevent.sleep(0)),
-            patch.object(self.member, "_claims", read),
+            patch.object(self.member, "_read_claims", read),
             patch.object(self.member, "_follow", follow),
-            patch.object(self.member, "_write", lambda *_: follow("")),
+            patch.object(self.member, "_write_claim", lambda *_: follow("")),
             gevent.Timeout(TIMEOUT_S),
         ):
             self.member.run()
         return len(reads), followed
 
     def test_they_are_read_once_where_a_feeder_is_there(self):
-        place = FeederClaim(self.member._places[0], "127.0.0.1:2", 5)
+        place = FeederClaim(self.member._claim_names[0], "127.0.0.1:2", 5)
         self.assertEqual(self.read_at_start(place), (1, ["127.0.0.1:2"]))
 
     def test_they_are_read_again_after_a_wait_for_the_store(self):
-        place = FeederClaim(self.member._places[0], "127.0.0.1:2", 5)
+        place = FeederClaim(self.member._claim_names[0], "127.0.0.1:2", 5)
         feed = self.feeds[FeedKind.REGISTRY]
         feed.settled = False
         gevent.spawn_later(0.01, setattr, feed, "settled", True)
@@ -235,14 +237,14 @@
     def look(self, *holders, lost=()):
         """Greet the holders of claims; return whom the member takes for lost."""
         for address in lost:
-            self.member._lost_s[address] = steady_now_s()
+            self.member._lost_at_s[address] = steady_now_s()
         claims = [
             FeederClaim(name, holder, 5)
             for name, holder in zip(self.names, holders, strict=True)
         ]
         with gevent.Timeout(TIMEOUT_S):
-            self.member._greet_holders(claims)
-        return self.member._lost()
+            self.member._check_holders(claims)
+        return self.member._lost_feeders()
 
     def test_a_place_whose_holder_nobody_follows_is_found(self):
         with http_server("127.0.0.1:0", lambda *_: Response(200)) as alive:
--- a/endivepick/forwarder/tests/zone_case.py
+++ b/endivepick/forwarder/tests/zone_case.py
@@ -7,7 +7,7 @@
 from endivepick.forwarder.decision_log import DecisionLog
 from endivepick.forwarder.logs import BoundedLog
 from endivepick.forwarder.metrics import ForwarderMetrics
-from endivepick.forwarder.news import NewsIntake
+from endivepick.forwarder.news import NewsHandler
 from endivepick.forwarder.peer_book import Neighbours
 from endivepick.forwarder.ports import FeedKind
 from endivepick.forwarder.settings import decode_settings
@@ -60,7 +60,7 @@
         log = BoundedLog("a", lambda data: self.lines.append(bytes(data)) or len(data))
 
         decisions = DecisionLog(log, ForwarderMetrics())
-        take = NewsIntake(core, decisions, lambda: None).on_zone_news
+        take = NewsHandler(core, decisions, lambda: None).on_zone_news
         self.neighbours = Neighbours()
         return ZoneMember(settings, core, self.feeds, None, take, self.neighbours, log)
 
--- a/endivepick/forwarder/zone_messages.py
+++ b/endivepick/forwarder/zone_messages.py
@@ -5,7 +5,7 @@
 import msgspec
 from msgspec import Struct, field
 
-from endivepick.forwarder.http import query_fields
+from endivepick.forwarder.http import parse_query
 from endivepick.forwarding import ConfigurationChange, FitnessReport, RegistryNews
 
 __all__ = [
@@ -18,7 +18,7 @@
 ]
 
 
-def _nothing_seen() -> FitnessReport:
+def _empty_report() -> FitnessReport:
     return FitnessReport([], [])
 
 
@@ -46,7 +46,7 @@
     asker: str
     config_revision: int
     registry_revision: int
-    seen: FitnessReport = field(default_factory=_nothing_seen)
+    seen: FitnessReport = field(default_factory=_empty_report)
 
     @property
     def query(self) -> str:
@@ -60,20 +60,20 @@
     @classmethod
     def read(cls, query: str) -> Self | None:
         """Read a query, None if it is no such question."""
-        fields = query_fields(query)
+        fields = parse_query(query)
         try:
             config, registry = int(fields["config"]), int(fields["registry"])
-            return cls(fields["from"], config, registry, _read_seen(fields))
+            return cls(fields["from"], config, registry, _read_report(fields))
         except (KeyError, ValueError):
             return None
 
 
-def _read_seen(fields: dict[str, str]) -> FitnessReport:
+def _read_report(fields: dict[str, str]) -> FitnessReport:
     """Read what an instance has seen; nothing if it is of another build."""
     try:
         return _report_decoder.decode(bytes.fromhex(fields["seen"]))
     except (KeyError, ValueError):
-        return _nothing_seen()
+        return _empty_report()
 
 
 class FeederFull(Struct, frozen=True, tag=True):
@@ -130,7 +130,7 @@
     registry: RegistryNews
     heard_before_s: float
     registry_before_s: float
-    seen: FitnessReport = field(default_factory=_nothing_seen)
+    seen: FitnessReport = field(default_factory=_empty_report)
 
 
 FeederAnswer = ZoneNews | FeederFull | FeederAhead
