--- a/endivepick/forwarder/__init__.py
+++ b/endivepick/forwarder/__init__.py
@@ -1,1 +1,1 @@
-"""The forwarder: a thin daemon around the forwarding core."""
+"""Daemon that receives packets and runs the forwarding core."""
--- a/endivepick/forwarder/breaker.py
+++ b/endivepick/forwarder/breaker.py
@@ -1,9 +1,9 @@
-"""Circuit breaker of the store: one of an instance's feeds tries, the others wait.
+"""Circuit breaker of the store: one feed of an instance retries, the others wait.
 
-Load pattern: the store refuses or does not answer all instances for seconds.  Each feed
-that called again by itself would double the calls of an outage, which are paid for and,
-once the store is back, meet its limit of calls a second; an answer to one feed says as
-much to the others.
+Load pattern: the store refuses or does not answer the calls of all instances for
+seconds. If each feed retried by itself, an instance would make twice the calls during
+an outage; they are paid for and, once the store is back, count against its rate limit.
+An answer to one feed shows the state of the store to the others.
 """
 
 from collections.abc import Hashable, Iterator
@@ -15,12 +15,12 @@
 
 
 class CircuitBreaker:
-    """Says which feed tries while the store does not answer.
+    """Selects the feed that retries while the store does not answer.
 
     Parameters
     ----------
     enabled : bool, default=True
-        False: each feed tries for itself.
+        If false, each feed retries by itself.
 
     Examples
     --------
@@ -45,10 +45,11 @@
 
     @contextmanager
     def caller(self) -> Iterator[Hashable]:
-        """Name a feed's task for as long as it makes calls.
+        """Identify a feed's task for as long as it makes calls.
 
-        The task itself leaves: a call that fails between the request to stop a task and
-        its end would otherwise make it the one that tries, with nobody left to try.
+        The task removes itself when it ends. Otherwise a call that fails between the
+        request to stop a task and its end would select that task, and no feed would
+        retry.
         """
         feed = object()
         try:
@@ -57,7 +58,7 @@
             self.remove_caller(feed)
 
     def record_failure(self, feed: Hashable) -> bool:
-        """Take in that a call failed; returns whether this feed is to try again."""
+        """Record a failed call; return whether this feed is to retry."""
         if not self._enabled:
             return True
         if self._trying is None:
@@ -65,16 +66,16 @@
         return self._trying == feed
 
     def record_success(self) -> None:
-        """Take in that the store answered: all may call."""
+        """Record an answer of the store: all feeds may call."""
         self._release()
 
     def remove_caller(self, feed: Hashable) -> None:
-        """Take in that a feed makes no further call: another has to try for it."""
+        """Remove a feed that makes no further calls, so that another can retry."""
         if self._trying == feed:
             self._release()
 
     def wait(self) -> None:
-        """Wait until the store has answered, or nobody tries."""
+        """Wait until the store has answered or no feed retries."""
         self._changed.wait()
 
     def _release(self) -> None:
--- a/endivepick/forwarder/datagrams.py
+++ b/endivepick/forwarder/datagrams.py
@@ -1,4 +1,4 @@
-"""The socket for packets: read in batches straight from the event loop."""
+"""The data socket, read in batches by a callback of the event loop."""
 
 from collections.abc import Callable, Iterator
 from contextlib import contextmanager
@@ -12,20 +12,21 @@
 __all__ = ["DatagramSocket", "datagram_socket"]
 
 _BATCH = 64
-"""Packets read before other tasks get their turn; some milliseconds of work."""
+"""Maximum number of packets that are read before other tasks run; they take some
+milliseconds."""
 _READ_BYTES = 2048
-"""Longer than any packet, so that a longer datagram shows as malformed."""
+"""Larger than any valid packet, so that a longer datagram is detected as malformed."""
 _READABLE = 1
-"""libev's flag for a descriptor that can be read."""
+"""Flag of libev for a readable descriptor."""
 
 
 class DatagramSocket:
-    """Sends packets; drops what the kernel does not take at once.
+    """Sends packets and drops those that the kernel does not accept at once.
 
     Parameters
     ----------
     connection : socket
-        Bound and non-blocking.
+        Bound, non-blocking socket.
     """
 
     def __init__(self, connection: socket) -> None:
@@ -33,20 +34,20 @@
 
     @property
     def address(self) -> str:
-        """Address that it is bound to."""
+        """Bound address."""
         host, port = self._socket.getsockname()
         return f"{host}:{port}"
 
     @property
     def port(self) -> int:
-        """Port that it is bound to."""
+        """Bound port."""
         return self._socket.getsockname()[1]
 
     def send(self, data: bytes, host: str, port: int) -> bool:
-        """Send a datagram; returns whether it went out.
+        """Send a datagram; return whether the kernel accepted it.
 
-        A full buffer or an unreachable network loses it like any other packet, and
-        its sender repeats it.
+        A datagram for which the buffer is full or the network unreachable is lost like
+        any other lost packet, and its sender retransmits it.
         """
         try:
             self._socket.sendto(data, (host, port))
@@ -55,14 +56,14 @@
         return True
 
     def read_batch(self) -> Iterator[bytes]:
-        """Yield the datagrams that wait, a batch at most."""
+        """Yield the waiting datagrams, at most one batch."""
         for _ in range(_BATCH):
             try:
                 yield self._socket.recv(_READ_BYTES)
             except BlockingIOError:
                 return
             except OSError:
-                # Late word that an earlier datagram was refused.
+                # Delayed error of an earlier datagram that was refused.
                 continue
 
 
@@ -75,23 +76,23 @@
     now_s: Callable[[], float],
     early: socket | None = None,
 ) -> Iterator[DatagramSocket]:
-    """Bind a socket and hand over its packets while the context is open.
+    """Bind a socket and deliver its packets while the context is open.
 
     Parameters
     ----------
     address : str
-        Where to bind.
+        Address to bind.
     on_packet : callable
         Called with each datagram and the time.
     on_fault : callable
-        Called with what ``on_packet`` raised; the event loop would not listen to the
-        socket again after a callback that failed.
+        Called with an exception raised by ``on_packet``; after a callback that failed,
+        the event loop would not watch the socket any more.
     after_batch : callable
         Called after each batch with its duration, in seconds.
     now_s : callable
-        Gives the time, in seconds.
+        Returns the time, in seconds.
     early : socket, default=None
-        Socket that was bound before; it is used if it has the address.
+        Socket that was bound earlier; it is used if it has the address.
     """
     with _bind_or_reuse(early, parse_address(address)) as connection:
         datagrams = DatagramSocket(connection)
--- a/endivepick/forwarder/decision_log.py
+++ b/endivepick/forwarder/decision_log.py
@@ -1,7 +1,7 @@
-"""One line for each decision and each change of belief, and the counters beside them.
+"""Logs each decision and each change of belief, and counts them.
 
-Each line has the id that it is about, what decided, the age or version of that, and the
-outcome.
+Each line names its subject, the basis of the decision, the age or version of that
+basis, and the outcome.
 """
 
 from endivepick.errors import PacketInvalidError
@@ -22,18 +22,18 @@
 __all__ = ["DecisionLog"]
 
 _TRACE_FRAMES = -3
-"""Innermost frames of a fault that are written."""
+"""Number of innermost frames of an error's traceback that are logged."""
 
 
 class DecisionLog:
-    """Writes what a forwarder decides, learns and meets.
+    """Logs the decisions, the news and the errors of a forwarder.
 
     Parameters
     ----------
     log : BoundedLog
-        Takes the lines.
+        Receives the lines.
     metrics : ForwarderMetrics
-        Counts what the lines say.
+        Counts the events.
     """
 
     def __init__(self, log: BoundedLog, metrics: ForwarderMetrics) -> None:
@@ -41,7 +41,7 @@
         self.metrics = metrics
 
     def note(self, note: Note) -> None:
-        """Write a decision about a flow."""
+        """Log a decision about a flow."""
         if note.name == "flow_placed":
             self.metrics.count("flows_placed", note.reason)
         self.log.event(
@@ -59,7 +59,7 @@
         )
 
     def belief_change(self, change: BeliefChange) -> None:
-        """Write a change of what is believed of a target."""
+        """Log a change of the belief about a target."""
         self.metrics.count("target_changes", change.after)
         self.log.event(
             "target",
@@ -75,7 +75,7 @@
         )
 
     def fault_confirmed(self, confirmed: FaultConfirmed) -> None:
-        """Write for which fault flows of a target may be reset from now on."""
+        """Log the confirmed fault for which flows of a target may be reset."""
         told_before_s = confirmed.told_before_s
         self.log.event(
             "target",
@@ -91,7 +91,7 @@
         )
 
     def reset_with_target(self, reset: Reset) -> None:
-        """Write that a flow is reset because of its target."""
+        """Log that a flow is reset because of its target."""
         self.log.event(
             "flow",
             "flow_reset",
@@ -102,7 +102,7 @@
         )
 
     def probe(self, result: ProbeResult) -> None:
-        """Write the outcome of a probe."""
+        """Log the outcome of a probe."""
         self.metrics.count("probes", result.outcome.value)
         self.log.event(
             "probe",
@@ -115,17 +115,19 @@
         )
 
     def hint(self, target: str) -> None:
-        """Write that a peer says a target does not answer."""
-        self.log.event("peer", "peer_hint", f"{target} may be lost", target=target)
+        """Log a peer's hint that a target does not answer."""
+        self.log.event(
+            "peer", "peer_hint", f"{target} reported not to answer", target=target
+        )
 
     def configuration(
         self, configuration: Configuration, in_force: bool, learnt_from: str
     ) -> None:
-        """Write that a configuration was read, or told by another instance."""
+        """Log that a configuration was received from the store or another instance."""
         self.log.event(
             "config",
             "config_in_force" if in_force else "config_ignored",
-            f"version {configuration.version} read",
+            f"version {configuration.version} received",
             config_version=configuration.version,
             revision=configuration.revision,
             routes=len(configuration.routes),
@@ -133,11 +135,11 @@
         )
 
     def change_unfit(self, change: ConfigurationChange, known_revision: int) -> None:
-        """Write that a change starts from another version than that in force."""
+        """Log that a delta does not start from the version in force."""
         self.log.event(
             "config",
             "change_unfit",
-            "change left out, reading the configuration from the store",
+            "delta does not apply; reading the configuration from the store",
             config_version=change.version,
             revision=change.revision,
             before_revision=change.before_revision,
@@ -147,14 +149,14 @@
     def snapshot(
         self, peer: str, config_version: int | None, revision: int, age_s: float
     ) -> None:
-        """Write what a peer knew, and how long ago the store had answered it.
+        """Log a peer's snapshot and the time since the store last answered the peer.
 
-        The version is None if the peer knew no newer one.
+        The version is None if the peer had no newer configuration.
         """
         self.log.event(
             "peer",
             "peer_snapshot",
-            "learnt from a peer",
+            "received a peer's snapshot",
             peer=peer,
             config_version=config_version,
             revision=revision,
@@ -162,12 +164,12 @@
         )
 
     def unreadable(self, kind: FeedKind, item: UnreadableItem) -> None:
-        """Write that an object of the store, or told by an instance, was skipped."""
+        """Log that an object of the store, or of another instance, was skipped."""
         self.metrics.count("items_unreadable", kind.value)
         self.log.warning(
             "store",
             "item_unreadable",
-            "item skipped",
+            "skipped an unreadable object",
             kind=kind.value,
             item=item.name,
             fault=item.fault,
@@ -175,7 +177,7 @@
         )
 
     def malformed(self, error: PacketInvalidError, size_bytes: int) -> None:
-        """Write that a datagram was no packet."""
+        """Log that a datagram is not a valid packet."""
         self.metrics.count("packets_dropped", DropReason.MALFORMED.value)
         self.log.warning(
             "packet",
@@ -186,34 +188,42 @@
         )
 
     def packet_failed(self, error: Exception) -> None:
-        """Write that a packet was dropped by a fault of ours."""
+        """Log that a packet was dropped because of an internal error."""
         self.metrics.count("packets_dropped", "fault")
-        self._log_fault("packet", "packet_failed", "packet dropped by a fault", error)
+        self._log_fault(
+            "packet",
+            "packet_failed",
+            "packet dropped because of an internal error",
+            error,
+        )
 
     def task_failed(self, name: str, error: Exception) -> None:
-        """Write that a task met a fault of ours and begins again."""
+        """Log that a task failed with an internal error and is restarted."""
         self.metrics.count("tasks_failed", name)
         self._log_fault(
-            "task", "task_failed", f"{name} begins again after a fault", error
+            "task",
+            "task_failed",
+            f"{name} restarts after an internal error",
+            error,
         )
         self.log.flush()
 
     def paused(self, paused_s: float) -> None:
-        """Write that the process stood still."""
+        """Log that the process was paused."""
         self.log.warning(
             "clock",
             "process_paused",
-            "process stood still, reading everything again",
+            "process was paused; listing again",
             paused_s=truncate_number(paused_s),
         )
 
     def started(self, data_address: str) -> None:
-        """Write that all sockets are bound."""
+        """Log that all sockets are bound."""
         self.log.event("start", "started", "started", data_address=data_address)
         self.log.flush()
 
     def ready(self, after_s: float, targets: int) -> None:
-        """Write that routes and targets are known."""
+        """Log that routes and targets are known."""
         self.log.event(
             "start",
             "ready",
@@ -223,29 +233,29 @@
         )
 
     def stop_begun(self, flows: int, forwards_for_s: float) -> None:
-        """Write that a planned stop has begun."""
+        """Log the start of a planned stop."""
         self.log.event(
             "stop",
             "stop_begun",
-            "planned stop begun",
+            "planned stop started",
             flows=flows,
             forwards_for_s=forwards_for_s,
         )
         self.log.flush()
 
     def stopped(self, flows: int) -> None:
-        """Write that the planned stop is over."""
+        """Log the end of a planned stop."""
         self.log.event("stop", "stopped", "stopped", flows=flows)
         self.log.flush()
 
     def _log_fault(self, part: str, name: str, message: str, error: Exception) -> None:
-        # Loaded only when it is needed: it would delay the start.
+        # Imported on demand, since it would delay the start.
         import traceback
 
         self.log.warning(
             part,
             name,
-            f"{message}, report it",
+            f"{message}; please report it",
             error=repr(error),
             where=traceback.format_exc(limit=_TRACE_FRAMES),
         )
--- a/endivepick/forwarder/early.py
+++ b/endivepick/forwarder/early.py
@@ -1,11 +1,11 @@
-"""What a forwarder does before the rest of the program is loaded.
+"""Work of a forwarder before the rest of the program is loaded.
 
-It binds the socket for packets, takes the platform's signals, and asks the store for
-its lists.
+It binds the data socket, installs early signal handlers and requests the lists of the
+store.
 
-Load pattern: all instances start at once, and callers repeat what was lost meanwhile
-after fractions of a second.  Packets that come while libraries are loaded wait in the
-socket instead of being lost.  So this module imports nothing but sockets and signals.
+Load pattern: all instances start at once, and callers retransmit lost packets after
+fractions of a second. Packets that arrive while libraries are loaded wait in the socket
+instead of being lost. Therefore this module imports only sockets and signals.
 """
 
 from __future__ import annotations
@@ -17,7 +17,7 @@
 
 TYPE_CHECKING = False
 if TYPE_CHECKING:
-    # Type checkers take this for true; loading it would delay the socket.
+    # Type checkers treat this as true; loading these modules would delay the socket.
     from collections.abc import Mapping
     from typing import TypeVar
 
@@ -39,7 +39,7 @@
 
 
 def new_datagram_socket(address: tuple[str, int]) -> socket:
-    """Return a bound socket for packets that never waits."""
+    """Return a bound, non-blocking datagram socket."""
     connection = socket(AF_INET, SOCK_DGRAM)
     connection.setblocking(False)
     connection.setsockopt(SOL_SOCKET, SO_RCVBUF, RECEIVE_BUFFER_BYTES)
@@ -53,31 +53,31 @@
     Parameters
     ----------
     path : str
-        Settings file.  It is checked later, where faults are reported; here its
-        address is only looked for.
+        Settings file. It is validated later, where errors are reported; here it is only
+        searched for the address.
 
     Returns
     -------
     socket or None
-        None if there is no address that can be bound now.
+        None if it contains no address that can be bound now.
     """
     try:
         return new_datagram_socket(_address_in(path, _DATA_KEY))
     except (OSError, IndexError, ValueError):
-        # The settings are refused, or the address is taken: the program says so
-        # when it reads them and binds for itself.
+        # The settings are invalid or the address is in use; the program reports this
+        # when it reads the settings and binds the address itself.
         return None
 
 
 def connect_early(path: str, count: int) -> list[socket]:
-    """Begin connections to the store of a settings file; never waits.
+    """Start connections to the store of a settings file; never blocks.
 
     Parameters
     ----------
     path : str
         Settings file.
     count : int
-        How many connections.
+        Number of connections.
     """
     connections = []
     try:
@@ -88,7 +88,7 @@
             connection.connect_ex(address)
             connections.append(connection)
     except (OSError, IndexError, ValueError):
-        # As above; the program connects for itself.
+        # As above; the program connects by itself.
         return connections
     return connections
 
@@ -96,22 +96,22 @@
 def ask_early(
     connections: list[socket], paths: Mapping[_Kind, str]
 ) -> dict[_Kind, socket]:
-    """Send a request on each connection that is up by now; never waits.
+    """Send a request on each established connection; never blocks.
 
-    Load pattern: all instances start at once with slow links.  Asked for before the
-    rest is loaded, the lists arrive meanwhile.
+    Load pattern: all instances start at once with slow links. The lists arrive while
+    the rest of the program is loaded.
 
     Parameters
     ----------
     connections : list of socket
-        Connections to the store that were begun before.
+        Connections to the store that were started before.
     paths : mapping of str
-        Path and query to ask for, by kind.
+        Path and query to request, by kind.
 
     Returns
     -------
     dict of socket
-        By kind, connections on which the request is under way.
+        Connections with a pending request, by kind.
     """
     asked = {}
     for (kind, path), connection in zip(paths.items(), connections, strict=False):
@@ -121,7 +121,7 @@
             connection.send(request.encode())
             asked[kind] = connection
         except OSError:
-            # Not up yet, or refused: the store is slow, away or out of reach.
+            # Not established yet or refused: the store is slow, stopped or unreachable.
             connection.close()
     return asked
 
@@ -134,12 +134,12 @@
 
 
 def take_early_signals() -> None:
-    """Let no signal end the process abruptly before its own handlers are in place.
+    """Install signal handlers for the time until the program's own are installed.
 
-    A process that is asked to stop while it loads has no flow to look after and ends
-    at once, as planned.  It ends inside the handler: an exception, raised into a
-    library that is being loaded, can crash it.
-    One that is told of new settings has not read them yet.
+    A process that receives SIGTERM while it loads has no flows and exits at once, as in
+    a planned stop. It exits inside the handler, because an exception raised into a
+    library during its import can crash the process. SIGHUP is ignored, because the
+    settings have not been read yet.
     """
     signal(SIGTERM, lambda *_: _exit(0))
     signal(SIGHUP, SIG_IGN)
--- a/endivepick/forwarder/feed.py
+++ b/endivepick/forwarder/feed.py
@@ -1,4 +1,4 @@
-"""Follows one kind of objects in the store: list, watch, list again."""
+"""Follows one kind of objects in the store by lists and watches."""
 
 import random
 from collections.abc import Callable, Iterable
@@ -26,7 +26,7 @@
 __all__ = ["FeedChanges", "FeedList", "StoreFeed", "heard_before_s"]
 
 _FIRST_WATCH_WAIT_S = 0.2
-"""Wait of the first watch after a loss: its answer shows that the store is back."""
+"""Wait of the first watch after a loss; its answer shows that the store is back."""
 
 
 class FeedList(Struct, frozen=True):
@@ -35,13 +35,13 @@
     Attributes
     ----------
     kind : FeedKind
-        Their kind.
+        Kind of the objects.
     items : tuple of Item
         The objects.
     revision : int
         Revision of the store.
     asked_s : float
-        When the store was asked, in seconds; the list shows nothing older.
+        Time of the request, in seconds; the list shows no older state.
     """
 
     kind: FeedKind
@@ -51,7 +51,7 @@
 
 
 class FeedChanges(Struct, frozen=True):
-    """Changes since the last message of the same kind; none if time alone passed.
+    """Changes since the last message of the same kind; empty if only time has passed.
 
     Attributes
     ----------
@@ -60,7 +60,7 @@
     items : tuple of Item
         Objects and removals, oldest first.
     revision : int
-        Revision of the store up to which these are all.
+        Revision of the store up to which the changes are complete.
     """
 
     kind: FeedKind
@@ -69,24 +69,24 @@
 
 
 class StoreFeed:
-    """Task that follows one kind and hands over what it reads.
+    """Task that follows one kind of objects and delivers what it reads.
 
     Parameters
     ----------
     settings : ForwarderSettings
-        Address and times.
+        Address and time limits.
     kind : FeedKind
-        What it follows.
+        Kind of the objects.
     dialect : StoreDialect
-        Paths and bodies.
+        Paths and bodies of the store's API.
     deliver : callable
         Called with ``FeedList`` and ``FeedChanges``.
     decisions : DecisionLog
-        Where it says what it does.
+        Log and metrics of the calls.
     breaker : CircuitBreaker
         Shared with the other feeds of this instance.
     asked : socket, default=None
-        Connection on which the first list was asked for already.
+        Connection on which the first list was already requested.
     """
 
     def __init__(
@@ -113,7 +113,7 @@
         self._task: gevent.Greenlet | None = None
         self._connection: StoreConnection | None = None
         self.heard_s = steady_now_s()
-        """When the store last answered, here or to a feeder, in seconds."""
+        """Time of the store's last answer, here or to the feeder, in seconds."""
         self._freshness = compute_freshness(settings)
         self._watch_wait_s = self._freshness.watch_wait_s
         self._lost_since_s: float | None = None
@@ -124,7 +124,7 @@
         return self._lost_since_s is not None
 
     def arriving(self, within_s: float) -> bool:
-        """Whether a list is under way, of which some came within that time.
+        """Whether a list is being read, of which data arrived within a given time.
 
         Parameters
         ----------
@@ -136,21 +136,21 @@
         return steady_now_s() - self._connection.received_s <= within_s
 
     def start(self) -> None:
-        """Begin to follow."""
+        """Start the task."""
         self._task = spawn_supervised(self._kind.value, self._run, self._decisions)
 
     def stop(self) -> None:
-        """End the task."""
+        """Stop the task."""
         if self._task is not None:
             self._task.kill(block=False)
 
     @property
     def settled(self) -> bool:
-        """Whether the last call was answered and no list is under way."""
+        """Whether the last call was answered and no list is pending."""
         return not self._list_wanted and not self.lost
 
     def suspend(self) -> None:
-        """Follow the store no more: a feeder does."""
+        """Stop following the store while a feeder is followed."""
         self._suspended = True
         self.stop()
 
@@ -161,15 +161,15 @@
         self._restart()
 
     def hold_watches(self, wait_s: float | None = None) -> None:
-        """Let the store hold each watch that long from now on.
+        """Set the wait of the following watches.
 
-        A longer one under way is given up: until the store answered it, those who are
-        fed would take their feeder for cut off.
+        A longer watch in progress is cancelled: until the store answered it, the
+        followers of this instance would consider their feeder cut off.
 
         Parameters
         ----------
         wait_s : float or None
-            Longest wait, in seconds; None: as the settings say.
+            Maximum wait, in seconds; None for the one of the settings.
         """
         longest_s = self._freshness.watch_wait_s
         wait_s = longest_s if wait_s is None else min(wait_s, longest_s)
@@ -179,9 +179,9 @@
             self._restart()
 
     def list_again(self) -> None:
-        """Read the whole list now, unless that is under way; never waits.
+        """Read the whole list now unless a list is in progress; never blocks.
 
-        A suspended feed reads it once and is suspended again.
+        A suspended feed reads it once and is then suspended again.
         """
         if self._list_wanted:
             return
@@ -189,7 +189,7 @@
         self._restart()
 
     def _restart(self) -> None:
-        """Give up the call under way, and make the next one now."""
+        """Cancel the call in progress and make the next one now."""
         self.stop()
         self.start()
 
@@ -212,7 +212,7 @@
                     self._log.warning(
                         "store",
                         "history_lost",
-                        "history lost, listing again",
+                        "history is no longer available; listing again",
                         kind=self._kind.value,
                         revision=self._revision,
                     )
@@ -234,7 +234,7 @@
                         gevent.sleep(self._freshness.gather_s)
 
     def _step(self, connection: StoreConnection) -> bool:
-        """Make one call, or one list; returns whether something changed."""
+        """Make one call or read one list; return whether anything changed."""
         if self._list_wanted:
             self._list(connection)
             return True
@@ -249,10 +249,13 @@
             body = connection.get(path, self._settings.call_timeout_s)
             page = self._dialect.read_page(self._kind, body)
             items += page.items
-            # Changes between two pages are found again by watching from the first.
+            # Changes between two pages are repeated by the watch, which starts at the
+            # revision of the first page.
             revision = page.revision if revision is None else revision
             if after and page.next_after == after:
-                raise PlatformAnswerError("A list does not go on after a name.")
+                raise PlatformAnswerError(
+                    "A page names its own start as the start of the next one."
+                )
             after = page.next_after
             if not after:
                 break
@@ -280,7 +283,7 @@
         self._log.warning(
             "store",
             "store_lost",
-            "store lost",
+            "store does not answer",
             kind=self._kind.value,
             revision=self._revision,
             heard_before_s=truncate_number(self._lost_since_s - self.heard_s),
@@ -299,7 +302,7 @@
         self._log.event(
             "store",
             "store_regained",
-            "store regained",
+            "store answers again",
             kind=self._kind.value,
             revision=self._revision,
             lost_for_s=truncate_number(lost_s),
@@ -310,7 +313,7 @@
 
 
 def heard_before_s(feeds: Iterable[StoreFeed]) -> float:
-    """Return how long ago the store answered any of some feeds, in seconds."""
+    """Return the time since the store last answered any of some feeds, in seconds."""
     return steady_now_s() - max(feed.heard_s for feed in feeds)
 
 
--- a/endivepick/forwarder/feeders.py
+++ b/endivepick/forwarder/feeders.py
@@ -1,15 +1,18 @@
-"""Who feeds whom in a zone: decided from the claims in the store, without I/O.
-
-Load pattern: every instance that follows the store by itself costs it two waiting
-calls and one for each change, so the calls grow with the instances while the store's
-rates do not.  A few instances of each zone follow it instead and feed the others.
-Who they are lies in the store, as *claims*: objects with the feeder's address that are
-created, or replaced under a condition, by whoever finds a place free or its holder
-lost.  No instance has to agree with others, and no claim has to be renewed: a feeder
-that does not serve is noticed by those whom it feeds.
-
-A feeder feeds a limited number; whoever finds all of them full may become one more, so
-that their number follows the size of the zone, which no instance has to know.
+"""Decides from the claims in the store which instances feed a zone, without I/O.
+
+Load pattern: each instance that follows the store itself costs it two held calls, and
+one call for each change, so the calls grow with the number of instances while the
+limits of the store do not. Therefore a few instances of each zone, the feeders, follow
+the store and feed the others.
+
+The feeders are recorded in the store as *claims*: objects with the feeder's address
+that are created, or conditionally replaced, by an instance that finds a claim free or
+its holder lost. Instances need no agreement among themselves, and no claim needs
+renewal: the instances that follow a failed feeder detect its failure.
+
+A feeder feeds a limited number of instances. An instance that finds all feeders full
+may become another one, so that the number of feeders follows the size of the zone,
+which no instance needs to know.
 """
 
 from collections.abc import Callable, Collection, Sequence
@@ -30,24 +33,25 @@
 ]
 
 CLAIM_PROBABILITY = 0.125
-"""Share of those who find all feeders full that claim a place; were it all, most calls
-of a large zone's start would be claims in vain."""
+"""Probability with which an instance that finds all feeders full writes a claim; if all
+did, most calls during the start of a large zone would be conflicting writes."""
 FED_INSTANCE_TTL_S = 2.0
-"""How long an instance that asked counts as fed: a question is held for 0.7 s."""
+"""Time after its last poll for which an instance counts as fed; a poll is held for 0.7
+s."""
 
 
 class Feed(Struct, frozen=True):
-    """Follow the store, and feed others: a claim is held here."""
+    """Follow the store and feed other instances: this instance holds a claim."""
 
 
 class WriteClaim(Struct, frozen=True):
-    """Take a free place, or that of a feeder that is lost."""
+    """Create a free claim, or replace the claim of a lost feeder."""
 
     claim: FeederClaim
 
 
 class FollowFeeder(Struct, frozen=True):
-    """Be fed by the holder of a claim."""
+    """Follow the holder of a claim."""
 
     claim: FeederClaim
 
@@ -70,24 +74,24 @@
     full: Collection[str],
     random_share: Callable[[], float],
 ) -> Step:
-    """Return what an instance does now.
+    """Return the next step of an instance.
 
     Parameters
     ----------
     own : str
-        Address at which it would feed others.
-    places : sequence of str
+        Address at which this instance would feed others.
+    claim_names : sequence of str
         Names of the claims that its zone may have.
-    fewest : int
-        How many of them, from the first on, are always taken.
+    min_feeders : int
+        Number of leading claims that are always to be held.
     claims : sequence of FeederClaim
-        Claims as the store has them, of all zones.
+        Claims in the store, of all zones.
     lost : collection of str
-        Addresses that did not answer here of late.
+        Addresses that recently did not answer this instance.
     full : collection of str
-        Addresses that could feed no more of late.
+        Addresses that recently refused for lack of capacity.
     random_share : callable
-        Returns random numbers from 0 to 1, so that instances spread over feeders.
+        Returns random numbers from 0 to 1, which spread the instances over the feeders.
 
     Examples
     --------
@@ -114,12 +118,12 @@
 
 
 class FedInstances:
-    """Instances that a feeder feeds, as their questions show.
+    """Instances that a feeder feeds, as shown by their polls.
 
     Parameters
     ----------
-    most : int
-        How many it feeds at a time.
+    max_instances : int
+        Maximum number of instances fed at a time.
 
     Examples
     --------
@@ -135,7 +139,7 @@
         self._last_request_s: dict[str, float] = {}
 
     def admit(self, address: str, now_s: float) -> bool:
-        """Take in a question; returns whether it is to be answered."""
+        """Record a poll; return whether it is to be answered."""
         if address not in self._last_request_s:
             self._remove_expired(now_s)
             if len(self._last_request_s) >= self._max_instances:
@@ -151,9 +155,9 @@
 
 
 def _is_lost(claim: FeederClaim, lost: Collection[str]) -> bool:
-    """Whether a place is to be taken over: its holder is lost, or names nobody."""
+    """Return whether a claim may be taken over: its holder is lost or unreadable."""
     if not claim.holder:
-        # Without its revision it cannot be replaced.
+        # A claim cannot be replaced without its revision.
         return claim.revision > 0
     return claim.holder in lost
 
--- a/endivepick/forwarder/feeding.py
+++ b/endivepick/forwarder/feeding.py
@@ -1,4 +1,4 @@
-"""Feeds other instances of the zone: answers their questions with what is newer."""
+"""Feeds other instances of the zone: answers their polls with newer state."""
 
 from collections.abc import Mapping
 
@@ -32,34 +32,36 @@
 __all__ = ["ZoneFeeder"]
 
 REQUEST_IDLE_S = 10.0
-"""A feeder that nobody has asked for so long keeps no short watch: the only instance of
-a zone is its feeder, and short watches would cost the store calls for nothing."""
+"""Time without polls after which a feeder returns to long watches: the only instance of
+a zone is its feeder, and short watches would cost calls of the store without
+benefit."""
 BASELINE_PERIOD_S = 0.5
-"""How often it is added up what is usual in the zone: some milliseconds of work."""
+"""Period at which the request baselines of the zone are merged, which takes some
+milliseconds of CPU time."""
 ENTRY_BYTES = 100
-"""What an entry of the registry takes in an answer, with a long name of its zone."""
+"""Size of a registry entry in an answer, with a long name of its zone."""
 FULL_REGISTRY_SEND_S = 1.0
-"""How long the whole registry may keep the feeder's link, told to all whom it feeds:
-packets wait behind it."""
+"""Maximum time for which the full registry, sent to all fed instances, may occupy the
+feeder's link; packets queue behind it."""
 _MBIT_BYTES = 125_000
 _NOT_FEEDING = Response(404)
 
 
 class ZoneFeeder:
-    """What an instance does for those whom it feeds.
+    """Feeder role of an instance.
 
     Parameters
     ----------
     settings : ForwarderSettings
-        Name, and how many are fed at a time.
+        Name, and maximum number of fed instances.
     core : ForwardingCore
-        What is known here.
+        Routes, registry and fitness reports of this instance.
     feeds : mapping of FeedKind to StoreFeed
-        How fresh that is.
+        Times of the store's last answers.
     neighbours : Neighbours
-        Told who is fed here.
+        Records the fed instances.
     log : BoundedLog
-        Where it says what it does.
+        Log of the start and the end of feeding.
     """
 
     def __init__(
@@ -91,36 +93,36 @@
         self._last_request_s = float("-inf")
         self._stopping = False
         self.feeding = False
-        """Whether others may be fed here."""
+        """Whether other instances may be fed here."""
 
     def begin(self) -> None:
-        """Feed others from now on, unless this instance is about to stop."""
+        """Start feeding other instances unless a planned stop has begun."""
         if not self.feeding and not self._stopping:
-            self._log.event("zone", "feeding", "feeding others of the zone")
+            self._log.event("zone", "feeding", "feeding other instances of the zone")
         self.feeding = not self._stopping
         self._set_watch_wait()
 
     def end(self) -> None:
-        """Feed others no more: another does."""
+        """Stop feeding: another instance holds the claim."""
         if self.feeding:
-            self._log.event("zone", "feeding_ended", "another feeds in its place")
+            self._log.event("zone", "feeding_ended", "another instance feeds the zone")
         self.feeding = False
         self._set_watch_wait()
         self.notify()
 
     def stop(self) -> None:
-        """Let those who are fed here look for another feeder, for good."""
+        """Stop feeding for good, so that the fed instances look for another feeder."""
         self._stopping = True
         self.feeding = False
         self.notify()
 
     def notify(self) -> None:
-        """Answer those who wait for news."""
+        """Answer the pending polls."""
         waiting, self._news_event = self._news_event, Event()
         waiting.set()
 
     def answer(self, query: str) -> Response:
-        """Answer an instance that is fed: at once if there is news for it."""
+        """Answer the poll of a fed instance, at once if there is news for it."""
         question = ZoneQuestion.read(query)
         if question is None:
             return _NOT_FEEDING
@@ -143,7 +145,7 @@
         return json_response(self._make_news(question))
 
     def _should_wait(self, question: ZoneQuestion, alert_number: int) -> bool:
-        """Whether there is nothing to tell an instance yet."""
+        """Return whether there is no news for an instance yet."""
         return (
             self.feeding
             and self._alert_number == alert_number
@@ -151,7 +153,7 @@
         )
 
     def receive_report(self, query: str) -> Response:
-        """Take in what an instance has seen of targets, between its questions."""
+        """Receive an instance's report about targets between its polls."""
         question = ZoneQuestion.read(query)
         if question is None or not self.feeding:
             return _NOT_FEEDING
@@ -160,7 +162,7 @@
         return Response(200)
 
     def notify_new_outliers(self) -> None:
-        """Tell all who are fed at once when one more target fails or is silent."""
+        """Answer the pending polls when a further target fails or is silent."""
         if not self.feeding:
             return
         together = self._merge_zone_reports()
@@ -172,14 +174,14 @@
         self._known_outliers = alarming
 
     def _exceeds_link(self, question: ZoneQuestion) -> bool:
-        """Whether all of a large registry would have to be told."""
+        """Return whether the full registry would have to be sent and is too large."""
         registry = self._core.registry
         if question.registry_revision >= registry.told_from:
             return False
         return len(registry) > self._max_full_targets
 
     def _merge_zone_reports(self) -> FitnessReport:
-        """Add up what instances of the zone see; a silent one tells nothing."""
+        """Merge the recent reports of the zone's instances and apply the result."""
         now_s = steady_now_s()
         oldest_s = now_s - TOLD_S
         self._reports = {
@@ -221,10 +223,10 @@
         )
 
     def _set_watch_wait(self) -> None:
-        """Keep a short watch of the registry while others are fed.
+        """Hold short watches of the registry while other instances are fed.
 
         The registry changes more often than the configuration, so that the short wait
-        costs fewer calls there.
+        costs fewer extra calls there.
         """
         asked = steady_now_s() - self._last_request_s < REQUEST_IDLE_S
         wait_s = self._watch_wait_s if self.feeding and asked else None
--- a/endivepick/forwarder/forwarder.py
+++ b/endivepick/forwarder/forwarder.py
@@ -1,4 +1,4 @@
-"""A forwarder: its tasks, and how they are tied together."""
+"""Assembles a forwarder from its tasks."""
 
 from __future__ import annotations
 
@@ -36,36 +36,37 @@
 __all__ = ["Forwarder"]
 
 TICK_S = 0.1
-"""How often time passes for the core: a fraction of its shortest limit."""
+"""Period of the core's tick, a fraction of the core's shortest limit."""
 PROBE_TIMEOUTS_S = (0.06, 0.2)
-"""Waits for a connection; the slowest path between two zones takes some ten
-milliseconds, and a process may stand still for a tenth of a second when its share of a
-core is used up."""
+"""Timeouts of the connection attempts of a probe. The slowest path between two zones
+takes about ten milliseconds, and a process may be paused for a tenth of a second when
+its CPU quota is used up."""
 PROBE_GAP_S = 0.5
-"""Least time between two probes of a target; each occupies a slot for a millisecond."""
+"""Minimum time between two probes of a target; each occupies a slot for a
+millisecond."""
 LARGEST_OBJECT_MBIT = 8.0
-"""The store's largest object, a megabyte: so much may be on this machine's link before
-the answer to a probe."""
+"""Size of the store's largest object, a megabyte; as much data may precede the answer
+to a probe on this machine's link."""
 STOP_MARGIN_S = 0.5
-"""A planned stop ends that long before the process would be killed: it takes some
-hundredths of a second to end, more on a machine whose share of a core is used up."""
+"""Time between the end of a planned stop and the kill of the process. The process needs
+some hundredths of a second to end, more if its CPU quota is used up."""
 
 
 class Forwarder:
-    """Everything that one process runs.
+    """All tasks and sockets of one forwarder process.
 
     Parameters
     ----------
     settings : ForwarderSettings
         All settings.
     codec : PacketCodec
-        Packets of the fabric.
+        Codec of the fabric's packets.
     dialect : StoreDialect
         The platform's object API.
     log : BoundedLog
-        Where decisions are written.
+        Log of the decisions.
     asked : mapping of socket, default=None
-        Connections on which lists of the store were asked for already, by kind.
+        Connections on which lists of the store were already requested, by kind.
     """
 
     def __init__(
@@ -126,7 +127,7 @@
 
     @property
     def ready(self) -> bool:
-        """Whether the fabric may send flows here."""
+        """Whether the fabric may send flows to this instance."""
         return self.core.ready and not self.stopping
 
     @property
@@ -142,7 +143,7 @@
         Parameters
         ----------
         early : socket, default=None
-            Socket for packets that was bound before.
+            Data socket that was bound before the program was loaded.
         """
         with ExitStack() as stack:
             path = self._path.open(self.settings.data_address, early)
@@ -163,7 +164,7 @@
             yield datagrams
 
     def stop(self) -> None:
-        """Ask the fabric to turn away; packets are forwarded on."""
+        """Report not ready to the fabric and go on forwarding packets."""
         self.stopping = True
         self._peers.stopping = True
         if self._zone is not None:
@@ -180,8 +181,8 @@
         self.decisions.log.flush()
 
     def _on_first_ready(self) -> None:
-        # What was loaded until now stays: a collection of it would free next to nothing
-        # and keep packets waiting.
+        # Moves the objects loaded so far out of the garbage collector: collecting them
+        # would free almost nothing and delay packets.
         gc.freeze()
         gc.enable()
         targets = sum(1 for _ in self.core.registry)
@@ -189,7 +190,7 @@
         self._zone_task = spawn_supervised("zone", self._run_zone, self.decisions)
 
     def _run_zone(self) -> None:
-        """Load what no packet needs once packets are forwarded, then run it."""
+        """Import the zone module, which no packet needs, and run its task."""
         from endivepick.forwarder.zone import ZoneMember
 
         self._zone = ZoneMember(
--- a/endivepick/forwarder/freshness.py
+++ b/endivepick/forwarder/freshness.py
@@ -1,7 +1,8 @@
-"""How old an instance's beliefs may be, from when a change has to be in force.
+"""Derives the time limits of reads, watches and feeders from the settings.
 
-Installations differ in that time.  What waits for the store, gathers its changes or
-relies on a feeder takes its limits from here, so that their sum stays within it.
+The settings say within which time a change must be in force; installations differ in
+it. The waits for the store, the gathering of changes and the reliance on a feeder take
+their limits from here, so that their sum stays within that time.
 """
 
 from msgspec import Struct
@@ -11,52 +12,58 @@
 __all__ = ["Freshness", "compute_freshness"]
 
 POLL_WAIT_S = 0.7
-"""How long a feeder may hold a question."""
+"""Maximum time for which a feeder holds a poll."""
 ANSWER_TIMEOUT_MARGIN_S = 1.0
-"""A watch is answered that much after its wait at the latest, or it is lost."""
+"""Time after the end of its wait at which an unanswered watch is considered lost."""
 CHANGE_READ_S = 0.7
-"""What an instance takes to read a change by itself over a slow link that carries
-packets as well."""
+"""Time that an instance needs to read a change from the store over a slow link that
+also carries packets."""
 GATHER_SHARE = 0.25
-"""Part of the time that the gathering of changes may take."""
+"""Share of the time to be in force that may be spent on gathering changes."""
 MAX_GATHER_S = 0.8
-"""Beyond that flows are placed on targets that have left."""
+"""Upper limit of the gathering; with longer ones, flows are placed on targets that have
+left."""
 FEEDER_SILENT_SHARE = 0.6
-"""Part of the time that a feeder's silence may take; the rest covers the reading of a
-large configuration over a slow link."""
+"""Share of the time to be in force for which a feeder may be without the store; the
+rest covers the reading of a large configuration over a slow link."""
 MAX_FEEDER_SILENT_S = 4.0
-"""Those who are fed by a feeder that was cut off miss what changes for so long."""
+"""Upper limit of that time; the instances that follow a feeder that is cut off miss
+changes for as long."""
 HISTORY_LOSS_MARGIN_S = 1.5
-"""A store that drops its history leaves its watches unanswered for a second, after the
-time that it may hold them; those who are fed need not leave their feeders for it."""
+"""Margin between the watch of a feeder and the limit of its silence. A store that drops
+its history leaves its watches unanswered for a second after their wait; followers need
+not leave their feeders for this."""
 MIN_FEEDING_WAIT_S = 1.0
+"""Minimum wait of a feeder's watch, unless it would leave less than
+`FEEDING_MARGIN_S`."""
 FEEDING_MARGIN_S = 0.6
-"""Shortest wait of a feeder's watch and what it leaves at least, where the slack above
-would leave less."""
+"""Minimum margin between the watch of a feeder and the limit of its silence."""
 TIMER_MARGIN_S = 0.25
-"""What timers come late by, and a call takes."""
+"""Allowance for late timers and for the duration of a call."""
 WATCH_BOUNDS_S = (0.5, 10.0)
-"""Shortest and longest wait of a watch: each costs a call, and shows a lost store."""
+"""Minimum and maximum wait of a watch. Each watch costs a call and detects a lost
+store."""
 _MS = 0.001
 
 
 class Freshness(Struct, frozen=True):
-    """Limits of what waits, in seconds.
+    """Time limits, in seconds.
 
     Attributes
     ----------
     watch_wait_s : float
-        How long the store may hold a watch.  A watch that a silent store took in and
-        lost is answered never, also when the store is back; until it is given up,
-        changes are missed.
+        Maximum time for which the store may hold a watch. A watch that the store
+        accepted and then lost is never answered, even when the store is back; changes
+        are missed until the watch times out.
     gather_s : float
-        Pause after changes, so that a series of them costs one call.
+        Pause after changes, so that a series of changes costs one call.
     feeder_silent_s : float
-        The store must have answered a feeder since; otherwise those who are fed follow
-        the store themselves.
+        Maximum time since the store last answered a feeder; beyond it, the instances
+        that follow the feeder follow the store themselves.
     feeding_wait_s : float
-        How long the store may hold a feeder's watch of the registry; its answers are
-        what keeps those who are fed sure of their feeder, and each costs a call.
+        Maximum time for which the store may hold a feeder's watch of the registry. Its
+        answers prove to the followers that their feeder is fresh, and each costs a
+        call.
     """
 
     watch_wait_s: float
@@ -66,7 +73,7 @@
 
 
 def compute_freshness(settings: ForwarderSettings) -> Freshness:
-    """Return the limits that follow from the settings.
+    """Return the time limits that follow from the settings.
 
     Examples
     --------
--- a/endivepick/forwarder/http.py
+++ b/endivepick/forwarder/http.py
@@ -1,4 +1,4 @@
-"""Small HTTP server for readiness, metrics and status."""
+"""Minimal HTTP server for readiness, metrics, status and peers."""
 
 from collections.abc import Callable, Iterator
 from contextlib import contextmanager
@@ -16,7 +16,7 @@
 
 _READ_BYTES = 4096
 _IDLE_S = 30.0
-"""A connection without requests is closed after that time; readiness is asked for
+"""Time without requests after which a connection is closed; readiness is requested
 twice a second."""
 _REASONS = {200: "OK", 404: "Not Found", 503: "Service Unavailable"}
 
@@ -30,12 +30,12 @@
 
 
 def json_response(value: object) -> Response:
-    """Return an answer that holds a value as JSON."""
+    """Return an answer that contains a value as JSON."""
     return Response(200, msgspec.json.encode(value), "application/json")
 
 
 def parse_query(query: str) -> dict[str, str]:
-    """Return the fields of a query; one without a value has an empty one.
+    """Return the fields of a query string; one without a value is empty.
 
     Examples
     --------
@@ -49,7 +49,7 @@
 
 
 class _Requests:
-    """Collects requests as httptools parses them."""
+    """Collects requests as they are parsed by httptools."""
 
     def __init__(self) -> None:
         self.parser = httptools.HttpRequestParser(self)
@@ -63,7 +63,7 @@
     def on_message_complete(self) -> None:
         path, _, query = self._url.decode("ascii", "replace").partition("?")
         self.targets.append((path, query))
-        # The parser knows only until the callback returns.
+        # The parser provides this only until the callback returns.
         self.keep_alive = self.parser.should_keep_alive()
         self._url = b""
 
@@ -75,14 +75,14 @@
     Parameters
     ----------
     address : str
-        Where to listen; port 0 lets the system choose.
+        Address to bind; with port 0 the system chooses the port.
     answer : callable
-        Called with path and query.
+        Called with path and query string.
 
     Yields
     ------
     str
-        The address that was bound.
+        The bound address.
     """
     server = StreamServer(
         parse_address(address), lambda connection, _: _serve(connection, answer)
@@ -108,7 +108,8 @@
             if not requests.keep_alive:
                 return
     except (OSError, gevent.Timeout, httptools.HttpParserError):
-        # The other end left or does not speak HTTP; there is nobody to tell.
+        # The client closed the connection or does not use HTTP; there is no one to
+        # notify.
         return
     finally:
         connection.close()
--- a/endivepick/forwarder/logs.py
+++ b/endivepick/forwarder/logs.py
@@ -1,8 +1,8 @@
-"""Log lines of a forwarder: bounded in number, never waiting for their reader.
+"""Log lines of a forwarder, limited in number and written without blocking.
 
-The lines have the form of the other daemons' logs, so that the time line reads both.
-They are encoded here and not by eliot: loading it would make each start longer, and no
-packet is forwarded until then.
+The lines have the format of the other daemons' logs, so that the timeline reads both.
+They are encoded here and not by eliot: importing eliot would delay each start, and no
+packet is forwarded until the start is complete.
 """
 
 import os
@@ -18,24 +18,25 @@
 __all__ = ["BoundedLog", "open_log", "truncate_number"]
 
 LINES_PER_S = 40
-"""Lines of one event a second; a forwarder places some ten flows a second."""
+"""Maximum number of lines of one event per second; a forwarder places about ten flows
+per second."""
 BUFFER_BYTES = 65536
-"""Lines kept for a reader that does not read: what a pipe holds."""
+"""Size of the buffer for a reader that does not read; a pipe holds as much."""
 
 PARTS_PER_UNIT = 1000
-"""Numbers in lines are whole thousandths unless told otherwise."""
+"""Default precision of numbers in lines: thousandths."""
 
 _TIME_PARTS = 1_000_000
-"""Times are written in whole microseconds."""
+"""Precision of times in lines: microseconds."""
 
 _encoder = msgspec.json.Encoder(enc_hook=str)
 
 
 def truncate_number(number: float, parts: int = PARTS_PER_UNIT) -> float:
-    """Return a number cut to whole parts of a unit, for a line.
+    """Return a number truncated to a multiple of a fraction of a unit, for a line.
 
-    It is several times as fast as ``round``, which each line would call three times.
-    Infinity, the age of what never was, stays as it is.
+    It is several times as fast as ``round``, and each line needs about three calls.
+    Infinity, the age of an event that never occurred, is returned as it is.
 
     Examples
     --------
@@ -55,10 +56,10 @@
     process : str
         Name of the instance.
     write : callable
-        Writes bytes without waiting and returns how many it took; raises
-        ``BlockingIOError`` if it takes none.
+        Writes bytes without blocking and returns how many were accepted; raises
+        ``BlockingIOError`` if none were.
     wall_time_s, steady_s : callable
-        Seconds since 1970, and of a clock that never jumps.
+        Seconds since 1970, and seconds of a monotonic clock.
 
     Examples
     --------
@@ -86,18 +87,18 @@
         self._written: defaultdict[str, int] = defaultdict(int)
         self._suppressed: Counter[str] = Counter()
         self.lines_dropped = 0
-        """Lines left out over budget or for a reader that did not read."""
+        """Number of lines dropped because of the rate limit or a full buffer."""
 
     def event(self, part: str, name: str, message: str, **fields: Any) -> None:
-        """Write what changed a belief or touched a flow."""
+        """Log an event that changed a belief or concerns a flow."""
         self._line("info", part, name, message, fields)
 
     def warning(self, part: str, name: str, message: str, **fields: Any) -> None:
-        """Write what an operator may want to look at."""
+        """Log an event that an operator may need to examine."""
         self._line("warning", part, name, message, fields)
 
     def flush(self) -> None:
-        """Hand over buffered lines as far as the reader takes them."""
+        """Write as many buffered lines as the reader accepts."""
         if not self._buffer:
             return
         try:
@@ -105,7 +106,7 @@
         except BlockingIOError:
             return
         except OSError:
-            # Nobody reads any more; there is no other place to say so.
+            # The reader is gone; there is no other place to report it.
             taken = len(self._buffer)
         del self._buffer[:taken]
 
@@ -129,7 +130,7 @@
             return
         left_out = dict(self._suppressed)
         self._suppressed.clear()
-        message = "lines over budget left out"
+        message = "dropped lines above the rate limit"
         self._append("warning", "log", "lines_left_out", message, {"lines": left_out})
 
     def _append(
@@ -152,7 +153,7 @@
 
 
 def open_log(process: str) -> BoundedLog:
-    """Return a log that writes to standard output without waiting."""
+    """Return a log that writes to standard output without blocking."""
     descriptor = sys.stdout.fileno()
     os.set_blocking(descriptor, False)
     return BoundedLog(process, lambda data: os.write(descriptor, data))
--- a/endivepick/forwarder/metrics.py
+++ b/endivepick/forwarder/metrics.py
@@ -1,7 +1,7 @@
 """Counters and histograms of a forwarder, rendered by aioprometheus.
 
-Counting is a dictionary's work; the library is loaded when the first reader asks, in
-a thread beside the packets.
+Counting uses a dictionary. The library is imported at the first request for the page,
+in a thread that does not delay packets.
 """
 
 from bisect import bisect_left
@@ -28,16 +28,16 @@
 
 
 class MetricsSnapshot(Struct, frozen=True):
-    """What was counted up to a moment.
+    """Values of the metrics at a point in time.
 
     Attributes
     ----------
     counts : Counter
-        By name and kind.
+        Counts by name and kind.
     batches : list of int
-        Batches by duration; the last of them lasted longer than all limits.
+        Number of batches by duration bucket; the last bucket has no upper limit.
     batches_s : float
-        Their durations summed, in seconds.
+        Sum of the durations, in seconds.
     """
 
     counts: Counter[tuple[str, str]]
@@ -46,17 +46,17 @@
 
 
 class ForwarderMetrics:
-    """What a forwarder counts.
+    """Metrics of a forwarder.
 
-    What happens with each packet is put on a list and counted at the next tick, all
-    packets since the last at once, which leaves more of the processor to packets.
+    The events of packets are appended to lists and counted at the next tick, all at
+    once, which leaves more CPU time for packets.
 
     Attributes
     ----------
     forwarded : callable
-        Notes the service of a packet that was sent to a target.
+        Records the service of a packet that was sent to a target.
     batch : callable
-        Notes how long a batch of packets took, in seconds.
+        Records the duration of a batch of packets, in seconds.
 
     Examples
     --------
@@ -77,11 +77,11 @@
         self._batches_s = 0.0
 
     def count(self, name: str, kind: str, number: int = 1) -> None:
-        """Add to a counter."""
+        """Increase a counter."""
         self.counts[name, kind] += number
 
     def fold(self) -> None:
-        """Count what packets have left on the lists."""
+        """Add the events in the lists to the counters and the histogram."""
         for service, number in Counter(self._new_services).items():
             self.counts["packets_forwarded", service] += number
         for duration_s in self._new_batches_s:
@@ -91,7 +91,7 @@
         self._new_batches_s.clear()
 
     def snapshot(self) -> MetricsSnapshot:
-        """Return what was counted up to now, for a reader in another thread."""
+        """Return the current values, for use in another thread."""
         self.fold()
         counts = Counter(self.counts)
         return MetricsSnapshot(counts, list(self._batches), self._batches_s)
@@ -105,7 +105,7 @@
     snapshot : MetricsSnapshot
         Counters and the histogram.
     gauges : dict of str to float
-        Present values, by name with unit.
+        Current values, by name with unit.
     """
     from aioprometheus import Counter as PrometheusCounter
     from aioprometheus import Gauge, Registry, render
--- a/endivepick/forwarder/news.py
+++ b/endivepick/forwarder/news.py
@@ -1,4 +1,4 @@
-"""Takes what the store and peers tell into the core."""
+"""Applies what the store, the feeder and peers report to the core."""
 
 from collections.abc import Callable
 
@@ -21,20 +21,20 @@
 __all__ = ["NewsHandler"]
 
 STORE, FEEDER, PEER = "store", "feeder", "peer"
-"""Who told of a configuration, for the log."""
+"""Sources of a configuration, for the log."""
 
 
 class NewsHandler:
-    """Hands news to the core, and has what it decides carried out.
+    """Passes news to the core and triggers the effects of its decisions.
 
     Parameters
     ----------
     core : ForwardingCore
-        Takes the news in.
+        Core to which the news are applied.
     decisions : DecisionLog
-        Where news are written.
+        Log of the news.
     after : callable
-        Called when all of a message was taken in.
+        Called after each message has been applied.
     """
 
     def __init__(
@@ -48,7 +48,7 @@
         self._after = after
 
     def on_feed(self, news: FeedList | FeedChanges) -> None:
-        """Take in what a feed read."""
+        """Apply a list or changes that a feed read."""
         now_s = steady_now_s()
         for item in news.items:
             if isinstance(item, UnreadableItem):
@@ -71,14 +71,14 @@
     def on_zone_news(
         self, registry: RegistryNews, change: ConfigurationChange | None
     ) -> None:
-        """Take in what the zone's feeder tells.
+        """Apply the news of the zone's feeder.
 
         Parameters
         ----------
         registry : RegistryNews
-            What changed in the registry.
+            Changes of the registry.
         change : ConfigurationChange or None
-            What changed in the configuration, as far as the feeder can tell.
+            Delta of the configuration, if the feeder can compute it.
         """
         now_s = steady_now_s()
         newer = registry.revision > self._core.registry.revision
@@ -90,7 +90,7 @@
             self._after()
 
     def on_snapshot(self, snapshot: PeerSnapshot) -> None:
-        """Take in what a peer knows, as far as it is newer."""
+        """Apply the parts of a peer's snapshot that are newer."""
         now_s = steady_now_s()
         configuration, revision = snapshot.configuration, snapshot.registry_revision
         known = self._core.routes.configuration
@@ -129,9 +129,10 @@
                     pass
 
     def _usable(self, told: RegistryNews) -> RegistryNews:
-        """Return what another instance told, its unusable entries as unreadable.
+        """Return another instance's news with its invalid entries as unreadable.
 
-        One of another build may pass on what is not taken here.
+        An instance of another build may forward entries that this build does not
+        accept.
         """
         targets: list[Target] = []
         removed = list(told.removed)
@@ -150,7 +151,7 @@
         known = self._core.routes.configuration
         configuration = None if known is None else apply_change(known, change)
         if configuration is None:
-            # The version that the feeder has is read from the store instead.
+            # The configuration is read from the store instead.
             self._decisions.change_unfit(change, self._core.routes.revision)
         else:
             self._on_configuration(configuration, now_s, FEEDER)
@@ -163,5 +164,5 @@
 
 
 def _is_entry(kind: FeedKind, name: str) -> bool:
-    """Whether an unreadable object is an entry of the registry that can be named."""
+    """Return whether an unreadable object is a registry entry with a known name."""
     return kind is FeedKind.REGISTRY and bool(name)
--- a/endivepick/forwarder/packet_path.py
+++ b/endivepick/forwarder/packet_path.py
@@ -1,4 +1,4 @@
-"""The way of packets: decode, decide, carry out."""
+"""Decodes packets, passes them to the core and performs the core's decisions."""
 
 from collections.abc import Callable, Iterator
 from contextlib import contextmanager
@@ -34,22 +34,25 @@
 __all__ = ["PacketPath", "PathRequests"]
 
 _NOT_SENT = "not_sent"
-"""The kernel did not take the packet."""
+"""Reason of a drop: the kernel did not accept the packet."""
 MAX_VERDICT_AGE_S = 0.05
-"""A verdict is told to peers when it is new, not each time it is confirmed."""
+"""Maximum age of a verdict that is sent to peers, so that it is sent when it is new and
+not each time it is confirmed."""
 HINT_VALID_S = 2.0
-"""A probe that follows a peer's word ends within some tenths of a second."""
+"""Time for which a verdict is attributed to a peer's hint; the probe that follows a
+hint ends within some tenths of a second."""
 
 
 class PathRequests(Struct, frozen=True):
-    """What the path asks other tasks for.
+    """Requests of the packet path to other tasks.
 
     Attributes
     ----------
     read_registry : callable
-        Reads the registry now, without waiting.
+        Reads the registry now, without blocking.
     hint_peers : callable
-        Tells peers that a target does not answer, and whether that was found out here.
+        Notifies peers that a target does not answer, and whether this instance detected
+        it.
     """
 
     read_registry: Callable[[], None]
@@ -57,20 +60,20 @@
 
 
 class PacketPath:
-    """Owns the socket for packets and carries out what the core decides.
+    """Owns the data socket and performs the effects of the core.
 
     Parameters
     ----------
     core : ForwardingCore
-        Decides.
+        Makes the decisions.
     codec : PacketCodec
-        Packets of the fabric.
+        Codec of the fabric's packets.
     dialect : StoreDialect
-        Reads answers of health checks.
+        Decodes answers of health checks.
     decisions : DecisionLog
-        Where decisions are written.
+        Log of the decisions.
     requests : PathRequests
-        Other tasks.
+        Requests to other tasks.
     """
 
     def __init__(
@@ -94,14 +97,14 @@
     def open(
         self, address: str, early: socket | None = None
     ) -> Iterator[DatagramSocket]:
-        """Read packets while the context is open.
+        """Receive packets while the context is open.
 
         Parameters
         ----------
         address : str
-            Where to bind; callers listen at the same port.
+            Address to bind; callers listen at the same port.
         early : socket, default=None
-            Socket that was bound before.
+            Socket that was bound before the program was loaded.
         """
         with datagram_socket(
             address,
@@ -115,7 +118,7 @@
             yield datagrams
 
     def perform(self) -> None:
-        """Carry out the core's effects, and say what it decided."""
+        """Perform the effects of the core and log its decisions."""
         effects, self._core.effects[:] = list(self._core.effects), []
         for effect in effects:
             match effect:
@@ -136,7 +139,7 @@
                     self._requests.read_registry()
 
     def on_hint(self, target: str) -> None:
-        """Take in a peer's word that a target does not answer."""
+        """Handle a peer's hint that a target does not answer."""
         self._decisions.hint(target)
         self._core.on_hint(target, steady_now_s())
         self.perform()
@@ -198,12 +201,12 @@
         self._decisions.log.flush()
 
     def _hint_if_new(self, target: str) -> None:
-        """Tell peers of a target that has just been found dead.
+        """Notify peers of a target that has just been found dead.
 
-        Of one that drains the registry tells all, and hints of each end from every
-        instance would be some thousand a second while targets are replaced.  Silence
-        is not told: it may be our own link that is full, and peers that all probe
-        because of it would fill theirs.
+        A draining target is announced by the registry; hints from every instance at the
+        end of each would add up to some thousand a second while targets are replaced.
+        Silence is not reported: this instance's own link may be saturated, and the
+        probes of all notified peers would saturate theirs.
         """
         belief = self._core.registry.get(target)
         if belief is None or not belief.takes_flows:
--- a/endivepick/forwarder/pages.py
+++ b/endivepick/forwarder/pages.py
@@ -1,4 +1,4 @@
-"""What a forwarder answers over HTTP: readiness, metrics, status, peers."""
+"""Serves readiness, metrics, status and the messages of peers over HTTP."""
 
 from __future__ import annotations
 
@@ -26,27 +26,26 @@
 
 
 class Pages:
-    """Answers by path, the same at all of a forwarder's TCP addresses.
+    """Answers requests by path, the same at all TCP addresses of a forwarder.
 
     Parameters
     ----------
     settings : ForwarderSettings
         Path of the readiness page.
     core : ForwardingCore
-        What is known.
+        Routes, registry and flows.
     feeds : mapping of FeedKind to StoreFeed
-        How long ago the store answered.
+        Times of the store's last answers.
     peer_exchange : PeerExchange
         Answers peers.
     zone : callable
-        Returns what answers those of the zone that are fed here, None before it is
-        loaded.
+        Returns the zone task, None before it is loaded.
     decisions : DecisionLog
-        Counters and the log's own loss.
+        Metrics, and the number of dropped log lines.
     on_hint : callable
-        Called with a target that a peer says does not answer.
+        Called with the name of a target that does not answer a peer.
     ready : callable
-        Whether the fabric may send flows here.
+        Returns whether the fabric may send flows to this instance.
     """
 
     def __init__(
@@ -97,8 +96,8 @@
     def _metrics(self) -> Response:
         metrics = self._decisions.metrics
         metrics.counts["log_lines_dropped", "all"] = self._decisions.log.lines_dropped
-        # The library is loaded by the first reader: beside the packets, not in
-        # their way.
+        # Rendered in another thread, since the first call imports a library, which
+        # would delay packets.
         pool = gevent.get_hub().threadpool
         counted = (metrics.snapshot(), self._gauges())
         return Response(200, pool.apply(render_page, counted))
--- a/endivepick/forwarder/peer_book.py
+++ b/endivepick/forwarder/peer_book.py
@@ -1,4 +1,4 @@
-"""Peers that an instance knows, and the neighbours among them: decided without I/O."""
+"""Tracks the known peers and the neighbours among them, without I/O."""
 
 from collections import OrderedDict
 from collections.abc import Sequence
@@ -6,23 +6,24 @@
 __all__ = ["MAX_PEERS", "Neighbours", "PeerDirectory"]
 
 MAX_PEERS = 32
-"""Peers that are remembered; a few that live are enough to learn from one."""
+"""Maximum number of known peers; a few that are alive suffice to learn from one."""
 NEIGHBOUR_TIMEOUT_S = 2.0
-"""From then on a neighbour is taken for lost: a question is not held for so long."""
+"""Silence after which a neighbour is considered lost; it exceeds the hold time of a
+poll."""
 LOST_NEIGHBOUR_TTL_S = 30.0
-"""How long a lost neighbour is greeted: a planned stop and the start after it take some
-3 s, an instance without power may be back after some ten seconds."""
+"""How long hellos are sent to a lost neighbour. A planned stop and the following start
+take about 3 s; an instance may be back about ten seconds after a power failure."""
 
 
 class PeerDirectory:
-    """Addresses of peers, the last heard last.
+    """Addresses of peers, the most recently active last.
 
     Parameters
     ----------
     own : str
-        Own address, which is no peer.
+        Own address, which is never a peer.
     seeds : sequence of str
-        Addresses to begin with; some may be stale.
+        Initial addresses; some may be stale.
 
     Examples
     --------
@@ -39,7 +40,7 @@
             self.add_candidate(seed)
 
     def mark_alive(self, address: str) -> None:
-        """Note that a peer lives."""
+        """Move a peer that sent or answered a message to the end."""
         self._peers.pop(address, None)
         if address != self._own_address:
             self._peers[address] = None
@@ -47,7 +48,7 @@
             self._peers.popitem(last=False)
 
     def add_candidate(self, address: str) -> None:
-        """Note an address that another told."""
+        """Add an address that another peer named, as the least recently active."""
         if address in self._peers or address == self._own_address:
             return
         if len(self._peers) < MAX_PEERS:
@@ -55,22 +56,23 @@
             self._peers.move_to_end(address, last=False)
 
     def mark_failed(self, address: str) -> None:
-        """Note that a peer did not answer: the others go first."""
+        """Move a peer that did not answer behind all others."""
         if address in self._peers:
             self._peers.move_to_end(address, last=False)
 
     def list_recent(self, number: int) -> list[str]:
-        """Return some peers, the last heard first."""
+        """Return up to a number of peers, the most recently active first."""
         return list(reversed(self._peers))[:number]
 
 
 class Neighbours:
-    """Instances of the same zone that feed this one, or that it feeds.
+    """Instances of the same zone that this one follows or that follow it.
 
-    Load pattern: a zone is cut off, from the store as well, and one of its instances is
-    restarted.  It knows no peer but its seeds, which may all be in other zones, while
-    those beside it know what it needs and do not miss the store yet.  So whoever misses
-    a neighbour greets it until it answers; from the greeting it learns whom to ask.
+    Load pattern: a zone is cut off from the other zones and the store, and one of its
+    instances is restarted. It knows no peers but its seeds, which may all be in other
+    zones, while its neighbours have the knowledge that it needs and have not yet
+    detected the loss of the store. Therefore an instance that misses a neighbour sends
+    it hellos until it answers; the hello tells the restarted instance whom to query.
 
     Examples
     --------
@@ -84,15 +86,15 @@
         self._heard_s: dict[str, float] = {}
 
     def mark_alive(self, address: str, now_s: float) -> None:
-        """Take in a question or an answer of a neighbour."""
+        """Record a poll or an answer of a neighbour."""
         self._heard_s[address] = now_s
 
     def mark_found(self, address: str) -> None:
-        """Take in that a lost neighbour has answered a greeting."""
+        """Remove a lost neighbour that has answered a hello."""
         self._heard_s.pop(address, None)
 
     def find_lost(self, now_s: float) -> list[str]:
-        """Return those that are to be greeted; forget those lost for long."""
+        """Return the silent neighbours; remove those that were silent for too long."""
         limit_s = now_s - LOST_NEIGHBOUR_TTL_S
         self._heard_s = {a: s for a, s in self._heard_s.items() if s > limit_s}
         silent_s = now_s - NEIGHBOUR_TIMEOUT_S
--- a/endivepick/forwarder/peers.py
+++ b/endivepick/forwarder/peers.py
@@ -1,10 +1,10 @@
-"""What forwarders tell each other while the store is out of reach.
+"""Exchanges knowledge between forwarders while the store is unreachable.
 
-Load pattern: instances are restarted while the store refuses them.  The fabric turns
-to all instances of a zone once fewer than half of them are ready, so those that know
-nothing would lose most packets of their zone; an instance that was cut off for long
-would go on with old routes and targets.  Any peer's knowledge is better than none, and
-the store's revisions say which of two is newer.
+Load pattern: instances are restarted while the store refuses their calls. The fabric
+sends flows to all instances of a zone once fewer than half of them are ready, so
+instances without routes and targets would drop most packets of their zone; an instance
+that was cut off for long would use old routes and targets. The knowledge of any peer is
+better than none, and the store's revisions show which of two states is newer.
 """
 
 import random
@@ -41,58 +41,61 @@
 SNAPSHOT_PATH = "/peers/snapshot"
 HELLO_PATH = "/peers/hello"
 NEWS_PATH = "/peers/news"
-"""What a feeder answers, see `endivepick.forwarder.zone`."""
+"""Path of a feeder's news, see `endivepick.forwarder.zone`."""
 SEEN_PATH = "/peers/seen"
-"""What an instance that is fed has seen of targets, for its feeder."""
+"""Path of a follower's reports about targets to its feeder."""
 HINT_PATH = "/peers/hint/"
-"""Followed by the name of a target that does not answer."""
+"""Prefix of a hint, followed by the name of a target that does not answer."""
 _FROM = "from"
 _CONFIG = "config"
 _REGISTRY = "registry"
-"""Fields of a question: who asks, and the revisions that it knows."""
+"""Query fields: the address of the caller, and the revisions that it knows."""
 MAX_SHARED_PEERS = 8
-"""Peers that are told to another, the last heard first."""
+"""Maximum number of peers in an answer, the most recently active first."""
 MAX_QUERIED_PEERS = 8
-"""Peers that are asked in one round."""
+"""Maximum number of peers that are queried in one round."""
 INITIAL_STORE_WAIT_S = 0.3
-"""Wait for the store before peers are asked; it answers within milliseconds."""
+"""Time for which the store is awaited before peers are queried; it answers within
+milliseconds."""
 PEER_QUERY_PERIOD_S = 1.0
-"""How often a peer is asked while the store is out of reach; a third of the time in
-which a change has to be in force."""
+"""Period of the queries while the store is unreachable; a third of the time within
+which a change must be in force."""
 HELLO_PERIOD_S = 10.0
-"""How often one peer is greeted, so that peers know of each other in time."""
+"""Period at which one peer is sent a hello, so that peers learn of each other in
+time."""
 MAX_PENDING_HINTS = 16
-"""Hints under way at a time; more are left out, since in a partition most fail."""
+"""Maximum number of hints in progress; more are dropped, since in a partition most
+fail."""
 HINT_FAN_OUT = 3
-"""Peers to whom a hint is passed on; told by each to three, it reaches nearly all."""
+"""Number of peers to which a received hint is forwarded; with a fan-out of three, it
+reaches nearly all instances."""
 MAX_PENDING_HELLOS = 16
-"""Greetings of lost neighbours under way at a time."""
+"""Maximum number of hellos to lost neighbours in progress."""
 CALL_TIMEOUT_S = 0.5
-"""Longest wait for a peer; the next one is asked then."""
+"""Timeout of a call to a peer, after which the next one is queried."""
 
 
 class PeerSnapshot(Struct, frozen=True):
-    """What a forwarder knows, with the store's revisions.
+    """Knowledge of a forwarder, with the store's revisions.
 
     Attributes
     ----------
     name : str
-        Who tells it.
+        Name of the instance that answers.
     configuration : Configuration or None
-        Configuration in force there; None if the asker has it.
+        Configuration in force there; None if the caller has it.
     targets : list of Target or None
-        Entries of the registry that are believed there; None if the asker knows as
-        much.
+        Valid registry entries there; None if the caller's revision is as new.
     registry_revision : int
-        Revision of the store up to which they are known.
+        Revision of the store up to which the entries are known.
     heard_before_s : float
-        How long ago the store answered there, in seconds.
+        Time since the store last answered there, in seconds.
     store_lost : bool
-        Whether the store is out of reach there as well.
+        Whether the store is unreachable from there as well.
     peers : list of str
-        Peers that it knows.
+        Addresses of peers known there.
     unreadable : list of str
-        Entries of the registry that are there and cannot be read.
+        Names of registry entries that exist and cannot be read.
     """
 
     name: str
@@ -110,39 +113,40 @@
 
 
 def should_query_peers(ready: bool, store_lost: bool, arriving: bool) -> bool:
-    """Whether peers are asked for what they know.
+    """Return whether to query peers for their knowledge.
 
     Load pattern: hundreds of instances start at once, and the lists of thousands of
-    targets take longer to arrive than an instance waits before it asks.  What a peer
-    knows is as long, and all would ask the same few peers, whose links that fills.
+    targets take longer to arrive than an instance waits before it queries peers. A
+    peer's snapshot is as large as these lists, and the queries of all instances would
+    saturate the links of the same few peers.
 
     Parameters
     ----------
     ready : bool
-        Routes and targets are known.
+        Whether routes and targets are known.
     store_lost : bool
-        The store did not answer the last call.
+        Whether the last call of the store failed.
     arriving : bool
-        Part of a list of the store came just now.
+        Whether part of a list of the store has just arrived.
     """
     return store_lost or not (ready or arriving)
 
 
 class PeerExchange:
-    """Task that learns from peers, and answers theirs.
+    """Task that learns from peers and answers their queries.
 
     Parameters
     ----------
     settings : ForwarderSettings
-        Name, own address, and peers to begin with.
+        Name, own address, and seed peers.
     core : ForwardingCore
-        What is known here.
+        Routes and registry of this instance.
     feeds : sequence of StoreFeed
-        How the store is reached.
-    take : callable
-        Called with a snapshot of a peer.
+        State of the connections to the store.
+    apply_snapshot : callable
+        Called with a peer's snapshot.
     log : BoundedLog
-        Where it says what it learnt.
+        Log of what was learnt.
     """
 
     def __init__(
@@ -163,13 +167,14 @@
         self.directory = PeerDirectory(self._own_address, settings.seeds)
         self.neighbours = Neighbours()
         self.stopping = False
-        """A neighbour that stops is to be greeted again when it has started."""
+        """Whether hellos are refused, so that neighbours go on sending them until this
+        instance has started again."""
         self._pending_hints = Pool(MAX_PENDING_HINTS)
         self._pending_hellos = Pool(MAX_PENDING_HELLOS)
         self._peer_heard = Event()
 
     def run(self) -> None:
-        """Greet peers now and then; ask them while the store is out of reach."""
+        """Send hellos periodically; query peers while the store is unreachable."""
         gevent.sleep(INITIAL_STORE_WAIT_S)
         until_hello_s = 0.0
         while True:
@@ -184,18 +189,19 @@
             until_hello_s -= PEER_QUERY_PERIOD_S
 
     def hint(self, target: str, found_here: bool) -> None:
-        """Tell peers that a target does not answer, so that each sees for itself.
+        """Notify peers that a target does not answer, so that each verifies it.
 
-        Each instance meets few of a target's flows; without a hint each loses a
-        request of its own before it looks.  Whoever was told passes the word on to few,
-        so that it costs a large fleet some messages for an instance, not for each pair.
+        Each instance handles few of a target's flows; without a hint, each would lose a
+        request of its own before it probes the target. An instance that received the
+        hint forwards it to few peers, so that the number of messages grows with the
+        instances of a fleet and not with the pairs of instances.
 
         Parameters
         ----------
         target : str
-            The target.
+            Name of the target.
         found_here : bool
-            No peer had told it before.
+            Whether this instance detected it, rather than a peer.
         """
         if not self._mechanisms.hints:
             return
@@ -207,7 +213,7 @@
                 self._pending_hints.spawn(self._call, address, HINT_PATH + target)
 
     def answer(self, path: str, query: str) -> Response:
-        """Answer a peer."""
+        """Answer a peer's hello or query."""
         fields = parse_query(query)
         if _is_address(fields.get(_FROM, "")):
             self.directory.mark_alive(fields[_FROM])
@@ -230,7 +236,7 @@
         return any(feed.lost for feed in self._feeds)
 
     def _make_snapshot(self, config: int, registry: int) -> PeerSnapshot | None:
-        """Return what is newer than the asker's revisions, None if not ready."""
+        """Return what is newer than the caller's revisions, None if not ready."""
         configuration = self._core.routes.configuration
         if configuration is None or not self._core.ready:
             return None
@@ -255,7 +261,7 @@
             self._send_hello(address)
 
     def _hello_lost_neighbours(self) -> None:
-        """Greet neighbours that have fallen silent, beside all else."""
+        """Send hellos to silent neighbours in the background."""
         if not self._mechanisms.greet_neighbours:
             return
         for address in self.neighbours.find_lost(steady_now_s()):
@@ -266,24 +272,28 @@
         if self._send_hello(address):
             self.neighbours.mark_found(address)
             self._log.event(
-                "peer", "neighbour_found", "lost neighbour answers", peer=address
+                "peer",
+                "neighbour_found",
+                "silent neighbour answers again",
+                peer=address,
             )
 
     def _send_hello(self, address: str) -> bool:
-        """Greet a peer, and learn of others; returns whether it answered."""
+        """Send a hello to a peer and learn of others; return whether it answered."""
         body = self._call(address, f"{HELLO_PATH}?{_FROM}={self._own_address}")
         if body is None:
             return False
         try:
             self._add_candidates(_read_peers.decode(body))
         except msgspec.MsgspecError as error:
-            # A peer of another build; it lives all the same.
+            # A peer of another build; it is alive all the same.
             self._log_failure(address, str(error))
         return True
 
     def _query_peers(self) -> None:
-        """Ask one peer after the other until one is in touch with the store."""
-        # At random, so that the few that all know do not get the questions of all.
+        """Query peers in turn until one has contact with the store."""
+        # The random choice spreads the queries beyond the few peers that all instances
+        # know.
         peers = self.directory.list_recent(MAX_PEERS)
         asked = random.sample(peers, k=min(MAX_QUERIED_PEERS, len(peers)))
         helped = False
@@ -307,16 +317,16 @@
             self._log.warning(
                 "peer",
                 "peers_silent",
-                "no peer could be asked",
+                "no peer answered",
                 peers=len(asked),
                 ready=self._core.ready,
             )
 
     def _find_responsive(self, addresses: Sequence[str]) -> Iterator[str]:
-        """Greet some peers at once, and yield those that answer, the first first.
+        """Send hellos to several peers at once and yield those that answer first.
 
-        One that has just started knows little else than seeds.  Asked one after the
-        other, those in other zones would take half a second each in a partition.
+        An instance that has just started knows little more than its seeds. Querying
+        them in turn would take half a second for each seed in a zone that is cut off.
         """
         greetings = {
             gevent.spawn(self._send_hello, address): address for address in addresses
@@ -350,7 +360,7 @@
 
     def _log_failure(self, address: str, error: str) -> None:
         self._log.event(
-            "peer", "peer_failed", "peer did not help", peer=address, error=error
+            "peer", "peer_failed", "call of a peer failed", peer=address, error=error
         )
 
 
--- a/endivepick/forwarder/ports.py
+++ b/endivepick/forwarder/ports.py
@@ -1,7 +1,8 @@
-"""What the forwarder needs from the platform that it runs on.
+"""Interfaces that a platform adapter implements for the forwarder.
 
-The forwarder speaks neither the packets nor the object API of any one platform.  An
-adapter implements these protocols and decodes all wire names into the product's types.
+The forwarder knows neither the packet format nor the object API of a platform. An
+adapter implements these protocols and translates all names on the wire into the types
+of this library.
 """
 
 from enum import Enum
@@ -26,30 +27,30 @@
 
 
 class FeedKind(Enum):
-    """What is read from the store."""
+    """Kind of objects that is read from the store."""
 
     REGISTRY = "registry"
     CONFIGURATION = "configuration"
 
 
 class ItemRemoved(Struct, frozen=True):
-    """An object is no longer in the store."""
+    """An object that was removed from the store."""
 
     name: str
     revision: int
 
 
 class UnreadableItem(Struct, frozen=True):
-    """An object that the adapter could not read; the others stay valid.
+    """An object that the adapter could not decode; the others remain valid.
 
     Attributes
     ----------
     name : str
-        Its name, "" if not even that can be read.
+        Its name, "" if the name cannot be decoded either.
     fault : str
-        What is wrong with it.
+        Reason why it is unreadable.
     revision : int
-        Revision of the store that wrote it, or that it was read at.
+        Revision of the store that wrote it, or at which it was read.
     """
 
     name: str
@@ -61,14 +62,14 @@
 
 
 class ListPage(Struct, frozen=True):
-    """Part of a list of objects.
+    """One page of a list of objects.
 
     Attributes
     ----------
     items : tuple of Item
         Objects in order of their names.
     next_after : str
-        Name to continue after, "" if this is the last page.
+        Name after which the next page starts, "" for the last page.
     revision : int
         Revision of the store that the page shows.
     """
@@ -79,14 +80,14 @@
 
 
 class ChangeBatch(Struct, frozen=True):
-    """Changes that a watch returned; the last one of an object counts.
+    """Changes returned by a watch; the last change of an object counts.
 
     Attributes
     ----------
     items : tuple of Item
         Objects and removals, oldest first.
     revision : int
-        Revision to watch from next.
+        Revision from which the next watch starts.
     """
 
     items: tuple[Item, ...]
@@ -94,16 +95,17 @@
 
 
 class FeederClaim(Struct, frozen=True):
-    """Object of the product's own in the store: who feeds a zone's instances.
+    """Object of this library in the store that names a feeder of a zone.
 
     Attributes
     ----------
     name : str
-        Name of the object: one of the zone's places for feeders.
+        Name of the object, one of the names reserved for the zone's feeders.
     holder : str
-        Address at which the feeder answers its peers, "" if it cannot be read.
+        Peer address of the feeder, "" if it cannot be decoded.
     revision : int
-        Revision of the store that wrote it; 0 if it is to be created, or not known.
+        Revision of the store that wrote it; 0 if it is to be created or the revision is
+        unknown.
     """
 
     name: str
@@ -112,14 +114,14 @@
 
 
 class TargetIdentity(Struct, frozen=True):
-    """Who answered a health check.
+    """Identity of the target that answered a health check.
 
     Attributes
     ----------
     name : str
-        Name of the target's entry, "" if it does not say.
+        Name of the target's registry entry, "" if not given.
     born_ms : int
-        When it started, in Unix milliseconds; 0 if it does not say.
+        Start time of the target, in Unix milliseconds; 0 if not given.
     """
 
     name: str
@@ -134,48 +136,48 @@
         ...
 
     def watch_path(self, kind: FeedKind, revision: int, wait_s: float) -> str:
-        """Return path and query that wait for changes after a revision."""
+        """Return path and query that watch for changes after a revision."""
         ...
 
     def read_page(self, kind: FeedKind, body: bytes) -> ListPage:
-        """Decode a list; raises PlatformAnswerError if it is none."""
+        """Decode a page of a list; raise PlatformAnswerError if it is invalid."""
         ...
 
     def read_changes(self, kind: FeedKind, body: bytes) -> ChangeBatch:
-        """Decode what a watch returned; raises PlatformAnswerError if it is none."""
+        """Decode a watch's answer; raise PlatformAnswerError if it is invalid."""
         ...
 
     def claims_path(self) -> str:
-        """Return path and query that list all claims; they may be seconds old."""
+        """Return path and query that list all claims, which may be seconds old."""
         ...
 
     def read_claims(self, body: bytes) -> tuple[FeederClaim, ...]:
-        """Decode a list of claims; raises PlatformAnswerError if it is none."""
+        """Decode a list of claims; raise PlatformAnswerError if it is invalid."""
         ...
 
     def write_claim(self, claim: FeederClaim) -> StoreCall:
-        """Return the call that creates a claim, or replaces its revision."""
+        """Return the call that creates a claim or replaces its given revision."""
         ...
 
     @property
     def identity_header(self) -> bytes:
-        """Header in which a target's health check names its entry, lower case."""
+        """Lower-case header in which a health check names the target's entry."""
         ...
 
     def read_health(self, header: str, body: bytes) -> TargetIdentity:
-        """Decode who answered a health check, from that header and the body."""
+        """Decode the identity of a target from that header and the body."""
         ...
 
 
 class PacketCodec(Protocol):
-    """Packets of a platform's fabric."""
+    """Codec of the packets of a platform's fabric."""
 
     def decode(self, data: bytes) -> Packet:
-        """Read the head of a caller's packet; raises PacketInvalidError."""
+        """Decode the header of a caller's packet; raise PacketInvalidError."""
         ...
 
     def to_target(self, data: bytes, target: Target, cookie: int) -> bytes:
-        """Return the datagram that brings a caller's packet to a target."""
+        """Return the datagram that carries a caller's packet to a target."""
         ...
 
     def reset(self, flow: FlowKey, sequence: int) -> bytes:
--- a/endivepick/forwarder/probes.py
+++ b/endivepick/forwarder/probes.py
@@ -1,4 +1,4 @@
-"""Probes of single targets, each in a task of its own."""
+"""Probes single targets, each in its own task."""
 
 from collections.abc import Callable, Iterator
 from contextlib import contextmanager
@@ -22,14 +22,14 @@
 __all__ = ["ANSWER_TIMEOUT_S", "probe_target"]
 
 ANSWER_TIMEOUT_S = 0.5
-"""A target that accepted a connection lives; its answer only tells who it is, and
-waits for a free slot."""
+"""Timeout of the answer to a health check. A target that accepted the connection is
+alive; the answer only identifies it, and waits for a free slot."""
 _MIN_ANSWER_WAIT_S = 0.02
-"""An answer that came with that of another target is taken in within that time, also
-after this process stood still."""
+"""Minimum wait for a target's answer after that of the compared target; answers that
+arrived together are read within it, also after a pause of this process."""
 _READ_BYTES = 4096
 MAX_BODY_BYTES = 65536
-"""What is read of an answer that says who gives it."""
+"""Maximum size of the body that is read to identify the target."""
 
 
 _ConnectResult: TypeAlias = socket.socket | ProbeOutcome
@@ -37,7 +37,7 @@
 
 
 class _Answer:
-    """Collects the header that names the target's entry, and the body."""
+    """Collects the body of an answer and the header that names the target's entry."""
 
     def __init__(self, header: bytes) -> None:
         self._header = header
@@ -58,7 +58,7 @@
 
 
 class _Outcome(Struct, frozen=True):
-    """How one attempt ended, and when the target that answered had started."""
+    """Outcome of one probe, and the start time of the target that answered."""
 
     outcome: ProbeOutcome
     born_ms: int = 0
@@ -70,18 +70,18 @@
     settings: ForwardingSettings,
     deliver: Callable[[ProbeResult], None],
 ) -> None:
-    """Find out whether a target lives, and say so.
+    """Probe a target and deliver the result.
 
     Parameters
     ----------
     probe : ProbeTarget
         Target and path.
     dialect : StoreDialect
-        Reads from an answer who gave it.
+        Decodes the identity of the target that answered.
     settings : ForwardingSettings
-        Longest wait of each attempt, and of the last one if another target answers.
+        Timeout of each attempt, and of the last one if another target answers.
     deliver : callable
-        Called once with the outcome.
+        Called once with the result.
     """
     ended = _run_probe(probe, dialect, settings)
     target = probe.target
@@ -104,7 +104,7 @@
 def _connect_repeatedly(
     probe: ProbeTarget, settings: ForwardingSettings
 ) -> _ConnectResult:
-    """Connect to a target, in several attempts if it is silent."""
+    """Connect to a target, with several attempts if it is silent."""
     *earlier_s, last_s = settings.probe_timeouts_s
     for timeout_s in earlier_s:
         reached = _connect(probe.target, timeout_s)
@@ -118,7 +118,7 @@
 def _connect_compared(
     target: Target, control: Target, settings: ForwardingSettings
 ) -> _ConnectResult:
-    """Connect to a target, and to another to see whether answers arrive here at all."""
+    """Connect to a target, and to another one to check that answers arrive here."""
     last_s = settings.probe_timeouts_s[-1]
     attempt = gevent.spawn(_connect, target, last_s)
     compared = gevent.spawn(_measure_answer_s, control, last_s)
@@ -133,9 +133,9 @@
 
 
 def _measure_answer_s(target: Target, timeout_s: float) -> float | None:
-    """Return how long a target took to answer, None if it did not.
+    """Return the time that a target took to answer, None if it did not.
 
-    A refusal is an answer as well.
+    A refusal counts as an answer.
     """
     began_s = steady_now_s()
     reached = _connect(target, timeout_s)
@@ -147,7 +147,7 @@
 
 
 def _connect(target: Target, timeout_s: float) -> _ConnectResult:
-    """Make one attempt."""
+    """Make one attempt to connect."""
     try:
         with gevent.Timeout(timeout_s):
             return socket.create_connection((target.host, target.port))
@@ -168,13 +168,14 @@
 def _read_identity(
     connection: socket.socket, path: str, dialect: StoreDialect
 ) -> TargetIdentity:
-    """Return who answers, as far as the answer says it in time."""
+    """Return the identity of the target, as far as it is received in time."""
     answer = _Answer(dialect.identity_header)
     try:
         with gevent.Timeout(ANSWER_TIMEOUT_S):
             _request_health(connection, path, answer)
     except (OSError, gevent.Timeout, httptools.HttpParserError):
-        # It accepted the connection, so something lives there; what came counts.
+        # The target accepted the connection, so it is alive; the data received so far
+        # are used.
         pass
     return dialect.read_health(answer.header, answer.body)
 
--- a/endivepick/forwarder/reload.py
+++ b/endivepick/forwarder/reload.py
@@ -1,4 +1,4 @@
-"""Settings that change while a forwarder runs."""
+"""Reloads the settings of a running forwarder."""
 
 import os
 from collections.abc import Callable
@@ -12,28 +12,28 @@
 __all__ = ["CHECK_PERIOD_S", "SettingsLoader", "SettingsReload"]
 
 CHECK_PERIOD_S = 2.0
-"""How often the file is looked at; it may change without a signal."""
+"""Period at which the file is checked; it may change without a signal."""
 
 SettingsLoader = Callable[[str], ForwarderSettings]
 
 
 class SettingsReload:
-    """Reads the settings file again and says what differs.
+    """Reads the settings file again and logs the differences.
 
-    Addresses, zone and name are fixed for the life of a process, which holds its
-    sockets and the flows of its callers; a change of them waits for the next start
-    and is said so.
+    Addresses, zone and name are fixed for the lifetime of a process, which holds its
+    sockets and the flows of its callers. A change of them takes effect at the next
+    start and is logged.
 
     Parameters
     ----------
     path : str
-        The file.
+        Settings file.
     load : callable
-        Reads and checks it.
+        Reads and validates the file.
     settings : ForwarderSettings
         Settings in force.
     log : BoundedLog
-        Where the outcome is written.
+        Log of the outcome.
     """
 
     def __init__(
@@ -50,7 +50,7 @@
         self._stamp = _stamp(path)
 
     def watch_file(self) -> None:
-        """Read the file whenever it has changed."""
+        """Read the file each time that it has changed."""
         while True:
             gevent.sleep(CHECK_PERIOD_S)
             stamp = _stamp(self._path)
@@ -59,13 +59,16 @@
                 self.read("file changed")
 
     def read(self, cause: str) -> None:
-        """Read the file now; settings that are refused change nothing."""
+        """Read the file now; invalid settings change nothing."""
         self._stamp = _stamp(self._path)
         try:
             settings = self._load(self._path)
         except SettingsInvalidError as error:
             self._log.warning(
-                "settings", "settings_refused", "kept as they were", error=str(error)
+                "settings",
+                "settings_refused",
+                "new settings are invalid; the old ones stay in force",
+                error=str(error),
             )
             self._log.flush()
             return
@@ -77,7 +80,7 @@
         self._log.event(
             "settings",
             "settings_read",
-            "read again",
+            "settings read",
             cause=cause,
             takes_effect_at_next_start=differing,
         )
@@ -85,7 +88,7 @@
 
 
 def _stamp(path: str) -> tuple[int, int]:
-    """Return what changes with a file; zeros while there is none."""
+    """Return modification time and size of a file; zeros if there is none."""
     try:
         state = os.stat(path)
     except OSError:
--- a/endivepick/forwarder/run.py
+++ b/endivepick/forwarder/run.py
@@ -1,4 +1,4 @@
-"""A forwarder as a process."""
+"""Runs a forwarder as a process."""
 
 import signal
 from collections.abc import Mapping
@@ -32,13 +32,13 @@
     path : str
         Settings file; read again on SIGHUP and when it changes.
     codec : PacketCodec
-        Packets of the fabric.
+        Codec of the fabric's packets.
     dialect : StoreDialect
         The platform's object API.
     early : socket, default=None
-        Socket for packets that was bound before the program was loaded.
+        Data socket that was bound before the program was loaded.
     asked : mapping of socket, default=None
-        Connections on which lists of the store were asked for already, by kind.
+        Connections on which lists of the store were already requested, by kind.
     load : callable
         Reads a settings file.
 
--- a/endivepick/forwarder/settings.py
+++ b/endivepick/forwarder/settings.py
@@ -1,4 +1,4 @@
-"""Settings of a forwarder: JSON with comments, checked where they are read."""
+"""Settings of a forwarder: JSON with comments, validated when they are read."""
 
 import re
 from typing import Annotated
@@ -22,54 +22,57 @@
     Attributes
     ----------
     name, zone : str
-        This instance and its availability zone.
+        Name of this instance and its availability zone.
     zones : list of str
         All availability zones.
     data_address : str
-        UDP address for packets of callers.
+        UDP address for the packets of callers.
     ready_address, ready_path : str
-        TCP address and path that say whether this instance takes packets.
+        TCP address and path of the readiness check.
     metrics_address : str
         TCP address of ``/metrics`` and ``/status``.
     store_address : str
         TCP address of the platform's object API.
     peer_address : str
-        TCP address that peers ask; empty if they cannot.
+        TCP address for calls of peers; empty if there are none.
     peer_reach_address : str
-        Address at which peers reach it, if that is another one: behind a proxy or a
-        translation of addresses.
+        Address at which peers reach this instance if it differs from `peer_address`, as
+        behind a proxy or an address translation.
     seeds : list of str
-        Peer addresses to begin with; some may be stale.
+        Initial peer addresses; some may be stale.
     change_in_force_ms, drain_in_force_ms : float
-        Time in which a configuration, or that a target drains, has to be in force here
-        once the store has acknowledged it, in milliseconds.
+        Maximum time from the store's acknowledgement of a configuration, or of a
+        target's drain, until it is in force here, in milliseconds.
     store_settles_ms : float
-        From when after an outage of the store these times hold again, in milliseconds.
+        Time after an outage of the store from which these limits hold again, in
+        milliseconds.
     watch_wait_s, gather_s : float or None
-        How long the store may hold a watch, and the pause after changes, in seconds;
-        None: as `endivepick.forwarder.freshness` derives them from the times above.
+        Maximum time for which the store may hold a watch, and the pause after changes,
+        in seconds; None derives them from the times above, see
+        `endivepick.forwarder.freshness`.
     call_timeout_s : float
-        Longest wait for an answer that the store does not hold, in seconds.
+        Timeout of a call that the store does not hold, in seconds.
     retry_base_s, retry_cap_s : float
-        Bounds of the wait before a failed call is repeated, in seconds.
+        Bounds of the backoff before a failed call is retried, in seconds.
     stop_s : float
-        How long packets are forwarded after a stop signal, in seconds: the fabric
-        asks for readiness twice a second and turns away after two misses; the rest
-        covers packets on their way.
+        How long packets are forwarded after a stop signal, in seconds. The fabric
+        checks readiness twice a second and stops sending after two failed checks; the
+        rest covers packets in transit.
     stop_grace_s : float
-        The process is killed that long after a stop signal, in seconds.
+        Time from a stop signal until the process is killed, in seconds.
     flow_longest_s : float
-        Longest life of a flow, in seconds.
+        Maximum lifetime of a flow, in seconds.
     link_mbps : float
-        Speed of this machine's link, in Mbit/s.
+        Bandwidth of this machine's link, in Mbit/s.
     zone_feeders : int
-        Fewest instances of a zone that follow the store and feed the others; 0 lets
-        all follow it.  When the only one is lost, those whom it fed follow the store
-        for some seconds, which costs calls but no time.
+        Minimum number of instances of a zone that follow the store and feed the others;
+        with 0, all instances follow it. When the only feeder is lost, the instances
+        that it fed follow the store for some seconds, which costs calls but no time.
     fed_most : int
-        Most instances that one of them feeds; a larger zone has more feeders.
+        Maximum number of instances that one feeder feeds; a larger zone has more
+        feeders.
     mechanisms : Mechanisms
-        What is in use; all are unless the settings say otherwise.
+        Mechanisms in use; all are unless the settings disable them.
     """
 
     name: str
@@ -101,7 +104,7 @@
 
     @property
     def reached_at(self) -> str:
-        """Address that this instance tells its peers."""
+        """Address at which peers reach this instance."""
         return self.peer_reach_address or self.peer_address
 
 
@@ -110,14 +113,14 @@
 
 
 def decode_settings(text: bytes) -> ForwarderSettings:
-    """Check the text of a settings file.
+    """Decode and validate the text of a settings file.
 
-    Comments begin with ``//`` and end with their line, or stand in ``/* */``.
+    Comments start with ``//`` and end with the line, or are enclosed in ``/* */``.
 
     Raises
     ------
     SettingsInvalidError
-        With key and remedy.
+        The message names the key and the remedy.
 
     Examples
     --------
@@ -145,12 +148,12 @@
         except ValueError as error:
             raise SettingsInvalidError(f"{key}: {error}.") from None
     if settings.zone not in settings.zones:
-        raise SettingsInvalidError(f"zone: name {settings.zone} in zones as well.")
+        raise SettingsInvalidError(f"zone: add {settings.zone} to zones.")
     return settings
 
 
 def _without_comment(found: re.Match[bytes]) -> bytes:
-    """Keep texts in quotes, which may hold what looks like a comment."""
+    """Keep quoted strings, which may contain comment markers."""
     return found[0] if found[0].startswith(b'"') else b" "
 
 
@@ -160,12 +163,12 @@
     Raises
     ------
     SettingsInvalidError
-        If it cannot be read or is refused; the message names the remedy.
+        If the file cannot be read or is invalid; the message names the remedy.
     """
     try:
         with open(path, "rb") as file:
             text = file.read()
     except OSError as error:
-        message = f"{path}: {error.strerror}. Name a file that can be read."
+        message = f"{path}: {error.strerror}. Specify a readable file."
         raise SettingsInvalidError(message) from None
     return decode_settings(text)
--- a/endivepick/forwarder/status.py
+++ b/endivepick/forwarder/status.py
@@ -1,4 +1,4 @@
-"""What a forwarder believes, and since when."""
+"""Status page: the beliefs of a forwarder and their ages."""
 
 from typing import Any
 
@@ -14,9 +14,9 @@
     Parameters
     ----------
     core : ForwardingCore
-        The decision core.
+        Core whose beliefs are returned.
     now_s : float
-        Present time, in seconds.
+        Current time, in seconds.
     """
     configuration = core.routes.configuration
     return {
--- a/endivepick/forwarder/tasks.py
+++ b/endivepick/forwarder/tasks.py
@@ -1,4 +1,4 @@
-"""Tasks that outlive their own faults."""
+"""Supervision of tasks: restarts those that fail."""
 
 from collections.abc import Callable
 
@@ -9,16 +9,17 @@
 __all__ = ["RESTART_AFTER_S", "spawn_supervised"]
 
 RESTART_AFTER_S = 1.0
-"""Pause before a task that failed goes on, so that a lasting fault costs little."""
+"""Delay before a failed task is restarted, which limits the cost of a permanent
+error."""
 
 
 def spawn_supervised(
     name: str, work: Callable[[], None], decisions: DecisionLog
 ) -> gevent.Greenlet:
-    """Run a task; when it fails, say so and begin it again.
+    """Run a task; log its failures and restart it.
 
-    Without this, a fault in the task that follows the store would leave the forwarder
-    with what it knew at that time, and ready.
+    Without the restart, an error in the task that follows the store would leave the
+    forwarder ready with outdated knowledge.
 
     Parameters
     ----------
@@ -27,7 +28,7 @@
     work : callable
         Runs until the task is killed.
     decisions : DecisionLog
-        Where a fault is written.
+        Log of the failures.
     """
 
     def run() -> None:
--- a/endivepick/forwarder/tests/test_zone.py
+++ b/endivepick/forwarder/tests/test_zone.py
@@ -163,7 +163,7 @@
     def test_one_that_is_ahead_is_followed_later(self):
         ahead = Response(200, msgspec.json.encode(FeederAhead("f")), "application/json")
         self.follow(ahead)
-        self.assertEqual(self.reasons(), ["it cannot tell what changed"])
+        self.assertEqual(self.reasons(), ["feeder cannot send the changes"])
         self.assertEqual(
             (self.member._full_feeders(), self.member._lost_feeders()), ([], [])
         )
@@ -171,7 +171,7 @@
     def test_one_that_is_full_is_remembered_but_not_lost(self):
         full = Response(200, msgspec.json.encode(FeederFull("f")), "application/json")
         address = self.follow(full)
-        self.assertEqual(self.reasons(), ["it feeds as many as it can"])
+        self.assertEqual(self.reasons(), ["feeder has reached its limit of instances"])
         self.assertEqual(self.member._full_feeders(), [address])
         self.assertEqual(self.member._lost_feeders(), [])
 
@@ -181,7 +181,7 @@
 
     def test_one_that_is_about_to_stop_is_not_lost(self):
         self.follow(self.news())
-        self.assertEqual(self.reasons(), ["it does not feed"])
+        self.assertEqual(self.reasons(), ["instance is no feeder"])
         self.assertEqual(self.member._lost_feeders(), [])
 
 
--- a/endivepick/forwarder/zone.py
+++ b/endivepick/forwarder/zone.py
@@ -1,10 +1,14 @@
-"""Decides with the claims in the store who feeds the zone, and is fed by a feeder.
+"""Elects the feeders of a zone by claims in the store, and follows a feeder.
 
-An instance that is fed keeps what it knows as fresh as its feeder's word: each answer
-says how long ago the store answered there, and beyond a bound, or without an answer,
-the instance follows the store by itself at once.  Of a new configuration it is told
-what changed.  Where that is not known there, or too much for the feeder's link, which
-is that of its packets, it is told that there is a new one and reads it from the store.
+A feeder is an instance that follows the store and serves the changes to other instances
+of its zone. An instance that follows a feeder reads nothing from the store, so its
+knowledge is as fresh as its feeder's: each answer carries the time since the store last
+answered the feeder. If that time exceeds a limit, or the feeder does not answer, the
+instance follows the store itself at once.
+
+The feeder sends a new configuration as a delta. If the delta is unknown there or too
+large for the feeder's link, which also carries its packets, the feeder sends only the
+new revision, and the instance reads the configuration from the store.
 """
 
 import random
@@ -53,40 +57,43 @@
 __all__ = ["ZoneMember"]
 
 CLAIM_READ_DELAY_S = (0.1, 0.6)
-"""Wait before claims are first read.  Within the pause that follows a list an instance
-is fed before its first watches: two calls less a start."""
+"""Range of the delay before claims are first read. It lies within the pause that
+follows a list, so that an instance follows a feeder before it starts its first watches,
+which saves two calls for each start."""
 CLAIM_WRITE_DELAY_S = (0.0, 2.0)
-"""Wait before a place found free at a start is claimed: instances that start at once
-would all try, and all but one of them in vain."""
+"""Range of the delay before a claim found free at a start is written. Without it, all
+instances that start at once would try to write it, and all but one would fail."""
 CLAIM_CHECK_PERIOD_S = (15.0, 25.0)
-"""How often a feeder looks whether its claim still stands."""
+"""Range of the period at which a feeder checks that it still holds its claim."""
 RETRY_DELAY_S = (1.0, 4.0)
-"""Wait after a feeder was left; meanwhile the store is followed."""
+"""Range of the delay after a feeder was left; the store is followed meanwhile."""
 POLL_TIMEOUT_MARGIN_S = 0.5
-"""An answer that comes later is none: the feeder is frozen or cut off."""
+"""Margin added to the hold time of a poll; a feeder that answers later is considered
+frozen or cut off."""
 REPORT_PERIOD_S = 0.3
-"""How often a feeder is told of targets that fail, between questions."""
+"""Minimum time between two reports of failing targets to a feeder, outside of polls."""
 FEEDER_STATE_TTL_S = 10.0
-"""How long a feeder that did not answer is remembered as lost, or one that could feed
-no more as full."""
+"""How long a feeder that did not answer is regarded as lost, and one that refused for
+lack of capacity as full."""
 POLL_RETRY_DELAY_S = 0.2
-"""Pause before a feeder is asked again; one with news answers at once each time."""
+"""Delay before a stale feeder is polled again; a feeder that has news answers each poll
+at once."""
 MAX_CHECKED_HOLDERS = 4
-"""Feeders that are greeted after one was lost, at most."""
+"""Maximum number of other feeders that are checked after one was lost."""
 MAX_FEEDERS = 64
-"""Feeders that a zone may have; 64 feed 1,536 instances, three times the largest zone
-that is expected."""
+"""Maximum number of feeders of a zone; 64 feed 1,536 instances, three times the largest
+expected zone."""
 
 
 class _FeederUnreliable(Exception):
-    """The feeder cannot be relied on.
+    """Raised when the current feeder can no longer be relied on.
 
     Parameters
     ----------
     reason : str
-        Why.
+        Reason for the log.
     lost : bool
-        Whether another has to take its place: it does not answer, or is cut off.
+        Whether its claim may be taken over because it does not answer or is cut off.
     """
 
     def __init__(self, reason: str, lost: bool) -> None:
@@ -96,24 +103,24 @@
 
 
 class ZoneMember:
-    """Task of an instance among those of its zone.
+    """Task that makes an instance a feeder of its zone or a follower of one.
 
     Parameters
     ----------
     settings : ForwarderSettings
         Zone, addresses, number of feeders.
     core : ForwardingCore
-        What is known here.
+        Registry, routes and fitness reports of this instance.
     feeds : mapping of FeedKind to StoreFeed
-        Suspended while the instance is fed.
+        Suspended while the instance follows a feeder.
     dialect : StoreDialect
-        Claims in the store.
-    take : callable
-        Called with what a feeder tells of the registry and the configuration.
+        Encodes and decodes the claims in the store.
+    apply_news : callable
+        Called with the registry news and the configuration change that a feeder sends.
     neighbours : Neighbours
-        Told who feeds or is fed here.
+        Records the feeders and the fed instances of this instance.
     log : BoundedLog
-        Where it says what it does.
+        Log of the zone events.
     """
 
     def __init__(
@@ -143,17 +150,17 @@
         self._report_sent_s = float("-inf")
         self._stopping = False
         self.feeder = ZoneFeeder(settings, core, feeds, neighbours, log)
-        """What this instance does for others of its zone."""
+        """Serves the instances that follow this one."""
         self.fed = False
-        """Whether a feeder is followed instead of the store."""
+        """Whether this instance follows a feeder instead of the store."""
 
     def stop(self) -> None:
-        """Let those who are fed here look for another feeder."""
+        """Make the instances that follow this one look for another feeder."""
         self._stopping = True
         self.feeder.stop()
 
     def run(self) -> None:
-        """Feed others or be fed, as the claims say, until a planned stop."""
+        """Serve as a feeder or follow one, as the claims say, until a planned stop."""
         if not self._claim_names or not self._settings.peer_address:
             return
         _sleep(CLAIM_READ_DELAY_S)
@@ -171,9 +178,10 @@
             claims = None
 
     def _read_initial_claims(self) -> tuple[FeederClaim, ...] | None:
-        """Read the claims; None if they are to be read again after a while.
+        """Read the claims; None if they must be read again after a delay.
 
-        Others that start at the same time claim a free place.
+        A free claim is likely to be written meanwhile by another instance that starts
+        at the same time.
         """
         try:
             with store_connection(self._settings.store_address) as store:
@@ -188,14 +196,16 @@
         return None
 
     def _log_unknown_claims(self, error: EndivepickError) -> None:
-        self._log.warning("zone", "claims_unknown", "claims not read", error=str(error))
+        self._log.warning(
+            "zone", "claims_unknown", "failed to read the claims", error=str(error)
+        )
 
     @property
     def _all_feeds_settled(self) -> bool:
         return all(feed.settled for feed in self._feeds.values())
 
     def _act_on_claims(self, claims: tuple[FeederClaim, ...] | None = None) -> None:
-        """Do what the claims say; they are read unless that was done just before."""
+        """Act on the claims; read them first unless they have just been read."""
         with store_connection(self._settings.store_address) as store:
             if claims is None:
                 claims = self._read_claims(store)
@@ -225,10 +235,10 @@
         return self._dialect.read_claims(store.get(path, self._settings.call_timeout_s))
 
     def _check_holders(self, claims: Sequence[FeederClaim]) -> None:
-        """Look for other feeders that are lost as well, once one was.
+        """Check whether other feeders are lost too, after one was lost.
 
-        What took one may have taken several.  A lost one whom nobody follows any more
-        would keep its place for good.
+        One fault may affect several feeders. A lost feeder that no instance follows any
+        more would keep its claim forever.
         """
         lost = self._lost_feeders()
         if not lost:
@@ -243,13 +253,16 @@
             self._check_holder(holder)
 
     def _check_holder(self, holder: str) -> None:
-        """Any answer is a sign of life, also that of one that is about to stop."""
+        """Mark a holder as lost if it does not answer; any status counts as an answer.
+
+        This includes an instance that is about to stop.
+        """
         call = StoreCall("GET", f"{HELLO_PATH}?from={self._settings.reached_at}")
         try:
             with store_connection(holder) as connection:
                 outcome = connection.call(call, CallLimits(POLL_TIMEOUT_MARGIN_S))
         except ValueError as error:
-            # The claim names no address.
+            # The claim contains no valid address.
             outcome = NotSent(str(error))
         match outcome:
             case NotSent(reason=reason) | AnswerLost(reason=reason):
@@ -257,7 +270,7 @@
                 self._log.event(
                     "zone",
                     "holder_lost",
-                    "another feeder does not answer either",
+                    "another feeder does not answer",
                     feeder=holder,
                     error=reason,
                 )
@@ -284,12 +297,12 @@
         return list(self._full_at_s)
 
     def _serve_as_feeder(self) -> None:
-        """Feed others until the claim is read again."""
+        """Feed other instances until the claims are next read."""
         self.feeder.begin()
         _sleep(CLAIM_CHECK_PERIOD_S)
 
     def _follow(self, feeder: str) -> None:
-        """Be fed until the feeder cannot be relied on."""
+        """Follow a feeder until it is unreliable."""
         self.feeder.end()
         began_s = steady_now_s()
         try:
@@ -304,7 +317,7 @@
             self._log.event(
                 "zone",
                 "feeder_left",
-                "following the store instead of a feeder",
+                "left the feeder; following the store",
                 feeder=feeder,
                 reason=left.reason,
                 fed_for_s=truncate_number(steady_now_s() - began_s),
@@ -313,7 +326,9 @@
     @contextmanager
     def _following(self, feeder: str) -> Iterator[None]:
         if not self._all_feeds_settled:
-            raise _FeederUnreliable("store lost here meanwhile", lost=False)
+            raise _FeederUnreliable(
+                "store became unreachable from this instance", lost=False
+            )
         self._log.event("zone", "feeder_followed", "fed by a peer", feeder=feeder)
         self.fed = True
         self._feeder_address = feeder
@@ -327,10 +342,12 @@
             self._feeds[FeedKind.CONFIGURATION].resume(self._core.routes.revision)
 
     def _poll(self, feeder: str, connection: StoreConnection) -> ZoneNews:
-        """Ask for news, and take them in."""
+        """Poll the feeder for news and apply them."""
         config = self._core.routes.revision
         if not self._feeds[FeedKind.CONFIGURATION].settled:
-            # It is being read; once that has ended, an older one is asked for again.
+            # The configuration is being read. Polling with the requested revision
+            # avoids an immediate answer; when the read ends with an older revision, it
+            # is requested again.
             config = max(config, self._requested_config_revision)
         registry = self._core.registry.revision
         seen = self._core.seen(steady_now_s())
@@ -340,16 +357,18 @@
             body = connection.get(path, POLL_WAIT_S + POLL_TIMEOUT_MARGIN_S)
             answer = read_feeder_answer(body)
         except PlatformAnswerError:
-            # It lives: it has just started, or is about to stop.
-            raise _FeederUnreliable("it does not feed", lost=False) from None
+            # The feeder is alive; it has just started or is about to stop.
+            raise _FeederUnreliable("instance is no feeder", lost=False) from None
         except (EndivepickError, msgspec.MsgspecError) as error:
             raise _FeederUnreliable(str(error), lost=True) from None
         match answer:
             case FeederFull():
                 self._full_at_s[feeder] = steady_now_s()
-                raise _FeederUnreliable("it feeds as many as it can", lost=False)
+                raise _FeederUnreliable(
+                    "feeder has reached its limit of instances", lost=False
+                )
             case FeederAhead():
-                raise _FeederUnreliable("it cannot tell what changed", lost=False)
+                raise _FeederUnreliable("feeder cannot send the changes", lost=False)
             case ZoneNews():
                 self._neighbours.mark_alive(feeder, steady_now_s())
                 self._core.on_seen(answer.seen, steady_now_s())
@@ -357,10 +376,10 @@
                 return answer
 
     def report_observations(self) -> None:
-        """Tell the zone what speaks against targets here; never waits.
+        """Report suspected targets to the zone without blocking.
 
-        A question is held for most of a second, in which each instance would go on to
-        lose requests to a target that others know to be bad.
+        A poll is held for most of a second. Without a report in between, each instance
+        would lose requests to a target that others already know to be failing.
         """
         now_s = steady_now_s()
         if now_s - self._report_sent_s < REPORT_PERIOD_S or not self._core.doubts(
@@ -382,14 +401,20 @@
             with store_connection(feeder) as connection:
                 connection.get(f"{SEEN_PATH}?{question.query}", POLL_TIMEOUT_MARGIN_S)
         except (EndivepickError, ValueError) as error:
-            # The next question brings the same, and shows whether the feeder is lost.
-            self._log.event("zone", "seen_untold", "feeder not told", error=str(error))
+            # The next poll carries the same report and detects a lost feeder.
+            self._log.event(
+                "zone",
+                "seen_untold",
+                "failed to send a report to the feeder",
+                error=str(error),
+            )
 
     def _poll_until_fresh(self, feeder: str, connection: StoreConnection) -> ZoneNews:
-        """Ask a feeder until it may have heard of the store since the first question.
+        """Poll a feeder until it may have heard from the store since the first poll.
 
-        Nobody may have asked it before, so that it kept a long watch.  Taken for lost,
-        it would lose its place to one that does no better, and so on.
+        If nobody has polled the feeder before, its watch of the store is a long one, so
+        its first answers may be stale. If it were considered lost for that, its claim
+        would pass to another instance in the same state, and so on.
         """
         until_s = (
             steady_now_s() + self._freshness.feeding_wait_s + ANSWER_TIMEOUT_MARGIN_S
@@ -404,10 +429,11 @@
         return news.heard_before_s > self._freshness.feeder_silent_s
 
     def _check_initial(self, news: ZoneNews) -> None:
-        """Take a feeder for lost that the store does not answer, though it does us.
+        """Consider a feeder lost if its news are stale although the store answers here.
 
-        The claims have just been read here.  Otherwise those whom it fed would come
-        back to it every few seconds until its partition ends.
+        The claims have just been read here, so the store is reachable. If the feeder
+        kept its claim, its followers would return to it every few seconds until its
+        partition ends.
         """
         try:
             self._check_freshness(news)
@@ -415,12 +441,16 @@
             raise _FeederUnreliable(left.reason, lost=True) from None
 
     def _check_freshness(self, news: ZoneNews) -> None:
-        """Rely on a feeder only while the store answers it."""
+        """Raise ``_FeederUnreliable`` if the store has not answered the feeder.
+
+        Otherwise the times of the feeder's last answers count as those of this
+        instance.
+        """
         if self._is_stale(news):
             reason = f"store silent there for {news.heard_before_s:.1f} s"
             raise _FeederUnreliable(reason, lost=False)
         self._update_heard(FeedKind.CONFIGURATION, news.heard_before_s)
-        # Lapsed entries are given up on the registry's own word only.
+        # Lapsed entries are removed only on information from the registry itself.
         self._update_heard(FeedKind.REGISTRY, news.registry_before_s)
         if news.config_revision > self._core.routes.revision:
             self._requested_config_revision = news.config_revision
--- a/endivepick/forwarder/zone_messages.py
+++ b/endivepick/forwarder/zone_messages.py
@@ -1,4 +1,4 @@
-"""What instances of a zone ask their feeder, and what it answers."""
+"""Messages between the instances of a zone and their feeder."""
 
 from typing import Self
 
@@ -23,16 +23,16 @@
 
 
 class ZoneQuestion(Struct, frozen=True):
-    """What is newer than an instance knows?  With it comes what it has seen of targets.
+    """Poll for news since the revisions that an instance knows, with its report.
 
     Attributes
     ----------
     asker : str
-        Address at which peers reach the instance that asks.
+        Address at which peers reach the instance.
     config_revision, registry_revision : int
         Revisions of the store up to which it knows the configuration and the registry.
     seen : FitnessReport
-        What became of requests there.
+        Outcomes of requests at the instance.
 
     Examples
     --------
@@ -50,7 +50,7 @@
 
     @property
     def query(self) -> str:
-        """The question as the query of a path."""
+        """The poll as the query string of a path."""
         revisions = f"config={self.config_revision}&registry={self.registry_revision}"
         question = f"from={self.asker}&{revisions}"
         if self.seen.empty:
@@ -59,7 +59,7 @@
 
     @classmethod
     def read(cls, query: str) -> Self | None:
-        """Read a query, None if it is no such question."""
+        """Decode a query string; return None if it is not a poll."""
         fields = parse_query(query)
         try:
             config, registry = int(fields["config"]), int(fields["registry"])
@@ -69,7 +69,7 @@
 
 
 def _read_report(fields: dict[str, str]) -> FitnessReport:
-    """Read what an instance has seen; nothing if it is of another build."""
+    """Decode an instance's report; an empty one if it is of another build."""
     try:
         return _report_decoder.decode(bytes.fromhex(fields["seen"]))
     except (KeyError, ValueError):
@@ -77,51 +77,51 @@
 
 
 class FeederFull(Struct, frozen=True, tag=True):
-    """Answer of a feeder that feeds as many as it can.
+    """Answer of a feeder that has reached its maximum number of instances.
 
     Attributes
     ----------
     feeder : str
-        Name of the instance that answers.
+        Name of the feeder.
     """
 
     feeder: str
 
 
 class FeederAhead(Struct, frozen=True, tag=True):
-    """Answer of a feeder that cannot tell what changed since the asker's revision.
+    """Answer of a feeder that cannot send the changes since the poll's revision.
 
-    The whole registry would be too much for its link, so the asker has to catch up with
-    the store first.
+    The full registry would exceed the capacity of its link, so the instance must first
+    catch up with the store.
 
     Attributes
     ----------
     feeder : str
-        Name of the instance that answers.
+        Name of the feeder.
     """
 
     feeder: str
 
 
 class ZoneNews(Struct, frozen=True, tag=True):
-    """Answer of a feeder.
+    """Answer of a feeder to a poll.
 
     Attributes
     ----------
     feeder : str
-        Name of the instance that answers.
+        Name of the feeder.
     config_revision : int
         Revision of the configuration in force there.
     config_change : ConfigurationChange or None
-        What leads to it from the one that the asker has.
+        Delta from the configuration that the polling instance has.
     registry : RegistryNews
-        What changed in the registry.
+        Changes of the registry.
     heard_before_s : float
-        How long ago the store answered there, in seconds.
+        Time since the store last answered the feeder, in seconds.
     registry_before_s : float
-        How long ago it told of the registry, in seconds.
+        Time since the store last answered for the registry, in seconds.
     seen : FitnessReport
-        What became of requests at the instances of the zone together.
+        Outcomes of requests at all instances of the zone, merged.
     """
 
     feeder: str
@@ -139,5 +139,5 @@
 
 
 def read_feeder_answer(body: bytes) -> FeederAnswer:
-    """Read what a feeder answered; raises ``msgspec.MsgspecError`` if it is none."""
+    """Decode a feeder's answer; raise ``msgspec.MsgspecError`` if it is invalid."""
     return _decoder.decode(body)
