--- a/endivepick/forwarder/decision_log.py
+++ b/endivepick/forwarder/decision_log.py
@@ -40,7 +40,7 @@
         self.log = log
         self.metrics = metrics
 
-    def note(self, note: Note) -> None:
+    def log_decision(self, note: Note) -> None:
         """Log a decision about a flow."""
         if note.name == "flow_placed":
             self.metrics.count("flows_placed", note.reason)
@@ -58,7 +58,7 @@
             belief_age_s=truncate_number(note.age_s),
         )
 
-    def belief_change(self, change: BeliefChange) -> None:
+    def log_belief_change(self, change: BeliefChange) -> None:
         """Log a change of the belief about a target."""
         self.metrics.count("target_changes", change.after)
         self.log.event(
@@ -74,7 +74,7 @@
             revision=change.revision,
         )
 
-    def fault_confirmed(self, confirmed: FaultConfirmed) -> None:
+    def log_fault_confirmed(self, confirmed: FaultConfirmed) -> None:
         """Log the confirmed fault for which flows of a target may be reset."""
         told_before_s = confirmed.told_before_s
         self.log.event(
@@ -90,7 +90,7 @@
             else truncate_number(told_before_s),
         )
 
-    def reset_with_target(self, reset: Reset) -> None:
+    def log_target_reset(self, reset: Reset) -> None:
         """Log that a flow is reset because of its target."""
         self.log.event(
             "flow",
@@ -101,7 +101,7 @@
             reason=reset.reason.value,
         )
 
-    def probe(self, result: ProbeResult) -> None:
+    def log_probe(self, result: ProbeResult) -> None:
         """Log the outcome of a probe."""
         self.metrics.count("probes", result.outcome.value)
         self.log.event(
@@ -114,13 +114,13 @@
             shown_born_ms=result.shown_born_ms,
         )
 
-    def hint(self, target: str) -> None:
+    def log_hint(self, target: str) -> None:
         """Log a peer's hint that a target does not answer."""
         self.log.event(
             "peer", "peer_hint", f"{target} reported not to answer", target=target
         )
 
-    def configuration(
+    def log_configuration(
         self, configuration: Configuration, in_force: bool, learnt_from: str
     ) -> None:
         """Log that a configuration was received from the store or another instance."""
@@ -134,7 +134,9 @@
             learnt_from=learnt_from,
         )
 
-    def change_unfit(self, change: ConfigurationChange, known_revision: int) -> None:
+    def log_unfit_change(
+        self, change: ConfigurationChange, known_revision: int
+    ) -> None:
         """Log that a delta does not start from the version in force."""
         self.log.event(
             "config",
@@ -146,7 +148,7 @@
             known_revision=known_revision,
         )
 
-    def snapshot(
+    def log_snapshot(
         self, peer: str, config_version: int | None, revision: int, age_s: float
     ) -> None:
         """Log a peer's snapshot and the time since the store last answered the peer.
@@ -163,7 +165,7 @@
             heard_before_s=truncate_number(age_s),
         )
 
-    def unreadable(self, kind: FeedKind, item: UnreadableItem) -> None:
+    def log_unreadable(self, kind: FeedKind, item: UnreadableItem) -> None:
         """Log that an object of the store, or of another instance, was skipped."""
         self.metrics.count("items_unreadable", kind.value)
         self.log.warning(
@@ -176,7 +178,7 @@
             revision=item.revision,
         )
 
-    def malformed(self, error: PacketInvalidError, size_bytes: int) -> None:
+    def log_malformed(self, error: PacketInvalidError, size_bytes: int) -> None:
         """Log that a datagram is not a valid packet."""
         self.metrics.count("packets_dropped", DropReason.MALFORMED.value)
         self.log.warning(
@@ -187,20 +189,20 @@
             bytes=size_bytes,
         )
 
-    def packet_failed(self, error: Exception) -> None:
+    def log_packet_error(self, error: Exception) -> None:
         """Log that a packet was dropped because of an internal error."""
         self.metrics.count("packets_dropped", "fault")
-        self._log_fault(
+        self._log_error(
             "packet",
             "packet_failed",
             "packet dropped because of an internal error",
             error,
         )
 
-    def task_failed(self, name: str, error: Exception) -> None:
+    def log_task_error(self, name: str, error: Exception) -> None:
         """Log that a task failed with an internal error and is restarted."""
         self.metrics.count("tasks_failed", name)
-        self._log_fault(
+        self._log_error(
             "task",
             "task_failed",
             f"{name} restarts after an internal error",
@@ -208,7 +210,7 @@
         )
         self.log.flush()
 
-    def paused(self, paused_s: float) -> None:
+    def log_pause(self, paused_s: float) -> None:
         """Log that the process was paused."""
         self.log.warning(
             "clock",
@@ -217,12 +219,12 @@
             paused_s=truncate_number(paused_s),
         )
 
-    def started(self, data_address: str) -> None:
+    def log_start(self, data_address: str) -> None:
         """Log that all sockets are bound."""
         self.log.event("start", "started", "started", data_address=data_address)
         self.log.flush()
 
-    def ready(self, after_s: float, targets: int) -> None:
+    def log_ready(self, after_s: float, targets: int) -> None:
         """Log that routes and targets are known."""
         self.log.event(
             "start",
@@ -232,7 +234,7 @@
             targets=targets,
         )
 
-    def stop_begun(self, flows: int, forwards_for_s: float) -> None:
+    def log_stop_begin(self, flows: int, forwards_for_s: float) -> None:
         """Log the start of a planned stop."""
         self.log.event(
             "stop",
@@ -243,12 +245,12 @@
         )
         self.log.flush()
 
-    def stopped(self, flows: int) -> None:
+    def log_stop_end(self, flows: int) -> None:
         """Log the end of a planned stop."""
         self.log.event("stop", "stopped", "stopped", flows=flows)
         self.log.flush()
 
-    def _log_fault(self, part: str, name: str, message: str, error: Exception) -> None:
+    def _log_error(self, part: str, name: str, message: str, error: Exception) -> None:
         # Imported on demand, since it would delay the start.
         import traceback
 
--- a/endivepick/forwarder/feed.py
+++ b/endivepick/forwarder/feed.py
@@ -123,7 +123,7 @@
         """Whether the last call failed."""
         return self._lost_since_s is not None
 
-    def arriving(self, within_s: float) -> bool:
+    def is_receiving_list(self, within_s: float) -> bool:
         """Whether a list is being read, of which data arrived within a given time.
 
         Parameters
@@ -160,7 +160,7 @@
         self._revision = max(self._revision, revision)
         self._restart()
 
-    def hold_watches(self, wait_s: float | None = None) -> None:
+    def set_watch_wait(self, wait_s: float | None = None) -> None:
         """Set the wait of the following watches.
 
         A longer watch in progress is cancelled: until the store answered it, the
@@ -178,7 +178,7 @@
         if shorter and self.settled and not self._suspended:
             self._restart()
 
-    def list_again(self) -> None:
+    def request_list(self) -> None:
         """Read the whole list now unless a list is in progress; never blocks.
 
         A suspended feed reads it once and is then suspended again.
@@ -218,7 +218,7 @@
                     )
                     self._list_wanted = True
                 except (PlatformUnavailableError, PlatformAnswerError) as error:
-                    backoff = backoff.failed(random.random(), _wait_asked(error))
+                    backoff = backoff.failed(random.random(), _get_retry_after(error))
                     self._on_failure(error, backoff.wait_s)
                     connection.close()
                     if self._breaker.record_failure(caller):
@@ -317,7 +317,7 @@
     return steady_now_s() - max(feed.heard_s for feed in feeds)
 
 
-def _wait_asked(error: PlatformUnavailableError | PlatformAnswerError) -> float:
+def _get_retry_after(error: PlatformUnavailableError | PlatformAnswerError) -> float:
     match error:
         case PlatformUnavailableError(retry_after_s=float(seconds)):
             return seconds
--- a/endivepick/forwarder/feeding.py
+++ b/endivepick/forwarder/feeding.py
@@ -95,14 +95,14 @@
         self.feeding = False
         """Whether other instances may be fed here."""
 
-    def begin(self) -> None:
+    def start_feeding(self) -> None:
         """Start feeding other instances unless a planned stop has begun."""
         if not self.feeding and not self._stopping:
             self._log.event("zone", "feeding", "feeding other instances of the zone")
         self.feeding = not self._stopping
         self._set_watch_wait()
 
-    def end(self) -> None:
+    def end_feeding(self) -> None:
         """Stop feeding: another instance holds the claim."""
         if self.feeding:
             self._log.event("zone", "feeding_ended", "another instance feeds the zone")
@@ -121,7 +121,7 @@
         waiting, self._news_event = self._news_event, Event()
         waiting.set()
 
-    def answer(self, query: str) -> Response:
+    def answer_poll(self, query: str) -> Response:
         """Answer the poll of a fed instance, at once if there is news for it."""
         question = ZoneQuestion.read(query)
         if question is None:
@@ -230,4 +230,4 @@
         """
         asked = steady_now_s() - self._last_request_s < REQUEST_IDLE_S
         wait_s = self._watch_wait_s if self.feeding and asked else None
-        self._feeds[FeedKind.REGISTRY].hold_watches(wait_s)
+        self._feeds[FeedKind.REGISTRY].set_watch_wait(wait_s)
--- a/endivepick/forwarder/forwarder.py
+++ b/endivepick/forwarder/forwarder.py
@@ -96,7 +96,7 @@
                 settings,
                 kind,
                 dialect,
-                news.on_feed,
+                news.on_store_update,
                 self.decisions,
                 breaker,
                 (asked or {}).get(kind),
@@ -111,7 +111,7 @@
             log,
         )
         requests = PathRequests(
-            self._feeds[FeedKind.REGISTRY].list_again, self._peers.hint
+            self._feeds[FeedKind.REGISTRY].request_list, self._peers.hint
         )
         self._path = PacketPath(self.core, codec, dialect, self.decisions, requests)
         self._pages = Pages(
@@ -169,10 +169,10 @@
         self._peers.stopping = True
         if self._zone is not None:
             self._zone.stop()
-        self.decisions.stop_begun(len(self.core.flows), self.forwards_for_s)
+        self.decisions.log_stop_begin(len(self.core.flows), self.forwards_for_s)
 
     def _on_news_applied(self) -> None:
-        self._path.perform()
+        self._path.perform_effects()
         if self._zone is not None:
             self._zone.feeder.notify()
         if self.core.ready and not self._was_ready:
@@ -186,7 +186,7 @@
         gc.freeze()
         gc.enable()
         targets = sum(1 for _ in self.core.registry)
-        self.decisions.ready(steady_now_s() - self._started_s, targets)
+        self.decisions.log_ready(steady_now_s() - self._started_s, targets)
         self._zone_task = spawn_supervised("zone", self._run_zone, self.decisions)
 
     def _run_zone(self) -> None:
@@ -223,17 +223,17 @@
             if registry.lost:
                 self.core.on_unread(now_s)
             self.core.tick(now_s, registry.heard_s)
-            self._path.perform()
+            self._path.perform_effects()
             if self._zone is not None:
                 self._zone.report_observations()
             self.decisions.metrics.fold()
             self.decisions.log.flush()
 
     def _on_pause(self, paused_s: float, now_s: float) -> None:
-        self.decisions.paused(paused_s)
+        self.decisions.log_pause(paused_s)
         self.core.on_unread(now_s)
         for feed in self._feeds.values():
-            feed.list_again()
+            feed.request_list()
 
 
 def _make_core_settings(settings: ForwarderSettings) -> ForwardingSettings:
--- a/endivepick/forwarder/news.py
+++ b/endivepick/forwarder/news.py
@@ -33,7 +33,7 @@
         Core to which the news are applied.
     decisions : DecisionLog
         Log of the news.
-    after : callable
+    on_applied : callable
         Called after each message has been applied.
     """
 
@@ -41,18 +41,18 @@
         self,
         core: ForwardingCore,
         decisions: DecisionLog,
-        after: Callable[[], None],
+        on_applied: Callable[[], None],
     ) -> None:
         self._core = core
         self._decisions = decisions
-        self._after = after
+        self._on_applied = on_applied
 
-    def on_feed(self, news: FeedList | FeedChanges) -> None:
+    def on_store_update(self, news: FeedList | FeedChanges) -> None:
         """Apply a list or changes that a feed read."""
         now_s = steady_now_s()
         for item in news.items:
             if isinstance(item, UnreadableItem):
-                self._decisions.unreadable(news.kind, item)
+                self._decisions.log_unreadable(news.kind, item)
         match news:
             case FeedList(kind=FeedKind.REGISTRY, items=items):
                 targets = [item for item in items if isinstance(item, Target)]
@@ -66,7 +66,7 @@
                 self._on_items(news, now_s)
         if news.kind is FeedKind.REGISTRY:
             self._core.on_registry_seen(news.revision)
-        self._after()
+        self._on_applied()
 
     def on_zone_news(
         self, registry: RegistryNews, change: ConfigurationChange | None
@@ -85,9 +85,9 @@
         if change is not None:
             self._on_change(change, now_s)
         if newer:
-            self._core.on_registry_news(self._usable(registry), now_s)
+            self._core.on_registry_news(self._mark_invalid(registry), now_s)
         if newer or change is not None:
-            self._after()
+            self._on_applied()
 
     def on_snapshot(self, snapshot: PeerSnapshot) -> None:
         """Apply the parts of a peer's snapshot that are newer."""
@@ -101,18 +101,18 @@
         if snapshot.targets is not None and revision >= self._core.registry.revision:
             removed = [RemovedTarget(n, revision, True) for n in snapshot.unreadable]
             told = RegistryNews(snapshot.targets, removed, True, revision)
-            usable = self._usable(told)
+            usable = self._mark_invalid(told)
             unreadable = [each.name for each in usable.removed]
             self._core.on_target_list(
                 usable.targets, revision, now_s, unreadable=unreadable
             )
-        self._decisions.snapshot(
+        self._decisions.log_snapshot(
             snapshot.name,
             configuration.version if configuration is not None else None,
             revision,
             snapshot.heard_before_s,
         )
-        self._after()
+        self._on_applied()
 
     def _on_items(self, news: FeedList | FeedChanges, now_s: float) -> None:
         for item in news.items:
@@ -128,7 +128,7 @@
                 case _:
                     pass
 
-    def _usable(self, told: RegistryNews) -> RegistryNews:
+    def _mark_invalid(self, told: RegistryNews) -> RegistryNews:
         """Return another instance's news with its invalid entries as unreadable.
 
         An instance of another build may forward entries that this build does not
@@ -141,7 +141,7 @@
                 check_target(target)
             except ValueError as error:
                 item = UnreadableItem(target.name, str(error), target.revision)
-                self._decisions.unreadable(FeedKind.REGISTRY, item)
+                self._decisions.log_unreadable(FeedKind.REGISTRY, item)
                 removed.append(RemovedTarget(item.name, item.revision, True))
             else:
                 targets.append(target)
@@ -152,7 +152,7 @@
         configuration = None if known is None else apply_change(known, change)
         if configuration is None:
             # The configuration is read from the store instead.
-            self._decisions.change_unfit(change, self._core.routes.revision)
+            self._decisions.log_unfit_change(change, self._core.routes.revision)
         else:
             self._on_configuration(configuration, now_s, FEEDER)
 
@@ -160,7 +160,7 @@
         self, configuration: Configuration, now_s: float, learnt_from: str
     ) -> None:
         in_force = self._core.on_configuration(configuration, now_s)
-        self._decisions.configuration(configuration, in_force, learnt_from)
+        self._decisions.log_configuration(configuration, in_force, learnt_from)
 
 
 def _is_entry(kind: FeedKind, name: str) -> bool:
--- a/endivepick/forwarder/packet_path.py
+++ b/endivepick/forwarder/packet_path.py
@@ -109,7 +109,7 @@
         with datagram_socket(
             address,
             self._on_packet,
-            self._decisions.packet_failed,
+            self._decisions.log_packet_error,
             self._metrics.batch,
             steady_now_s,
             early,
@@ -117,19 +117,19 @@
             self._datagrams = datagrams
             yield datagrams
 
-    def perform(self) -> None:
+    def perform_effects(self) -> None:
         """Perform the effects of the core and log its decisions."""
         effects, self._core.effects[:] = list(self._core.effects), []
         for effect in effects:
             match effect:
                 case Note():
-                    self._decisions.note(effect)
+                    self._decisions.log_decision(effect)
                 case BeliefChange():
-                    self._decisions.belief_change(effect)
+                    self._decisions.log_belief_change(effect)
                 case FaultConfirmed():
-                    self._decisions.fault_confirmed(effect)
+                    self._decisions.log_fault_confirmed(effect)
                 case Reset():
-                    self._decisions.reset_with_target(effect)
+                    self._decisions.log_target_reset(effect)
                     self._reset(effect)
                 case Release(data, verdict):
                     self._apply_verdict(verdict, data)
@@ -140,19 +140,19 @@
 
     def on_hint(self, target: str) -> None:
         """Handle a peer's hint that a target does not answer."""
-        self._decisions.hint(target)
+        self._decisions.log_hint(target)
         self._core.on_hint(target, steady_now_s())
-        self.perform()
+        self.perform_effects()
 
     def _on_packet(self, data: bytes, now_s: float) -> None:
         try:
             packet = self._codec.decode(data)
         except PacketInvalidError as error:
-            self._decisions.malformed(error, len(data))
+            self._decisions.log_malformed(error, len(data))
             return
         self._apply_verdict(self._core.on_packet(packet, data, now_s), data)
         if self._core.effects:
-            self.perform()
+            self.perform_effects()
             self._decisions.log.flush()
 
     def _apply_verdict(self, verdict: Verdict, data: bytes) -> None:
@@ -193,11 +193,11 @@
         )
 
     def _on_probe(self, result: ProbeResult) -> None:
-        self._decisions.probe(result)
+        self._decisions.log_probe(result)
         self._core.on_probe(result, steady_now_s())
         if result.outcome in (ProbeOutcome.REFUSED, ProbeOutcome.REPLACED):
             self._hint_if_new(result.target)
-        self.perform()
+        self.perform_effects()
         self._decisions.log.flush()
 
     def _hint_if_new(self, target: str) -> None:
--- a/endivepick/forwarder/pages.py
+++ b/endivepick/forwarder/pages.py
@@ -80,7 +80,7 @@
                 return self._peers.answer(path, query)
             case peers.NEWS_PATH:
                 zone = self._zone()
-                return Response(404) if zone is None else zone.feeder.answer(query)
+                return Response(404) if zone is None else zone.feeder.answer_poll(query)
             case peers.SEEN_PATH:
                 zone = self._zone()
                 return (
--- a/endivepick/forwarder/peers.py
+++ b/endivepick/forwarder/peers.py
@@ -159,7 +159,7 @@
     ) -> None:
         self._name = settings.name
         self._mechanisms = settings.mechanisms
-        self._own_address = settings.reached_at
+        self._own_address = settings.advertised_address
         self._core = core
         self._feeds = feeds
         self._apply_snapshot = apply_snapshot
@@ -229,7 +229,7 @@
 
     @property
     def _arriving(self) -> bool:
-        return any(feed.arriving(INITIAL_STORE_WAIT_S) for feed in self._feeds)
+        return any(feed.is_receiving_list(INITIAL_STORE_WAIT_S) for feed in self._feeds)
 
     @property
     def _store_lost(self) -> bool:
--- a/endivepick/forwarder/run.py
+++ b/endivepick/forwarder/run.py
@@ -55,7 +55,7 @@
     gevent.signal_handler(signal.SIGTERM, stop_wanted.set)
     gevent.signal_handler(signal.SIGINT, stop_wanted.set)
     with forwarder.serving(early) as datagrams:
-        decisions.started(datagrams.address)
+        decisions.log_start(datagrams.address)
         reload = SettingsReload(path, load, settings, log)
         gevent.signal_handler(signal.SIGHUP, reload.read, "signal")
         watching = spawn_supervised("settings", reload.watch_file, decisions)
@@ -63,5 +63,5 @@
         forwarder.stop()
         gevent.sleep(forwarder.forwards_for_s)
         watching.kill()
-    decisions.stopped(len(forwarder.core.flows))
+    decisions.log_stop_end(len(forwarder.core.flows))
     return 0
--- a/endivepick/forwarder/settings.py
+++ b/endivepick/forwarder/settings.py
@@ -103,7 +103,7 @@
     mechanisms: Mechanisms = Mechanisms()
 
     @property
-    def reached_at(self) -> str:
+    def advertised_address(self) -> str:
         """Address at which peers reach this instance."""
         return self.peer_reach_address or self.peer_address
 
--- a/endivepick/forwarder/tasks.py
+++ b/endivepick/forwarder/tasks.py
@@ -37,7 +37,7 @@
                 work()
                 return
             except Exception as error:
-                decisions.task_failed(name, error)
+                decisions.log_task_error(name, error)
                 gevent.sleep(RESTART_AFTER_S)
 
     return gevent.spawn(run)
--- a/endivepick/forwarder/tests/empty_store.py
+++ b/endivepick/forwarder/tests/empty_store.py
@@ -1,4 +1,4 @@
-"""Dialect of a store that has nothing; its paths say which feed asks for what."""
+"""Dialect of an empty store; its paths name the kind of the feed."""
 
 from endivepick.forwarder.ports import ChangeBatch, ListPage
 
--- a/endivepick/forwarder/tests/test_breaker.py
+++ b/endivepick/forwarder/tests/test_breaker.py
@@ -19,7 +19,7 @@
 
 
 class TestCircuitBreaker(unittest.TestCase):
-    def test_another_tries_once_the_first_has_stopped(self):
+    def test_another_feed_retries_after_the_first_stopped(self):
         breaker = CircuitBreaker()
         self.assertTrue(breaker.record_failure("a"))
         self.assertFalse(breaker.record_failure("b"))
@@ -31,11 +31,11 @@
         waiting.get(timeout=TIMEOUT_S)
         self.assertTrue(breaker.record_failure("b"))
 
-    def test_without_it_each_tries(self):
+    def test_each_feed_retries_when_disabled(self):
         breaker = CircuitBreaker(enabled=False)
         self.assertEqual([breaker.record_failure(feed) for feed in "aba"], [True] * 3)
 
-    def test_an_answer_lets_all_call(self):
+    def test_success_releases_waiting_feeds(self):
         breaker = CircuitBreaker()
         breaker.record_failure("a")
         waiting = gevent.spawn(breaker.wait)
@@ -45,7 +45,7 @@
 
 
 class TestOutage(unittest.TestCase):
-    """The store refuses each call at once, as long as it is told to."""
+    """The store refuses each call at once while `refusing` is set."""
 
     def setUp(self):
         self.asked = []
@@ -84,7 +84,7 @@
             while not condition():
                 gevent.sleep(0.001)
 
-    def test_one_feed_tries_and_both_go_on(self):
+    def test_one_feed_retries_and_both_recover(self):
         self.wait(lambda: len(self.asked) >= 12)
         counts = sorted(self.asked.count(kind.value) for kind in FeedKind)
         self.assertEqual(counts[0], 1)
@@ -92,7 +92,7 @@
         self.refusing = False
         self.wait(lambda: not any(feed.lost for feed in self.feeds.values()))
 
-    def test_when_the_one_that_tries_is_stopped_the_other_goes_on(self):
+    def test_other_feed_retries_when_the_retrying_one_is_suspended(self):
         self.wait(lambda: len(self.asked) >= 6)
         trying = max(FeedKind, key=lambda kind: self.asked.count(kind.value))
         (other,) = set(FeedKind) - {trying}
@@ -113,7 +113,7 @@
 
 
 class TestFailureWhileStopped(unittest.TestCase):
-    """A call fails after its feed was told to stop, and before its task has ended."""
+    """A call fails after the request to stop its feed and before its task has ended."""
 
     def setUp(self):
         self.breaker = CircuitBreaker()
@@ -136,13 +136,13 @@
                 gevent.sleep(0)
         gevent.sleep(0)
 
-    def test_a_suspended_feed_does_not_stay_the_one_that_tries(self):
+    def test_suspended_feed_is_not_selected_to_retry(self):
         self.dialect.refuse.set()
         self.feed.suspend()
         self.wait_lost()
         self.assertTrue(self.breaker.record_failure(FeedKind.CONFIGURATION))
 
-    def test_a_feed_that_lists_again_does_not_wait_for_its_own_ended_task(self):
+    def test_resumed_feed_does_not_wait_for_its_former_task(self):
         self.dialect.refuse.set()
         self.feed.resume(0)
         self.wait_lost()
--- a/endivepick/forwarder/tests/test_datagrams.py
+++ b/endivepick/forwarder/tests/test_datagrams.py
@@ -4,7 +4,7 @@
 
 
 class TestDatagramSocket(unittest.TestCase):
-    def test_it_says_whether_the_kernel_took_a_packet(self):
+    def test_send_returns_whether_the_kernel_accepted_the_packet(self):
         nothing = (lambda *_: None, self.fail, lambda *_: None, lambda: 0.0)
         with datagram_socket("127.0.0.1:0", *nothing) as datagrams:
             host, port = datagrams.address.split(":")
--- a/endivepick/forwarder/tests/test_decision_log.py
+++ b/endivepick/forwarder/tests/test_decision_log.py
@@ -13,7 +13,7 @@
         reader = Reader()
         log = BoundedLog("a", reader.write)
         reason = "6.0 failed, 0.0 poor and 0.0 late of 6.0 here"
-        DecisionLog(log, ForwarderMetrics()).fault_confirmed(
+        DecisionLog(log, ForwarderMetrics()).log_fault_confirmed(
             FaultConfirmed(
                 "i-3", "notes", ConfirmedFault.FAILING, reason, told_before_s
             )
@@ -22,7 +22,7 @@
         (line,) = reader.events
         return line
 
-    def test_the_line_names_the_fault_and_what_it_rests_on(self):
+    def test_line_contains_fault_and_reason(self):
         line = self.line(0.25)
         self.assertEqual(line["event"], "fault_confirmed")
         self.assertEqual(line["message"], "target: i-3 is failing")
@@ -30,7 +30,7 @@
         self.assertIn("6.0 failed", line["reason"])
         self.assertEqual(line["told_before_s"], 0.25)
 
-    def test_without_a_word_of_the_zone_its_age_is_none(self):
+    def test_age_is_none_without_a_zone_report(self):
         self.assertIsNone(self.line(None)["told_before_s"])
 
 
--- a/endivepick/forwarder/tests/test_early.py
+++ b/endivepick/forwarder/tests/test_early.py
@@ -20,7 +20,7 @@
         path.write_text(text)
         return str(path)
 
-    def test_packets_that_come_before_the_program_is_loaded_are_kept(self):
+    def test_packets_received_before_loading_are_kept(self):
         early = bind_early(self.settings('// a\n{"data_address": "127.0.0.1:0"}'))
         host, port = early.getsockname()
         received = []
@@ -37,19 +37,19 @@
                 received += list(datagrams.read_batch())
         self.assertEqual(received, [b"early"])
 
-    def test_a_socket_of_another_address_is_not_used(self):
+    def test_early_socket_with_another_address_is_not_used(self):
         early = bind_early(self.settings('{"data_address": "127.0.0.1:0"}'))
         nothing = (lambda *_: None, self.fail, lambda *_: None, lambda: 0.0)
         with datagram_socket("127.0.0.2:0", *nothing, early) as datagrams:
             self.assertTrue(datagrams.address.startswith("127.0.0.2:"))
         self.assertEqual(early.fileno(), -1)
 
-    def test_bad_settings_are_left_to_the_check(self):
+    def test_invalid_settings_are_not_reported_early(self):
         for text in ("", '{"data_address": 5}', '{"data_address": "x:y"}', "{"):
             self.assertIsNone(bind_early(self.settings(text)))
         self.assertIsNone(bind_early("/nowhere"))
 
-    def test_nothing_heavy_is_loaded_with_it(self):
+    def test_module_imports_no_large_libraries(self):
         code = "import endivepick.forwarder.early, sys; print(*sys.modules)"
         output = subprocess.run(
             [sys.executable, "-S", "-c", code], capture_output=True, text=True
@@ -82,18 +82,19 @@
         return subprocess.run(command, capture_output=True, text=True, timeout=60)
 
     def test_a_stop_before_all_is_loaded_is_a_planned_one(self):
-        # Nothing is raised into what is being loaded: msgspec's own loading ends by
-        # SIGSEGV on an exception (four of 960 stops between 0.03 and 0.35 s).
+        # The handler must not raise an exception into an import in progress: the import
+        # of msgspec crashes with SIGSEGV on an exception (4 of 960 stops between 0.03
+        # and 0.35 s).
         ended = self.run_signalled("SIGTERM")
         self.assertEqual((ended.returncode, ended.stdout), (0, ""))
 
-    def test_word_of_new_settings_before_all_is_loaded_ends_nothing(self):
+    def test_sighup_before_loading_is_ignored(self):
         ended = self.run_signalled("SIGHUP")
         self.assertEqual((ended.returncode, ended.stdout), (7, "goes on\n"))
 
 
 class TestAskEarly(unittest.TestCase):
-    """The store is asked before the program is loaded, if it is there."""
+    """The store is asked for its lists before the program is loaded."""
 
     ANSWER = b"HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\n"
 
@@ -113,7 +114,7 @@
         connection.sendall(self.ANSWER + body)
         return connection, request.split()[1]
 
-    def test_the_answers_that_are_under_way_are_taken(self):
+    def test_pending_answers_are_read(self):
         begun = connect_early(self.path, 2)
         asked = ask_early(begun, {"a": "/a", "b": "/b"})
         connection, path = self.accept(b"aaaa")
@@ -121,24 +122,24 @@
         self.assertEqual(self.accept(b"bbbb")[1], b"/b")
         with store_connection(self.address, asked["a"]) as store:
             self.assertEqual(store.get("/a", 5.0), b"aaaa")
-            # The next call asks for itself, on the same connection.
+            # The next call sends its own request on the same connection.
             connection.sendall(self.ANSWER + b"next")
             self.assertEqual(store.get("/c", 5.0), b"next")
         self.assertEqual(connection.recv(4096).split()[1], b"/c")
         with store_connection(self.address, asked["b"]) as store:
             self.assertEqual(store.get("/b", 5.0), b"bbbb")
 
-    def test_a_store_that_refuses_is_left_to_the_program(self):
+    def test_refused_connection_is_dropped(self):
         self.listener.close()
         begun = connect_early(self.path, 2)
         self.assertEqual(ask_early(begun, {"a": "/a", "b": "/b"}), {})
 
-    def test_bad_settings_are_left_to_the_check(self):
+    def test_invalid_settings_are_not_reported_early(self):
         Path(self.path).write_text("{")
         self.assertEqual(connect_early(self.path, 2), [])
         self.assertEqual(connect_early("/nowhere", 2), [])
 
-    def test_an_answer_that_is_lost_is_an_error_like_any_other(self):
+    def test_lost_early_answer_raises(self):
         asked = ask_early(connect_early(self.path, 1), {"a": "/a"})
         connection, _ = self.listener.accept()
         connection.close()
--- a/endivepick/forwarder/tests/test_feed.py
+++ b/endivepick/forwarder/tests/test_feed.py
@@ -18,10 +18,10 @@
 
 
 class TestArriving(unittest.TestCase):
-    """A list of the store that comes slowly is told from a store that is silent."""
+    """A slowly arriving list is distinguished from a store that does not answer."""
 
     def feed(self, *pieces):
-        """Follow a store that sends pieces of a list, then nothing."""
+        """Follow a store that sends pieces of a list and then stalls."""
 
         def serve(connection, _address):
             connection.recv(4096)
@@ -40,7 +40,7 @@
         feed = StoreFeed(
             settings, FeedKind.REGISTRY, Paths(), print, decisions, CircuitBreaker()
         )
-        self.assertFalse(feed.arriving(TIMEOUT_S))
+        self.assertFalse(feed.is_receiving_list(TIMEOUT_S))
         feed.start()
         self.addCleanup(feed.stop)
         return feed
@@ -50,15 +50,15 @@
             while not condition():
                 gevent.sleep(0.01)
 
-    def test_a_list_that_comes_in_pieces(self):
+    def test_list_arriving_in_pieces(self):
         feed = self.feed(b"x", b"y")
-        self.wait(lambda: feed.arriving(TIMEOUT_S))
+        self.wait(lambda: feed.is_receiving_list(TIMEOUT_S))
         self.assertFalse(feed.lost)
 
-    def test_one_that_has_stopped(self):
+    def test_list_that_stalls(self):
         feed = self.feed()
-        self.wait(lambda: feed.arriving(TIMEOUT_S))
-        self.wait(lambda: not feed.arriving(PIECE_S))
+        self.wait(lambda: feed.is_receiving_list(TIMEOUT_S))
+        self.wait(lambda: not feed.is_receiving_list(PIECE_S))
 
 
 class Paths:
@@ -66,8 +66,8 @@
         return "/"
 
 
-class TestHoldWatches(unittest.TestCase):
-    """The store answers lists at once, and holds watches."""
+class TestSetWatchWait(unittest.TestCase):
+    """The store answers lists at once and holds watches."""
 
     def setUp(self):
         self.asked = []
@@ -104,23 +104,23 @@
             while path not in self.asked:
                 gevent.sleep(0.001)
 
-    def test_a_longer_watch_under_way_is_given_up(self):
-        self.feed.hold_watches(1.0)
+    def test_longer_watch_in_progress_is_cancelled(self):
+        self.feed.set_watch_wait(1.0)
         self.wait_asked("/configuration?wait_s=1.0")
         self.assertFalse(self.feed.lost)
 
-    def test_a_shorter_one_is_left_alone(self):
-        self.feed.hold_watches(1.0)
+    def test_shorter_watch_in_progress_is_kept(self):
+        self.feed.set_watch_wait(1.0)
         self.wait_asked("/configuration?wait_s=1.0")
         before = list(self.asked)
-        self.feed.hold_watches()
-        self.feed.hold_watches(2.0)
+        self.feed.set_watch_wait()
+        self.feed.set_watch_wait(2.0)
         gevent.sleep(0)
         self.assertEqual(self.asked, before)
 
 
 class TimePasses(Dialect):
-    """Each watch ends without a change, at a later revision of the store."""
+    """Each watch ends without changes, at a later revision of the store."""
 
     def __init__(self):
         self.revision = 1
@@ -131,7 +131,7 @@
 
 
 class TestWatchesWithoutChanges(unittest.TestCase):
-    def test_they_tell_up_to_when_nothing_changed(self):
+    def test_empty_watches_deliver_the_new_revision(self):
         def serve(connection, _address):
             while connection.recv(4096):
                 connection.sendall(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
--- a/endivepick/forwarder/tests/test_feeders.py
+++ b/endivepick/forwarder/tests/test_feeders.py
@@ -26,38 +26,38 @@
     return choose_step(OWN, PLACES, FEWEST, claims, lost, full, lambda: share)
 
 
-class TestNextStep(unittest.TestCase):
-    def test_a_free_place_is_taken(self):
+class TestChooseStep(unittest.TestCase):
+    def test_free_claim_is_written(self):
         taken = step(OTHERS[:1])
         self.assertEqual(taken, WriteClaim(FeederClaim("a.1", OWN)))
 
-    def test_places_of_other_zones_are_not_looked_at(self):
+    def test_claims_of_other_zones_are_ignored(self):
         self.assertEqual(step(OTHERS[2:]).claim.name, "a.0")
 
-    def test_the_holder_of_a_claim_feeds(self):
+    def test_holder_of_a_claim_feeds(self):
         self.assertEqual(step([FeederClaim("a.1", OWN, 3), OTHERS[0]]), Feed())
 
-    def test_others_follow_one_of_the_feeders(self):
+    def test_other_instances_follow_a_feeder(self):
         followed = {step(OTHERS, share=share) for share in (0.0, 0.4, 0.6, 0.999)}
         self.assertEqual(followed, {FollowFeeder(claim) for claim in OTHERS[:2]})
 
-    def test_the_place_of_a_lost_feeder_is_taken_under_its_revision(self):
+    def test_claim_of_a_lost_feeder_is_replaced_at_its_revision(self):
         taken = step(OTHERS, lost=["10.0.0.3:1", "10.0.0.4:1"], share=0.99)
         self.assertEqual(taken, WriteClaim(FeederClaim("a.1", OWN, 6)))
 
-    def test_the_place_of_a_claim_that_names_nobody_is_taken_under_its_revision(self):
+    def test_claim_without_holder_is_replaced_at_its_revision(self):
         taken = step([FeederClaim("a.0", "", 5), OTHERS[1]])
         self.assertEqual(taken, WriteClaim(FeederClaim("a.0", OWN, 5)))
 
-    def test_a_claim_of_which_nothing_can_be_read_is_left_alone(self):
+    def test_unreadable_claim_is_not_replaced(self):
         followed = step([FeederClaim("a.0", "", 0), OTHERS[1]])
         self.assertEqual(followed, FollowFeeder(OTHERS[1]))
 
-    def test_places_beyond_the_fewest_stay_free_while_feeders_have_room(self):
+    def test_no_further_claim_while_feeders_have_capacity(self):
         followed = step(OTHERS, full=["10.0.0.2:1"])
         self.assertEqual(followed, FollowFeeder(OTHERS[1]))
 
-    def test_some_of_those_who_find_all_full_become_feeders(self):
+    def test_some_instances_become_feeders_when_all_are_full(self):
         full = ["10.0.0.2:1", "10.0.0.3:1"]
         taken = step(OTHERS, full=full, share=CLAIM_PROBABILITY - 0.01)
         self.assertEqual(taken, WriteClaim(FeederClaim("a.2", OWN)))
@@ -65,19 +65,19 @@
             step(OTHERS, full=full, share=CLAIM_PROBABILITY), FollowStore()
         )
 
-    def test_without_a_free_place_the_store_is_followed(self):
+    def test_store_is_followed_without_a_free_claim(self):
         claims = [*OTHERS, FeederClaim("a.2", "10.0.0.5:1", 8)]
         full = [claim.holder for claim in claims]
         self.assertEqual(step(claims, full=full), FollowStore())
 
 
 class TestZonesOfAllSizes(unittest.TestCase):
-    """Instances of a zone start at once; each looks at the claims once a round."""
+    """Instances of a zone start at once; each reads the claims once per round."""
 
     FED_MOST = 24
 
     def settle(self, number, rounds=12, seed=5):
-        """Return who is fed by whom, the claims, and how many were written in vain."""
+        """Return the feeder of each instance, the claims, and the failed writes."""
         random_share = random.Random(seed).random
         claims, vain, feeder_of = {}, 0, {}
         full = {n: set() for n in range(number)}
@@ -102,7 +102,7 @@
                             full[n].add(claim.holder)
         return feeder_of, claims, vain
 
-    def test_nearly_all_are_fed_by_few(self):
+    def test_nearly_all_instances_are_fed_by_few_feeders(self):
         for number, most_feeders in ((1, 1), (3, 1), (22, 1), (60, 6), (571, 60)):
             feeder_of, claims, vain = self.settle(number)
             with self.subTest(number=number, feeders=len(claims), vain=vain):
@@ -110,7 +110,7 @@
                 fed = len(feeder_of) + len(claims)
                 self.assertGreaterEqual(fed, 0.9 * number)
 
-    def test_after_the_first_round_few_claims_are_in_vain(self):
+    def test_few_writes_fail_after_the_first_round(self):
         _, claims, vain = self.settle(571)
         self.assertLessEqual(vain - 570, len(claims))
 
--- a/endivepick/forwarder/tests/test_freshness.py
+++ b/endivepick/forwarder/tests/test_freshness.py
@@ -16,7 +16,7 @@
 
 
 class TestFreshness(unittest.TestCase):
-    """The waits of all installations add up to less than what each of them asks for."""
+    """For all settings, the sum of the waits stays below the required time."""
 
     def cases(self):
         for in_force_ms in IN_FORCE_MS:
@@ -29,7 +29,7 @@
                 with self.subTest(in_force_ms=in_force_ms, settles_ms=settles_ms):
                     yield settings, compute_freshness(settings), in_force_ms / 1000
 
-    def test_a_watch_lost_in_an_outage_is_given_up_before_changes_have_to_be_known(
+    def test_lost_watch_times_out_before_changes_must_be_known(
         self,
     ):
         for settings, limits, in_force_s in self.cases():
@@ -38,18 +38,18 @@
             allowed_s = settings.store_settles_ms / 1000 + in_force_s
             self.assertLess(known_s, allowed_s)
 
-    def test_a_feeder_without_the_store_is_left_in_time_for_a_list(self):
+    def test_stale_feeder_is_left_in_time_for_a_list(self):
         for _, limits, in_force_s in self.cases():
             left_s = limits.feeder_silent_s + POLL_WAIT_S
             self.assertLessEqual(left_s + CHANGE_READ_S, in_force_s + 1e-9)
 
-    def test_a_feeder_is_heard_of_before_it_is_left(self):
+    def test_feeding_wait_ends_before_the_feeder_is_stale(self):
         for _, limits, in_force_s in self.cases():
             self.assertLessEqual(limits.feeding_wait_s, limits.watch_wait_s)
             if in_force_s >= 3.0:
                 self.assertLess(limits.feeding_wait_s, limits.feeder_silent_s)
 
-    def test_a_feeder_watches_longer_where_changes_have_more_time(self):
+    def test_feeding_wait_grows_with_the_time_for_changes(self):
         times_s = {
             in_force_ms: compute_freshness(
                 decode(change_in_force_ms=in_force_ms, drain_in_force_ms=in_force_ms)
@@ -58,11 +58,11 @@
         }
         self.assertEqual(times_s, {3000: 1.0, 5000: 1.5, 6000: 2.1, 20000: 2.5})
 
-    def test_a_change_during_the_pause_for_others_is_known_in_time(self):
+    def test_change_during_gathering_is_known_in_time(self):
         for _, limits, in_force_s in self.cases():
             self.assertLess(limits.gather_s + CHANGE_READ_S, in_force_s)
 
-    def test_the_shorter_of_two_times_counts(self):
+    def test_shorter_of_two_times_applies(self):
         short = compute_freshness(
             decode(change_in_force_ms=9000, drain_in_force_ms=2000)
         )
@@ -73,7 +73,7 @@
         self.assertLess(short.watch_wait_s, long.watch_wait_s)
         self.assertEqual(long.watch_wait_s, WATCH_BOUNDS_S[1])
 
-    def test_what_the_settings_say_goes_before(self):
+    def test_explicit_settings_take_precedence(self):
         limits = compute_freshness(decode(watch_wait_s=1.5, gather_s=0.0))
         self.assertEqual((limits.watch_wait_s, limits.gather_s), (1.5, 0.0))
 
@@ -83,7 +83,7 @@
         log = BoundedLog("a", len)
         return Forwarder(decode(**fields), None, None, log).forwards_for_s
 
-    def test_it_ends_before_it_would_be_killed(self):
+    def test_stop_ends_before_the_kill(self):
         self.assertEqual(self.forwards_for_s(stop_s=2.5, stop_grace_s=6.0), 2.5)
         short_s = self.forwards_for_s(stop_s=2.5, stop_grace_s=2.0)
         self.assertEqual(short_s, 2.0 - STOP_MARGIN_S)
--- a/endivepick/forwarder/tests/test_http.py
+++ b/endivepick/forwarder/tests/test_http.py
@@ -8,7 +8,7 @@
 
 class TestHttpServer(unittest.TestCase):
     def ask(self, *texts):
-        """Send texts over one connection; returns what came until it was closed."""
+        """Send texts over one connection; return all data received until it closes."""
         answers = {"/ok": Response(200, b"fine"), "/no": Response(503)}
         server = http_server("127.0.0.1:0", lambda path, _: answers.get(path, NONE))
         with server as address, socket.create_connection(parse_address(address)) as c:
@@ -31,7 +31,7 @@
         last = "GET /else HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n"
         self.assertIn("404 Not Found", self.ask(last))
 
-    def test_noise_ends_the_connection(self):
+    def test_invalid_request_closes_the_connection(self):
         self.assertEqual(self.ask("\x01\x02\x03 not HTTP\r\n\r\n"), "")
 
 
--- a/endivepick/forwarder/tests/test_logs.py
+++ b/endivepick/forwarder/tests/test_logs.py
@@ -6,7 +6,7 @@
 
 
 class Reader:
-    """Takes lines, or none while it is blocked."""
+    """Accepts lines, or none while it is blocked."""
 
     def __init__(self):
         self.data = b""
@@ -38,7 +38,7 @@
             self.log.event("flow", name, "placed", index=index)
         self.log.flush()
 
-    def test_a_line_says_who_what_and_when(self):
+    def test_line_contains_process_event_and_time(self):
         self.write(1)
         (event,) = self.reader.events
         expected = {
@@ -52,7 +52,7 @@
         }
         self.assertEqual(event, expected)
 
-    def test_lines_over_the_budget_are_counted_and_said(self):
+    def test_lines_above_the_rate_limit_are_counted_and_reported(self):
         self.write(LINES_PER_S + 7)
         self.assertEqual(len(self.reader.events), LINES_PER_S)
         self.assertEqual(self.log.lines_dropped, 7)
@@ -62,12 +62,12 @@
         self.assertEqual(left_out["event"], "lines_left_out")
         self.assertEqual(left_out["lines"], {"flow_placed": 7})
 
-    def test_a_flood_of_one_event_does_not_hide_another(self):
+    def test_rate_limit_is_applied_per_event(self):
         self.write(LINES_PER_S * 10)
         self.write(1, "store_lost")
         self.assertEqual(self.reader.events[-1]["event"], "store_lost")
 
-    def test_a_reader_that_does_not_read_never_holds_up_the_writer(self):
+    def test_stalled_reader_never_blocks_the_writer(self):
         self.reader.blocked = True
         for second in range(200):
             self.now_s = float(second)
@@ -78,7 +78,7 @@
         self.assertLessEqual(len(self.reader.data), BUFFER_BYTES)
         self.assertTrue(all(e["event"] == "flow_placed" for e in self.reader.events))
 
-    def test_a_reader_that_takes_half_a_line_gets_the_other_half_next(self):
+    def test_partially_written_line_is_completed(self):
         self.reader.limit = 10
         self.write(1)
         self.reader.limit = None
--- a/endivepick/forwarder/tests/test_metrics.py
+++ b/endivepick/forwarder/tests/test_metrics.py
@@ -20,7 +20,7 @@
         ):
             self.assertIn(line + "\n", page)
 
-    def test_packets_are_counted_once_whenever_they_are_folded(self):
+    def test_packets_are_counted_once_across_folds(self):
         metrics = ForwarderMetrics()
         for _ in range(3):
             metrics.forwarded("notes")
--- a/endivepick/forwarder/tests/test_news.py
+++ b/endivepick/forwarder/tests/test_news.py
@@ -54,10 +54,10 @@
     def written(self, event):
         return b"".join(self.lines).count(f'"event":"{event}"'.encode())
 
-    def test_a_list_with_an_unreadable_entry_keeps_the_others(self):
+    def test_unreadable_entry_of_a_list_keeps_the_others(self):
         odd = UnreadableItem("i-2", "slots", 15)
         items = (self.targets[0], odd, self.targets[2], UnreadableItem("", "?", 15))
-        self.intake.on_feed(FeedList(FeedKind.REGISTRY, items, 20, 0.0))
+        self.intake.on_store_update(FeedList(FeedKind.REGISTRY, items, 20, 0.0))
         ready, unreadable = TargetState.READY, TargetState.UNREADABLE
         self.assertEqual(self.states(), [ready, unreadable, ready])
         self.assertEqual(self.written("item_unreadable"), 2)
@@ -67,18 +67,18 @@
 
     def test_a_change_that_makes_an_entry_unreadable(self):
         odd = UnreadableItem("i-2", "slots", 15)
-        self.intake.on_feed(FeedChanges(FeedKind.REGISTRY, (odd,), 20))
+        self.intake.on_store_update(FeedChanges(FeedKind.REGISTRY, (odd,), 20))
         self.assertIs(self.state("i-2"), TargetState.UNREADABLE)
         back = replace(self.targets[1], revision=25)
-        self.intake.on_feed(FeedChanges(FeedKind.REGISTRY, (back,), 25))
+        self.intake.on_store_update(FeedChanges(FeedKind.REGISTRY, (back,), 25))
         self.assertIs(self.state("i-2"), TargetState.READY)
 
     def test_an_unreadable_configuration_changes_no_target(self):
         odd = UnreadableItem("i-2", "routes", 15)
-        self.intake.on_feed(FeedChanges(FeedKind.CONFIGURATION, (odd,), 20))
+        self.intake.on_store_update(FeedChanges(FeedKind.CONFIGURATION, (odd,), 20))
         self.assertIs(self.state("i-2"), TargetState.READY)
 
-    def test_what_a_feeder_of_another_build_passes_on_is_checked(self):
+    def test_news_from_a_feeder_are_validated(self):
         odd = replace(self.targets[1], slots=0, revision=30)
         good = make_target("i-9", revision=31)
         gone = RemovedTarget("i-3", 32, unreadable=True)
@@ -88,7 +88,7 @@
         self.assertEqual(self.states()[1:], [unreadable, unreadable])
         self.assertIs(self.state("i-9"), TargetState.READY)
 
-    def test_what_a_peer_of_another_build_tells_is_checked(self):
+    def test_snapshot_of_a_peer_is_validated(self):
         odd = replace(self.targets[1], host="nowhere", revision=30)
         snapshot = PeerSnapshot(
             "b", None, [self.targets[0], odd], 40, 0.0, False, [], ["i-3"]
--- a/endivepick/forwarder/tests/test_peers.py
+++ b/endivepick/forwarder/tests/test_peers.py
@@ -36,7 +36,7 @@
 
 
 class Feed:
-    """A feed that lost the store just now."""
+    """A feed that has just lost the store."""
 
     lost = True
 
@@ -55,17 +55,17 @@
             feed._pending_hints.join(timeout=TIMEOUT_S)
         return told
 
-    def test_who_finds_a_target_dead_tells_all_that_it_may(self):
+    def test_detecting_instance_hints_all_peers_up_to_the_limit(self):
         self.assertEqual(len(self.told(True, peers=8)), 8)
         self.assertEqual(len(self.told(True, peers=40)), MAX_PENDING_HINTS)
 
-    def test_who_was_told_passes_it_on_to_few(self):
+    def test_received_hint_is_forwarded_to_few_peers(self):
         told = self.told(False, peers=40)
         self.assertEqual(len(set(told)), HINT_FAN_OUT)
         self.assertEqual(len(self.told(False, peers=1)), 1)
 
-    def test_a_word_that_few_pass_on_reaches_nearly_all(self):
-        """A fleet of hundreds, in which each knows its last peers only."""
+    def test_forwarded_hint_reaches_nearly_all_instances(self):
+        """Each of 200 instances knows only its most recent peers."""
         source = random.Random(1)
         fleet = range(200)
         known = {one: source.sample(fleet, MAX_PEERS) for one in fleet}
@@ -81,22 +81,22 @@
         self.assertLess(messages, (HINT_FAN_OUT + 1) * len(fleet))
 
 
-class TestPeerBook(unittest.TestCase):
-    def test_peers_that_answered_last_are_asked_first(self):
+class TestPeerDirectory(unittest.TestCase):
+    def test_most_recently_active_peers_come_first(self):
         directory = PeerDirectory(OWN, ["b", "c", OWN])
         directory.mark_alive("b")
         directory.mark_failed("b")
         directory.mark_alive("d")
         self.assertEqual(directory.list_recent(3), ["d", "c", "b"])
 
-    def test_what_others_tell_comes_after_what_was_heard(self):
+    def test_candidates_come_after_active_peers(self):
         directory = PeerDirectory(OWN, [])
         directory.mark_alive("b")
         directory.add_candidate("c")
         directory.add_candidate(OWN)
         self.assertEqual(directory.list_recent(5), ["b", "c"])
 
-    def test_it_is_bounded_and_forgets_the_oldest(self):
+    def test_size_is_bounded_and_oldest_peers_are_dropped(self):
         directory = PeerDirectory(OWN, [])
         for number in range(MAX_PEERS * 3):
             directory.mark_alive(f"p{number}")
@@ -107,13 +107,13 @@
 
 
 class TestNeighbours(unittest.TestCase):
-    def test_one_that_asks_on_is_not_greeted(self):
+    def test_active_neighbour_is_not_lost(self):
         neighbours = Neighbours()
         for tenths in range(0, 100, 7):
             neighbours.mark_alive("a", tenths / 10)
             self.assertEqual(neighbours.find_lost(tenths / 10 + 1.0), [])
 
-    def test_a_lost_one_is_greeted_until_it_answers(self):
+    def test_lost_neighbour_is_returned_until_it_answers(self):
         neighbours = Neighbours()
         neighbours.mark_alive("a", 1.0)
         neighbours.mark_alive("b", 9.0)
@@ -123,16 +123,16 @@
         self.assertEqual(neighbours.find_lost(10.5), [])
         neighbours.mark_found("c")
 
-    def test_one_that_never_returns_is_forgotten(self):
+    def test_neighbour_that_never_returns_is_removed(self):
         neighbours = Neighbours()
         neighbours.mark_alive("a", 1.0)
         self.assertEqual(neighbours.find_lost(20.0), ["a"])
         self.assertEqual(neighbours.find_lost(32.0), [])
 
 
-class TestGreetings(unittest.TestCase):
+class TestHellos(unittest.TestCase):
     def greeted(self, body):
-        """Greet a lost neighbour that answers so; returns who is still lost."""
+        """Send a hello to a lost neighbour; return the exchange and the lost ones."""
         feed = make_feed(make_core())
         answer = Response(200, body, "application/json")
         with http_server("127.0.0.1:0", lambda *_: answer) as address:
@@ -142,38 +142,38 @@
                 feed._pending_hellos.join()
         return feed, feed.neighbours.find_lost(steady_now_s())
 
-    def test_peers_of_one_that_was_found_are_learnt(self):
+    def test_peers_of_a_found_neighbour_are_added(self):
         feed, lost = self.greeted(b'["10.0.0.7:1"]')
         self.assertEqual(lost, [])
         self.assertIn("10.0.0.7:1", feed.directory.list_recent(9))
 
-    def test_an_answer_of_another_build_is_one_all_the_same(self):
+    def test_answer_of_another_build_shows_a_live_peer(self):
         _, lost = self.greeted(b'{"peers": 3}')
         self.assertEqual(lost, [])
 
 
-class TestAsksPeers(unittest.TestCase):
-    def test_hundreds_that_start_at_once_leave_their_peers_alone(self):
-        # Lists of 480 kB arrive for seconds on links of 2 Mbit/s.
+class TestShouldQueryPeers(unittest.TestCase):
+    def test_no_queries_while_a_list_arrives(self):
+        # Lists of 480 kB take seconds on links of 2 Mbit/s.
         self.assertFalse(
             should_query_peers(ready=False, store_lost=False, arriving=True)
         )
 
-    def test_a_store_that_is_silent_or_refuses(self):
+    def test_queries_when_the_store_is_silent_or_refuses(self):
         self.assertTrue(
             should_query_peers(ready=False, store_lost=False, arriving=False)
         )
         self.assertTrue(should_query_peers(ready=True, store_lost=True, arriving=False))
         self.assertTrue(should_query_peers(ready=False, store_lost=True, arriving=True))
 
-    def test_nothing_is_asked_while_all_is_known(self):
+    def test_no_queries_when_ready(self):
         self.assertFalse(
             should_query_peers(ready=True, store_lost=False, arriving=False)
         )
 
 
-class TestPeerFeed(unittest.TestCase):
-    def test_a_snapshot_holds_what_is_believed_and_at_which_revision(self):
+class TestPeerExchange(unittest.TestCase):
+    def test_snapshot_contains_valid_targets_and_revision(self):
         core = make_core([make_target(f"i-{n}", revision=n) for n in (1, 2)])
         core.on_target_removed("i-1", 20, 1.0)
         core.on_target_removed("i-2", 20, 1.0)
@@ -190,7 +190,7 @@
         self.assertGreaterEqual(snapshot.heard_before_s, 0.0)
         self.assertEqual(snapshot.peers, ["10.0.0.9:7000"])
 
-    def test_noise_is_no_peer(self):
+    def test_invalid_address_is_no_peer(self):
         feed = make_feed(make_core())
         for query in ("", "from=", "from=store:80", "from=1.2.3.4:x&a=b"):
             feed.answer(HELLO_PATH, query)
@@ -205,17 +205,17 @@
         self.assertIsNone(snapshot.targets)
         self.assertEqual(snapshot.registry_revision, 10)
 
-    def test_who_knows_nothing_says_so(self):
+    def test_instance_without_state_answers_unavailable(self):
         core = ForwardingCore(ForwardingSettings(zone="a"), lambda: 0.5)
         self.assertEqual(make_feed(core).answer(SNAPSHOT_PATH, "").status, 503)
 
-    def test_one_that_stops_does_not_answer_greetings(self):
+    def test_stopping_instance_refuses_hellos(self):
         feed = make_feed(make_core())
         feed.stopping = True
         self.assertEqual(feed.answer(HELLO_PATH, "from=10.0.0.3:1").status, 503)
         self.assertEqual(feed.answer(SNAPSHOT_PATH, "").status, 200)
 
-    def test_a_greeting_is_answered_with_peers(self):
+    def test_hello_is_answered_with_peers(self):
         feed = make_feed(make_core(), ["10.0.0.2:1"])
         body = feed.answer(HELLO_PATH, "from=10.0.0.3:1").body
         self.assertEqual(msgspec.json.decode(body), ["10.0.0.3:1", "10.0.0.2:1"])
--- a/endivepick/forwarder/tests/test_probes.py
+++ b/endivepick/forwarder/tests/test_probes.py
@@ -21,7 +21,7 @@
 
 
 class Dialect:
-    """Reads answers whose body is the time of start."""
+    """Decodes answers whose body is the start time of the target."""
 
     identity_header = b"x-instance-id"
 
@@ -58,33 +58,33 @@
         answer = (head + body).encode()
         return self.serve(lambda connection, _: connection.sendall(answer))
 
-    def test_a_target_that_answers_as_itself_lives(self):
+    def test_target_with_its_own_name_is_alive(self):
         self.assertIs(probe(self.answer_as("i-1")), ProbeOutcome.ALIVE)
 
-    def test_a_target_that_says_it_is_ill_lives(self):
+    def test_unhealthy_target_is_alive(self):
         port = self.answer_as("i-1", "503 Service Unavailable")
         self.assertIs(probe(port), ProbeOutcome.ALIVE)
 
-    def test_another_incarnation_at_the_address_replaced_it(self):
+    def test_other_name_at_the_address_is_a_replacement(self):
         self.assertIs(probe(self.answer_as("i-2")), ProbeOutcome.REPLACED)
 
-    def test_an_answer_shows_which_incarnation_gave_it(self):
+    def test_answer_contains_the_start_time(self):
         result = probe_result(self.answer_as("i-1", body="7"))
         self.assertEqual((result.probed_born_ms, result.shown_born_ms), (5, 7))
 
-    def test_an_answer_without_an_end_still_says_who_gave_it(self):
+    def test_incomplete_answer_identifies_the_target(self):
         result = probe_result(self.answer_as("i-2", body="7", length=9))
         self.assertIs(result.outcome, ProbeOutcome.REPLACED)
         result = probe_result(self.answer_as("i-1", body="7", length=9))
         self.assertEqual(result.shown_born_ms, 7)
 
-    def test_a_refused_connection_is_told_from_a_silent_one(self):
+    def test_refused_connection_is_distinguished_from_silence(self):
         with socket.socket() as holder:
             holder.bind(("127.0.0.1", 0))
             port = holder.getsockname()[1]
             self.assertIs(probe(port), ProbeOutcome.REFUSED)
 
-    def test_silence_needs_all_attempts(self):
+    def test_silence_requires_all_attempts(self):
         with patch.object(
             probes.socket, "create_connection", side_effect=TimeoutError
         ) as connect:
@@ -98,14 +98,14 @@
         with patch.object(probes.socket, "create_connection", side_effect=first_lost):
             self.assertIs(probe(port), ProbeOutcome.ALIVE)
 
-    def test_a_target_too_busy_to_answer_lives(self):
+    def test_target_too_busy_to_answer_is_alive(self):
         port = self.serve(lambda _connection, _: gevent.sleep(60))
         with patch.object(probes, "ANSWER_TIMEOUT_S", 0.01):
             self.assertIs(probe(port), ProbeOutcome.ALIVE)
 
 
 class TestComparedWithAnother(unittest.TestCase):
-    """A suspected target, and one of which callers have just acknowledged answers."""
+    """A suspected target is compared with one whose answers were just acknowledged."""
 
     SUSPECT, CONTROL = 7001, 7002
     settings = ForwardingSettings(
@@ -113,7 +113,7 @@
     )
 
     def probe(self, suspect, control):
-        """Return the outcome, and how long it took; each is a delay or an error."""
+        """Return outcome and duration; each target is given by a delay or an error."""
         behaviours = {self.SUSPECT: suspect, self.CONTROL: control}
 
         def connect(address):
@@ -140,36 +140,36 @@
             )
         return results[0].outcome, steady_now_s() - began_s
 
-    def test_one_that_is_silent_while_the_other_answers_is_found_out_soon(self):
+    def test_silent_target_is_detected_soon_when_the_other_answers(self):
         outcome, took_s = self.probe(suspect=60.0, control=0.0)
         self.assertIs(outcome, ProbeOutcome.SILENT)
         self.assertLess(took_s, 1.0)
 
-    def test_a_refusal_by_the_other_is_an_answer_as_well(self):
+    def test_refusal_by_the_other_counts_as_an_answer(self):
         outcome, took_s = self.probe(60.0, ConnectionRefusedError())
         self.assertIs(outcome, ProbeOutcome.SILENT)
         self.assertLess(took_s, 1.0)
 
-    def test_a_full_link_is_waited_for(self):
+    def test_saturated_link_extends_the_wait(self):
         for control in (0.6, 0.3):
             outcome, _ = self.probe(suspect=0.5, control=control)
             self.assertIs(outcome, ProbeOutcome.ALIVE)
 
-    def test_answers_that_came_while_the_process_stood_still_are_taken_in(self):
+    def test_answers_received_during_a_pause_are_read(self):
         stood_still = gevent.spawn_later(0.06, time.sleep, 0.3)
         outcome, _ = self.probe(suspect=0.08, control=0.07)
         stood_still.join()
         self.assertIs(outcome, ProbeOutcome.ALIVE)
 
-    def test_without_any_answer_the_whole_time_is_waited(self):
+    def test_full_timeout_without_any_answer(self):
         outcome, took_s = self.probe(60.0, 60.0)
         self.assertIs(outcome, ProbeOutcome.SILENT)
         self.assertGreater(took_s, 1.9)
 
-    def test_a_target_has_its_time_though_the_other_answers_at_once(self):
+    def test_target_has_its_minimum_wait_when_the_other_answers_at_once(self):
         outcome, _ = self.probe(suspect=0.06, control=0.0)
         self.assertIs(outcome, ProbeOutcome.ALIVE)
 
-    def test_a_refusal_by_the_target_is_told(self):
+    def test_refusal_by_the_target_is_delivered(self):
         outcome, _ = self.probe(ConnectionRefusedError(), 0.0)
         self.assertIs(outcome, ProbeOutcome.REFUSED)
--- a/endivepick/forwarder/tests/test_settings.py
+++ b/endivepick/forwarder/tests/test_settings.py
@@ -22,11 +22,11 @@
 
 
 class TestDecodeSettings(unittest.TestCase):
-    def test_comments_are_passed_over(self):
+    def test_comments_are_skipped(self):
         text = b"// Who\n" + json.dumps(GOOD, indent=1).encode() + b"\n  // the end"
         self.assertEqual(decode_settings(text).name, "front-1")
 
-    def test_comments_may_stand_anywhere_but_in_texts(self):
+    def test_comments_are_allowed_outside_strings(self):
         text = json.dumps(GOOD | {"ready_path": "//a /* b */", "seeds": []}, indent=1)
         text = text.replace(",\n", ', // "one"\n /* and\n two */').encode()
         settings = decode_settings(text)
@@ -38,7 +38,7 @@
             decode(**fields)
         return str(raised.exception)
 
-    def test_a_mechanism_is_switched_off_by_its_name(self):
+    def test_mechanism_is_disabled_by_its_name(self):
         used = decode(mechanisms={"hints": False}).mechanisms
         self.assertEqual((used.hints, used.trickle), (False, True))
         message = self.refused(mechanisms={"hint": False})
@@ -47,7 +47,7 @@
     def test_a_misspelt_key_is_named(self):
         self.assertIn("gather_ms", self.refused(gather_ms=4))
 
-    def test_a_wrong_address_is_named_with_its_remedy(self):
+    def test_invalid_address_is_named_with_remedy(self):
         message = self.refused(store_address="store:80")
         self.assertIn("store_address", message)
         self.assertIn("IPv4 number", message)
@@ -55,7 +55,7 @@
     def test_a_zone_that_is_not_listed_is_refused(self):
         self.assertIn("zones", self.refused(zone="cellar"))
 
-    def test_times_have_to_be_positive(self):
+    def test_times_must_be_positive(self):
         self.assertIn("stop_s", self.refused(stop_s=0))
 
     def test_a_file_that_is_missing_is_named(self):
@@ -75,6 +75,6 @@
         self.assertAlmostEqual(fast[1], 0.208)
         self.assertAlmostEqual(slow[1], 1.8)
 
-    def test_the_next_probe_waits_until_the_last_one_is_over(self):
+    def test_probe_gap_covers_all_attempts(self):
         settings = self.timeouts(link_mbps=5.0)
         self.assertGreaterEqual(settings.probe_gap_s, sum(settings.probe_timeouts_s))
--- a/endivepick/forwarder/tests/test_tasks.py
+++ b/endivepick/forwarder/tests/test_tasks.py
@@ -10,7 +10,7 @@
 
 
 class TestSpawnSupervised(unittest.TestCase):
-    def test_a_task_that_fails_is_said_and_begins_again(self):
+    def test_failed_task_is_logged_and_restarted(self):
         lines = []
         log = BoundedLog("a", lambda data: lines.append(data) or len(data))
         decisions = DecisionLog(log, ForwarderMetrics())
--- a/endivepick/forwarder/tests/test_zone.py
+++ b/endivepick/forwarder/tests/test_zone.py
@@ -24,8 +24,8 @@
 )
 
 
-class TestBeingFed(ZoneCase):
-    """The answers are those of one feeder; the last one ends the following."""
+class TestFollowFeeder(ZoneCase):
+    """A feeder gives the answers; the last one makes the member leave it."""
 
     def follow(self, *answers, then=None, after_s=0.0):
         given = list(answers)
@@ -65,7 +65,7 @@
     def done(self, kind):
         return self.feeds[kind].done
 
-    def test_the_store_is_not_followed_meanwhile_and_afterwards_from_here(self):
+    def test_feeds_are_suspended_and_resume_at_the_news_revision(self):
         late = make_target("i-2", revision=40, created=40)
         change = RegistryNews([late], [], False, 44)
         self.follow(self.news(), self.news(registry=change))
@@ -73,34 +73,34 @@
         self.assertIs(self.core.registry.get("i-2").state, TargetState.READY)
         self.assertEqual(self.member._lost_feeders(), [])
 
-    def test_the_registry_is_as_old_as_the_feeders_registry(self):
+    def test_registry_age_is_that_of_the_feeder(self):
         self.follow(self.news(), self.news(heard_before_s=0.2, registry_s=3.0))
         now_s = steady_now_s()
         ages_s = {kind: now_s - feed.heard_s for kind, feed in self.feeds.items()}
         self.assertGreaterEqual(ages_s[FeedKind.REGISTRY], 3.0)
         self.assertLess(ages_s[FeedKind.CONFIGURATION], 3.0)
 
-    def test_a_feeder_that_the_store_does_not_answer_is_left(self):
+    def test_stale_feeder_is_left(self):
         stale_s = self.member._freshness.feeder_silent_s + 0.1
         self.follow(self.news(), self.news(heard_before_s=stale_s), self.news())
         self.assertEqual(self.reasons(), ["store silent there for 1.7 s"])
         self.assertEqual(self.member._lost_feeders(), [])
 
-    def test_those_who_feed_or_are_fed_are_neighbours(self):
+    def test_feeders_and_fed_instances_are_neighbours(self):
         address = self.follow(self.news())
         self.feed()
-        self.member.feeder.answer("from=10.0.0.9:1&config=0&registry=1")
+        self.member.feeder.answer_poll("from=10.0.0.9:1&config=0&registry=1")
         later_s = steady_now_s() + 5.0
         self.assertEqual(self.neighbours.find_lost(later_s), [address, "10.0.0.9:1"])
 
-    def test_one_that_had_a_long_watch_is_asked_again(self):
+    def test_feeder_with_a_long_watch_is_polled_again(self):
         stale = self.news(heard_before_s=9.0)
         address = self.follow(stale, stale, self.news(), self.news())
         self.assertEqual(self.done(FeedKind.REGISTRY), ["suspend", "resume 10"])
         self.assertNotIn(address, self.member._lost_feeders())
 
-    def test_one_that_stays_stale_is_asked_now_and_then(self):
-        """It has a newer configuration, so that it answers each question at once."""
+    def test_stale_feeder_is_polled_at_a_limited_rate(self):
+        """The feeder has a newer configuration, so it answers each poll at once."""
         asked = []
 
         def answer(_path, query):
@@ -114,7 +114,7 @@
         asked_for_s = limits.feeding_wait_s + ANSWER_TIMEOUT_MARGIN_S
         self.assertLessEqual(len(asked), asked_for_s / zone.POLL_RETRY_DELAY_S + 2)
 
-    def test_one_that_stays_stale_is_not_followed(self):
+    def test_feeder_that_stays_stale_is_not_followed(self):
         address = self.follow(then=self.news(heard_before_s=9.0), after_s=0.1)
         self.assertEqual(self.done(FeedKind.REGISTRY), [])
         self.assertEqual(self.member._lost_feeders(), [address])
@@ -124,7 +124,7 @@
         expected = ["suspend", "list", "resume 1"]
         self.assertEqual(self.done(FeedKind.CONFIGURATION), expected)
 
-    def test_a_change_that_is_told_needs_no_store(self):
+    def test_delta_is_applied_without_the_store(self):
         known = self.core.routes.configuration
         newer = make_configuration(revision=7, version=9, ports=(443,))
         told = self.news(config=7, change=change_between(known, newer))
@@ -132,7 +132,7 @@
         self.assertEqual(self.done(FeedKind.CONFIGURATION), ["suspend", "resume 7"])
         self.assertEqual(self.core.routes.configuration, newer)
 
-    def test_one_that_starts_from_another_version_is_read_from_the_store(self):
+    def test_delta_from_another_version_is_read_from_the_store(self):
         older = make_configuration(revision=0, version=1)
         newer = make_configuration(revision=7, version=9)
         told = self.news(config=7, change=change_between(older, newer))
@@ -141,16 +141,16 @@
         self.assertEqual(self.done(FeedKind.CONFIGURATION), expected)
         self.assertIn("change_unfit", self.events())
 
-    def test_a_configuration_that_was_not_there_yet_is_read_again(self):
+    def test_configuration_not_yet_in_the_store_is_read_again(self):
         self.follow(self.news(), self.news(config=7), self.news(config=7))
         self.assertEqual(self.done(FeedKind.CONFIGURATION).count("list"), 2)
 
-    def test_without_the_store_no_feeder_is_followed(self):
+    def test_no_feeder_is_followed_without_the_store(self):
         self.feeds[FeedKind.REGISTRY].settled = False
         self.follow(self.news(), self.news())
         self.assertEqual(self.done(FeedKind.CONFIGURATION), [])
 
-    def test_one_that_does_not_answer_counts_as_lost(self):
+    def test_feeder_that_does_not_answer_is_lost(self):
         def silent(_path, _query):
             gevent.sleep(TIMEOUT_S)
             return Response(404)
@@ -160,7 +160,7 @@
             self.member._follow(address)
         self.assertEqual(self.member._lost_feeders(), [address])
 
-    def test_one_that_is_ahead_is_followed_later(self):
+    def test_feeder_that_is_ahead_is_neither_full_nor_lost(self):
         ahead = Response(200, msgspec.json.encode(FeederAhead("f")), "application/json")
         self.follow(ahead)
         self.assertEqual(self.reasons(), ["feeder cannot send the changes"])
@@ -168,28 +168,28 @@
             (self.member._full_feeders(), self.member._lost_feeders()), ([], [])
         )
 
-    def test_one_that_is_full_is_remembered_but_not_lost(self):
+    def test_full_feeder_is_not_lost(self):
         full = Response(200, msgspec.json.encode(FeederFull("f")), "application/json")
         address = self.follow(full)
         self.assertEqual(self.reasons(), ["feeder has reached its limit of instances"])
         self.assertEqual(self.member._full_feeders(), [address])
         self.assertEqual(self.member._lost_feeders(), [])
 
-    def test_one_that_cannot_be_read_counts_as_lost(self):
+    def test_feeder_with_unreadable_answer_is_lost(self):
         address = self.follow(Response(200, b"[]", "application/json"))
         self.assertEqual(self.member._lost_feeders(), [address])
 
-    def test_one_that_is_about_to_stop_is_not_lost(self):
+    def test_stopping_feeder_is_not_lost(self):
         self.follow(self.news())
         self.assertEqual(self.reasons(), ["instance is no feeder"])
         self.assertEqual(self.member._lost_feeders(), [])
 
 
-class TestFirstClaims(ZoneCase):
-    """Hundreds of instances start at once; each call of the store counts."""
+class TestInitialClaims(ZoneCase):
+    """Hundreds of instances start at once, so that each call of the store counts."""
 
     def read_at_start(self, *claims):
-        """Return how often the claims are read until the first step is taken."""
+        """Return the number of reads before the first step, and the feeder."""
         reads, followed = [], []
 
         def read(_store):
@@ -211,23 +211,23 @@
             self.member.run()
         return len(reads), followed
 
-    def test_they_are_read_once_where_a_feeder_is_there(self):
+    def test_claims_are_read_once_if_a_feeder_exists(self):
         place = FeederClaim(self.member._claim_names[0], "127.0.0.1:2", 5)
         self.assertEqual(self.read_at_start(place), (1, ["127.0.0.1:2"]))
 
-    def test_they_are_read_again_after_a_wait_for_the_store(self):
+    def test_claims_are_read_again_after_a_wait_for_the_store(self):
         place = FeederClaim(self.member._claim_names[0], "127.0.0.1:2", 5)
         feed = self.feeds[FeedKind.REGISTRY]
         feed.settled = False
         gevent.spawn_later(0.01, setattr, feed, "settled", True)
         self.assertEqual(self.read_at_start(place), (2, ["127.0.0.1:2"]))
 
-    def test_they_are_read_again_after_the_spread_where_a_place_is_free(self):
+    def test_claims_are_read_again_if_one_is_free(self):
         self.assertEqual(self.read_at_start(), (2, [""]))
 
 
 class TestLostHolders(ZoneCase):
-    """Several feeders are lost at once; this instance was fed by one of them."""
+    """Several feeders are lost at once; this instance followed one of them."""
 
     def setUp(self):
         super().setUp()
@@ -235,7 +235,7 @@
         self.names = [f"{zone_name}.0", f"{zone_name}.1"]
 
     def look(self, *holders, lost=()):
-        """Greet the holders of claims; return whom the member takes for lost."""
+        """Check the holders of claims; return the feeders considered lost."""
         for address in lost:
             self.member._lost_at_s[address] = steady_now_s()
         claims = [
@@ -246,27 +246,27 @@
             self.member._check_holders(claims)
         return self.member._lost_feeders()
 
-    def test_a_place_whose_holder_nobody_follows_is_found(self):
+    def test_lost_holder_without_followers_is_detected(self):
         with http_server("127.0.0.1:0", lambda *_: Response(200)) as alive:
             lost = self.look(alive, "127.0.0.1:2", lost=["127.0.0.1:3"])
         self.assertEqual(lost, ["127.0.0.1:3", "127.0.0.1:2"])
 
-    def test_one_that_is_about_to_stop_is_not_lost(self):
+    def test_stopping_feeder_is_not_lost(self):
         with http_server("127.0.0.1:0", lambda *_: Response(503)) as stopping:
             lost = self.look(stopping, stopping, lost=["127.0.0.1:3"])
         self.assertEqual(lost, ["127.0.0.1:3"])
 
-    def test_nobody_is_greeted_while_none_was_lost(self):
+    def test_holders_are_not_checked_unless_one_was_lost(self):
         self.assertEqual(self.look("127.0.0.1:2", "127.0.0.1:2"), [])
 
-    def test_feeders_of_other_zones_and_itself_are_not_greeted(self):
+    def test_own_claim_and_other_zones_are_not_checked(self):
         self.names = ["other.0", f"{self.member._settings.zone}.1"]
-        own = self.member._settings.reached_at
+        own = self.member._settings.advertised_address
         self.assertEqual(self.look("127.0.0.1:2", own, lost=["x:1"]), ["x:1"])
 
 
-class TestConfigurationOfFed(ZoneCase):
-    def test_what_is_in_force_is_what_is_asked_beyond(self):
+class TestConfigurationOfFollower(ZoneCase):
+    def test_poll_contains_the_revision_in_force(self):
         self.core.on_configuration(make_configuration(revision=9, version=9), 1.0)
         asked = []
 
--- a/endivepick/forwarder/tests/zone_case.py
+++ b/endivepick/forwarder/tests/zone_case.py
@@ -1,4 +1,4 @@
-"""An instance of a zone whose store and feeds are stand-ins."""
+"""Fixture of a zone member with fake feeds and without a store."""
 
 import json
 import unittest
@@ -24,7 +24,7 @@
 
 
 class FakeFeed:
-    """Notes what is asked of it."""
+    """Records the calls that it receives."""
 
     lost = False
     settled = True
@@ -34,7 +34,7 @@
     def __init__(self):
         self.done = []
 
-    def hold_watches(self, wait_s):
+    def set_watch_wait(self, wait_s):
         self.wait_s = wait_s
 
     def suspend(self):
@@ -43,7 +43,7 @@
     def resume(self, revision):
         self.done.append(f"resume {revision}")
 
-    def list_again(self):
+    def request_list(self):
         self.done.append("list")
 
 
@@ -65,7 +65,7 @@
         return ZoneMember(settings, core, self.feeds, None, take, self.neighbours, log)
 
     def feed(self):
-        """Let the member feed others, and have heard of the store just now."""
-        self.member.feeder.begin()
+        """Make the member a feeder whose store has just answered."""
+        self.member.feeder.start_feeding()
         for feed in self.feeds.values():
             feed.heard_s = steady_now_s()
--- a/endivepick/forwarder/zone.py
+++ b/endivepick/forwarder/zone.py
@@ -211,7 +211,7 @@
                 claims = self._read_claims(store)
             self._check_holders(claims)
             step = choose_step(
-                self._settings.reached_at,
+                self._settings.advertised_address,
                 self._claim_names,
                 self._settings.zone_feeders,
                 claims,
@@ -243,7 +243,7 @@
         lost = self._lost_feeders()
         if not lost:
             return
-        passed_over = ("", self._settings.reached_at, *lost)
+        passed_over = ("", self._settings.advertised_address, *lost)
         holders = [
             claim.holder
             for claim in claims
@@ -257,7 +257,9 @@
 
         This includes an instance that is about to stop.
         """
-        call = StoreCall("GET", f"{HELLO_PATH}?from={self._settings.reached_at}")
+        call = StoreCall(
+            "GET", f"{HELLO_PATH}?from={self._settings.advertised_address}"
+        )
         try:
             with store_connection(holder) as connection:
                 outcome = connection.call(call, CallLimits(POLL_TIMEOUT_MARGIN_S))
@@ -286,7 +288,7 @@
             before_revision=claim.revision,
         )
         if written:
-            self.feeder.begin()
+            self.feeder.start_feeding()
 
     def _lost_feeders(self) -> list[str]:
         self._lost_at_s = _drop_expired(self._lost_at_s)
@@ -298,12 +300,12 @@
 
     def _serve_as_feeder(self) -> None:
         """Feed other instances until the claims are next read."""
-        self.feeder.begin()
+        self.feeder.start_feeding()
         _sleep(CLAIM_CHECK_PERIOD_S)
 
     def _follow(self, feeder: str) -> None:
         """Follow a feeder until it is unreliable."""
-        self.feeder.end()
+        self.feeder.end_feeding()
         began_s = steady_now_s()
         try:
             with store_connection(feeder) as connection:
@@ -351,7 +353,9 @@
             config = max(config, self._requested_config_revision)
         registry = self._core.registry.revision
         seen = self._core.seen(steady_now_s())
-        question = ZoneQuestion(self._settings.reached_at, config, registry, seen)
+        question = ZoneQuestion(
+            self._settings.advertised_address, config, registry, seen
+        )
         try:
             path = f"{NEWS_PATH}?{question.query}"
             body = connection.get(path, POLL_WAIT_S + POLL_TIMEOUT_MARGIN_S)
@@ -396,7 +400,7 @@
         seen = self._core.seen(steady_now_s())
         if not seen.urgent:
             return
-        question = ZoneQuestion(self._settings.reached_at, 0, 0, seen)
+        question = ZoneQuestion(self._settings.advertised_address, 0, 0, seen)
         try:
             with store_connection(feeder) as connection:
                 connection.get(f"{SEEN_PATH}?{question.query}", POLL_TIMEOUT_MARGIN_S)
@@ -454,7 +458,7 @@
         self._update_heard(FeedKind.REGISTRY, news.registry_before_s)
         if news.config_revision > self._core.routes.revision:
             self._requested_config_revision = news.config_revision
-            self._feeds[FeedKind.CONFIGURATION].list_again()
+            self._feeds[FeedKind.CONFIGURATION].request_list()
 
     def _update_heard(self, kind: FeedKind, before_s: float) -> None:
         feed = self._feeds[kind]
