--- a/endivepick/forwarder/early.py
+++ b/endivepick/forwarder/early.py
@@ -113,17 +113,17 @@
     dict of socket
         Connections with a pending request, by kind.
     """
-    asked = {}
+    requested = {}
     for (kind, path), connection in zip(paths.items(), connections, strict=False):
         try:
             host, port = connection.getpeername()
             request = f"GET {path} HTTP/1.1\r\nHost: {host}:{port}\r\n\r\n"
             connection.send(request.encode())
-            asked[kind] = connection
+            requested[kind] = connection
         except OSError:
             # Not established yet or refused: the store is slow, stopped or unreachable.
             connection.close()
-    return asked
+    return requested
 
 
 def _address_in(path: str, key: str) -> tuple[str, int]:
--- a/endivepick/forwarder/feed.py
+++ b/endivepick/forwarder/feed.py
@@ -198,9 +198,9 @@
             self._settings.retry_base_s, self._settings.retry_cap_s
         )
         backoff = Backoff(bounds)
-        asked, self._early_connection = self._early_connection, None
+        early, self._early_connection = self._early_connection, None
         with (
-            store_connection(self._settings.store_address, asked) as connection,
+            store_connection(self._settings.store_address, early) as connection,
             self._breaker.caller() as caller,
         ):
             self._connection = connection
--- a/endivepick/forwarder/feeding.py
+++ b/endivepick/forwarder/feeding.py
@@ -123,41 +123,41 @@
 
     def answer_poll(self, query: str) -> Response:
         """Answer the poll of a fed instance, at once if there is news for it."""
-        question = ZoneQuestion.read(query)
-        if question is None:
+        poll = ZoneQuestion.read(query)
+        if poll is None:
             return _NOT_FEEDING
         self._last_request_s = steady_now_s()
         if self.feeding and not self._fed_instances.admit(
-            question.asker, self._last_request_s
+            poll.asker, self._last_request_s
         ):
             return json_response(FeederFull(self._name))
-        self._neighbours.mark_alive(question.asker, self._last_request_s)
-        self._reports[question.asker] = (self._last_request_s, question.seen)
+        self._neighbours.mark_alive(poll.asker, self._last_request_s)
+        self._reports[poll.asker] = (self._last_request_s, poll.seen)
         self._set_watch_wait()
         alert_number = self._alert_number
         with gevent.Timeout(POLL_WAIT_S, False):
-            while self._should_wait(question, alert_number):
+            while self._should_wait(poll, alert_number):
                 self._news_event.wait()
         if not self.feeding or not self._core.ready:
             return _NOT_FEEDING
-        if self._exceeds_link(question):
+        if self._exceeds_link(poll):
             return json_response(FeederAhead(self._name))
-        return json_response(self._make_news(question))
+        return json_response(self._make_news(poll))
 
-    def _should_wait(self, question: ZoneQuestion, alert_number: int) -> bool:
+    def _should_wait(self, poll: ZoneQuestion, alert_number: int) -> bool:
         """Return whether there is no news for an instance yet."""
         return (
             self.feeding
             and self._alert_number == alert_number
-            and not self._has_news(question)
+            and not self._has_news(poll)
         )
 
     def receive_report(self, query: str) -> Response:
         """Receive an instance's report about targets between its polls."""
-        question = ZoneQuestion.read(query)
-        if question is None or not self.feeding:
+        poll = ZoneQuestion.read(query)
+        if poll is None or not self.feeding:
             return _NOT_FEEDING
-        self._reports[question.asker] = (steady_now_s(), question.seen)
+        self._reports[poll.asker] = (steady_now_s(), poll.seen)
         self.notify_new_outliers()
         return Response(200)
 
@@ -165,18 +165,18 @@
         """Answer the pending polls when a further target fails or is silent."""
         if not self.feeding:
             return
-        together = self._merge_zone_reports()
-        alarming = self._core.fitness.alarming(steady_now_s())
-        alarming |= {told.name for told in together.silent}
-        if not alarming <= self._known_outliers:
+        merged = self._merge_zone_reports()
+        outliers = self._core.fitness.alarming(steady_now_s())
+        outliers |= {target.name for target in merged.silent}
+        if not outliers <= self._known_outliers:
             self._alert_number += 1
             self.notify()
-        self._known_outliers = alarming
+        self._known_outliers = outliers
 
-    def _exceeds_link(self, question: ZoneQuestion) -> bool:
+    def _exceeds_link(self, poll: ZoneQuestion) -> bool:
         """Return whether the full registry would have to be sent and is too large."""
         registry = self._core.registry
-        if question.registry_revision >= registry.told_from:
+        if poll.registry_revision >= registry.told_from:
             return False
         return len(registry) > self._max_full_targets
 
@@ -185,27 +185,27 @@
         now_s = steady_now_s()
         oldest_s = now_s - TOLD_S
         self._reports = {
-            a: seen for a, seen in self._reports.items() if seen[0] >= oldest_s
+            a: entry for a, entry in self._reports.items() if entry[0] >= oldest_s
         }
         reports = [
             self._core.seen(now_s),
-            *(seen for _, seen in self._reports.values()),
+            *(report for _, report in self._reports.values()),
         ]
         if now_s - self._baselines_at_s >= BASELINE_PERIOD_S:
             self._baselines_at_s = now_s
             self._baselines = merge_usual(
-                each for seen in reports for each in seen.usual
+                each for report in reports for each in report.usual
             )
-        together = merge_reports(reports, self._baselines)
-        self._core.on_seen(together, now_s)
-        return together
+        merged = merge_reports(reports, self._baselines)
+        self._core.on_seen(merged, now_s)
+        return merged
 
-    def _make_news(self, question: ZoneQuestion) -> ZoneNews:
+    def _make_news(self, poll: ZoneQuestion) -> ZoneNews:
         return ZoneNews(
             self._name,
             self._core.routes.revision,
-            self._change_since(question.config_revision),
-            self._core.registry.news_since(question.registry_revision),
+            self._change_since(poll.config_revision),
+            self._core.registry.news_since(poll.registry_revision),
             heard_before_s(self._feeds.values()),
             heard_before_s([self._feeds[FeedKind.REGISTRY]]),
             self._merge_zone_reports(),
@@ -216,10 +216,10 @@
             return None
         return self._core.routes.change_since(revision)
 
-    def _has_news(self, question: ZoneQuestion) -> bool:
+    def _has_news(self, poll: ZoneQuestion) -> bool:
         return (
-            self._core.routes.revision > question.config_revision
-            or self._core.registry.revision > question.registry_revision
+            self._core.routes.revision > poll.config_revision
+            or self._core.registry.revision > poll.registry_revision
         )
 
     def _set_watch_wait(self) -> None:
@@ -228,6 +228,6 @@
         The registry changes more often than the configuration, so that the short wait
         costs fewer extra calls there.
         """
-        asked = steady_now_s() - self._last_request_s < REQUEST_IDLE_S
-        wait_s = self._watch_wait_s if self.feeding and asked else None
+        polled = steady_now_s() - self._last_request_s < REQUEST_IDLE_S
+        wait_s = self._watch_wait_s if self.feeding and polled else None
         self._feeds[FeedKind.REGISTRY].set_watch_wait(wait_s)
--- a/endivepick/forwarder/logs.py
+++ b/endivepick/forwarder/logs.py
@@ -102,13 +102,13 @@
         if not self._buffer:
             return
         try:
-            taken = self._write(bytes(self._buffer))
+            accepted = self._write(bytes(self._buffer))
         except BlockingIOError:
             return
         except OSError:
             # The reader is gone; there is no other place to report it.
-            taken = len(self._buffer)
-        del self._buffer[:taken]
+            accepted = len(self._buffer)
+        del self._buffer[:accepted]
 
     def _line(
         self, level: str, part: str, name: str, message: str, fields: dict[str, Any]
@@ -128,15 +128,15 @@
         self._written.clear()
         if not self._suppressed:
             return
-        left_out = dict(self._suppressed)
+        dropped = dict(self._suppressed)
         self._suppressed.clear()
         message = "dropped lines above the rate limit"
-        self._append("warning", "log", "lines_left_out", message, {"lines": left_out})
+        self._append("warning", "log", "lines_left_out", message, {"lines": dropped})
 
     def _append(
         self, level: str, part: str, name: str, message: str, fields: dict[str, Any]
     ) -> None:
-        whole = {
+        content = {
             "at_s": truncate_number(self._wall_time_s(), _TIME_PARTS),
             "process": self._process,
             "part": part,
@@ -145,7 +145,7 @@
             "message": f"{part}: {message}",
             **fields,
         }
-        line = _encoder.encode(whole) + b"\n"
+        line = _encoder.encode(content) + b"\n"
         if len(self._buffer) + len(line) > BUFFER_BYTES:
             self.lines_dropped += 1
             return
--- a/endivepick/forwarder/news.py
+++ b/endivepick/forwarder/news.py
@@ -100,8 +100,8 @@
             self._on_configuration(configuration, now_s, PEER)
         if snapshot.targets is not None and revision >= self._core.registry.revision:
             removed = [RemovedTarget(n, revision, True) for n in snapshot.unreadable]
-            told = RegistryNews(snapshot.targets, removed, True, revision)
-            usable = self._mark_invalid(told)
+            received = RegistryNews(snapshot.targets, removed, True, revision)
+            usable = self._mark_invalid(received)
             unreadable = [each.name for each in usable.removed]
             self._core.on_target_list(
                 usable.targets, revision, now_s, unreadable=unreadable
@@ -128,15 +128,15 @@
                 case _:
                     pass
 
-    def _mark_invalid(self, told: RegistryNews) -> RegistryNews:
+    def _mark_invalid(self, received: RegistryNews) -> RegistryNews:
         """Return another instance's news with its invalid entries as unreadable.
 
         An instance of another build may forward entries that this build does not
         accept.
         """
         targets: list[Target] = []
-        removed = list(told.removed)
-        for target in told.targets:
+        removed = list(received.removed)
+        for target in received.targets:
             try:
                 check_target(target)
             except ValueError as error:
@@ -145,7 +145,7 @@
                 removed.append(RemovedTarget(item.name, item.revision, True))
             else:
                 targets.append(target)
-        return RegistryNews(targets, removed, told.whole, told.revision)
+        return RegistryNews(targets, removed, received.whole, received.revision)
 
     def _on_change(self, change: ConfigurationChange, now_s: float) -> None:
         known = self._core.routes.configuration
--- a/endivepick/forwarder/peers.py
+++ b/endivepick/forwarder/peers.py
@@ -295,10 +295,10 @@
         # The random choice spreads the queries beyond the few peers that all instances
         # know.
         peers = self.directory.list_recent(MAX_PEERS)
-        asked = random.sample(peers, k=min(MAX_QUERIED_PEERS, len(peers)))
-        helped = False
-        likely = asked if self._core.ready else self._find_responsive(asked)
-        for address in likely:
+        queried = random.sample(peers, k=min(MAX_QUERIED_PEERS, len(peers)))
+        answered = False
+        candidates = queried if self._core.ready else self._find_responsive(queried)
+        for address in candidates:
             body = self._call(address, f"{SNAPSHOT_PATH}?{self._format_query()}")
             if body is None:
                 continue
@@ -310,15 +310,15 @@
                 continue
             self._add_candidates(snapshot.peers)
             self._apply_snapshot(snapshot)
-            helped = True
+            answered = True
             if not snapshot.store_lost:
                 return
-        if not helped:
+        if not answered:
             self._log.warning(
                 "peer",
                 "peers_silent",
                 "no peer answered",
-                peers=len(asked),
+                peers=len(queried),
                 ready=self._core.ready,
             )
 
--- a/endivepick/forwarder/tests/test_feeding.py
+++ b/endivepick/forwarder/tests/test_feeding.py
@@ -157,11 +157,11 @@
     def test_reports_of_all_instances_are_merged(self):
         self.feed()
         self.ask(3.0)
-        together = self.ask(2.0, "10.0.0.3:1")
-        (told,) = together.targets
+        merged = self.ask(2.0, "10.0.0.3:1")
+        (told,) = merged.targets
         self.assertEqual((told.failed, told.instances), (5.0, 2))
-        self.assertEqual(together.instances, 3)
-        self.assertEqual(together.services[0].total, 80.0)
+        self.assertEqual(merged.instances, 3)
+        self.assertEqual(merged.services[0].total, 80.0)
 
     def test_newer_report_replaces_the_former(self):
         self.feed()
--- a/endivepick/forwarder/tests/test_peers.py
+++ b/endivepick/forwarder/tests/test_peers.py
@@ -45,7 +45,7 @@
 
 
 class TestHints(unittest.TestCase):
-    def told(self, found_here, peers):
+    def hinted_peers(self, found_here, peers):
         feed = make_feed(make_core())
         for number in range(peers):
             feed.directory.mark_alive(f"10.0.0.{number + 2}:1")
@@ -56,13 +56,13 @@
         return told
 
     def test_detecting_instance_hints_all_peers_up_to_the_limit(self):
-        self.assertEqual(len(self.told(True, peers=8)), 8)
-        self.assertEqual(len(self.told(True, peers=40)), MAX_PENDING_HINTS)
+        self.assertEqual(len(self.hinted_peers(True, peers=8)), 8)
+        self.assertEqual(len(self.hinted_peers(True, peers=40)), MAX_PENDING_HINTS)
 
     def test_received_hint_is_forwarded_to_few_peers(self):
-        told = self.told(False, peers=40)
+        told = self.hinted_peers(False, peers=40)
         self.assertEqual(len(set(told)), HINT_FAN_OUT)
-        self.assertEqual(len(self.told(False, peers=1)), 1)
+        self.assertEqual(len(self.hinted_peers(False, peers=1)), 1)
 
     def test_forwarded_hint_reaches_nearly_all_instances(self):
         """Each of 200 instances knows only its most recent peers."""
@@ -131,7 +131,7 @@
 
 
 class TestHellos(unittest.TestCase):
-    def greeted(self, body):
+    def send_hello(self, body):
         """Send a hello to a lost neighbour; return the exchange and the lost ones."""
         feed = make_feed(make_core())
         answer = Response(200, body, "application/json")
@@ -143,12 +143,12 @@
         return feed, feed.neighbours.find_lost(steady_now_s())
 
     def test_peers_of_a_found_neighbour_are_added(self):
-        feed, lost = self.greeted(b'["10.0.0.7:1"]')
+        feed, lost = self.send_hello(b'["10.0.0.7:1"]')
         self.assertEqual(lost, [])
         self.assertIn("10.0.0.7:1", feed.directory.list_recent(9))
 
     def test_answer_of_another_build_shows_a_live_peer(self):
-        _, lost = self.greeted(b'{"peers": 3}')
+        _, lost = self.send_hello(b'{"peers": 3}')
         self.assertEqual(lost, [])
 
 
--- a/endivepick/forwarder/tests/test_zone.py
+++ b/endivepick/forwarder/tests/test_zone.py
@@ -62,14 +62,14 @@
         lines = b"".join(self.lines).splitlines()
         return [json.loads(line)["event"] for line in lines]
 
-    def done(self, kind):
-        return self.feeds[kind].done
+    def calls(self, kind):
+        return self.feeds[kind].calls
 
     def test_feeds_are_suspended_and_resume_at_the_news_revision(self):
         late = make_target("i-2", revision=40, created=40)
         change = RegistryNews([late], [], False, 44)
         self.follow(self.news(), self.news(registry=change))
-        self.assertEqual(self.done(FeedKind.REGISTRY), ["suspend", "resume 44"])
+        self.assertEqual(self.calls(FeedKind.REGISTRY), ["suspend", "resume 44"])
         self.assertIs(self.core.registry.get("i-2").state, TargetState.READY)
         self.assertEqual(self.member._lost_feeders(), [])
 
@@ -96,7 +96,7 @@
     def test_feeder_with_a_long_watch_is_polled_again(self):
         stale = self.news(heard_before_s=9.0)
         address = self.follow(stale, stale, self.news(), self.news())
-        self.assertEqual(self.done(FeedKind.REGISTRY), ["suspend", "resume 10"])
+        self.assertEqual(self.calls(FeedKind.REGISTRY), ["suspend", "resume 10"])
         self.assertNotIn(address, self.member._lost_feeders())
 
     def test_stale_feeder_is_polled_at_a_limited_rate(self):
@@ -116,20 +116,20 @@
 
     def test_feeder_that_stays_stale_is_not_followed(self):
         address = self.follow(then=self.news(heard_before_s=9.0), after_s=0.1)
-        self.assertEqual(self.done(FeedKind.REGISTRY), [])
+        self.assertEqual(self.calls(FeedKind.REGISTRY), [])
         self.assertEqual(self.member._lost_feeders(), [address])
 
     def test_a_new_configuration_is_read_from_the_store(self):
         self.follow(self.news(), self.news(config=7))
         expected = ["suspend", "list", "resume 1"]
-        self.assertEqual(self.done(FeedKind.CONFIGURATION), expected)
+        self.assertEqual(self.calls(FeedKind.CONFIGURATION), expected)
 
     def test_delta_is_applied_without_the_store(self):
         known = self.core.routes.configuration
         newer = make_configuration(revision=7, version=9, ports=(443,))
         told = self.news(config=7, change=change_between(known, newer))
         self.follow(self.news(), told)
-        self.assertEqual(self.done(FeedKind.CONFIGURATION), ["suspend", "resume 7"])
+        self.assertEqual(self.calls(FeedKind.CONFIGURATION), ["suspend", "resume 7"])
         self.assertEqual(self.core.routes.configuration, newer)
 
     def test_delta_from_another_version_is_read_from_the_store(self):
@@ -138,17 +138,17 @@
         told = self.news(config=7, change=change_between(older, newer))
         self.follow(self.news(), told)
         expected = ["suspend", "list", "resume 1"]
-        self.assertEqual(self.done(FeedKind.CONFIGURATION), expected)
+        self.assertEqual(self.calls(FeedKind.CONFIGURATION), expected)
         self.assertIn("change_unfit", self.events())
 
     def test_configuration_not_yet_in_the_store_is_read_again(self):
         self.follow(self.news(), self.news(config=7), self.news(config=7))
-        self.assertEqual(self.done(FeedKind.CONFIGURATION).count("list"), 2)
+        self.assertEqual(self.calls(FeedKind.CONFIGURATION).count("list"), 2)
 
     def test_no_feeder_is_followed_without_the_store(self):
         self.feeds[FeedKind.REGISTRY].settled = False
         self.follow(self.news(), self.news())
-        self.assertEqual(self.done(FeedKind.CONFIGURATION), [])
+        self.assertEqual(self.calls(FeedKind.CONFIGURATION), [])
 
     def test_feeder_that_does_not_answer_is_lost(self):
         def silent(_path, _query):
@@ -234,7 +234,7 @@
         zone_name = self.member._settings.zone
         self.names = [f"{zone_name}.0", f"{zone_name}.1"]
 
-    def look(self, *holders, lost=()):
+    def find_lost_holders(self, *holders, lost=()):
         """Check the holders of claims; return the feeders considered lost."""
         for address in lost:
             self.member._lost_at_s[address] = steady_now_s()
@@ -248,21 +248,23 @@
 
     def test_lost_holder_without_followers_is_detected(self):
         with http_server("127.0.0.1:0", lambda *_: Response(200)) as alive:
-            lost = self.look(alive, "127.0.0.1:2", lost=["127.0.0.1:3"])
+            lost = self.find_lost_holders(alive, "127.0.0.1:2", lost=["127.0.0.1:3"])
         self.assertEqual(lost, ["127.0.0.1:3", "127.0.0.1:2"])
 
     def test_stopping_feeder_is_not_lost(self):
         with http_server("127.0.0.1:0", lambda *_: Response(503)) as stopping:
-            lost = self.look(stopping, stopping, lost=["127.0.0.1:3"])
+            lost = self.find_lost_holders(stopping, stopping, lost=["127.0.0.1:3"])
         self.assertEqual(lost, ["127.0.0.1:3"])
 
     def test_holders_are_not_checked_unless_one_was_lost(self):
-        self.assertEqual(self.look("127.0.0.1:2", "127.0.0.1:2"), [])
+        self.assertEqual(self.find_lost_holders("127.0.0.1:2", "127.0.0.1:2"), [])
 
     def test_own_claim_and_other_zones_are_not_checked(self):
         self.names = ["other.0", f"{self.member._settings.zone}.1"]
         own = self.member._settings.advertised_address
-        self.assertEqual(self.look("127.0.0.1:2", own, lost=["x:1"]), ["x:1"])
+        self.assertEqual(
+            self.find_lost_holders("127.0.0.1:2", own, lost=["x:1"]), ["x:1"]
+        )
 
 
 class TestConfigurationOfFollower(ZoneCase):
--- a/endivepick/forwarder/tests/zone_case.py
+++ b/endivepick/forwarder/tests/zone_case.py
@@ -32,19 +32,19 @@
     wait_s = None
 
     def __init__(self):
-        self.done = []
+        self.calls = []
 
     def set_watch_wait(self, wait_s):
         self.wait_s = wait_s
 
     def suspend(self):
-        self.done.append("suspend")
+        self.calls.append("suspend")
 
     def resume(self, revision):
-        self.done.append(f"resume {revision}")
+        self.calls.append(f"resume {revision}")
 
     def request_list(self):
-        self.done.append("list")
+        self.calls.append("list")
 
 
 class ZoneCase(unittest.TestCase):
@@ -60,9 +60,11 @@
         log = BoundedLog("a", lambda data: self.lines.append(bytes(data)) or len(data))
 
         decisions = DecisionLog(log, ForwarderMetrics())
-        take = NewsHandler(core, decisions, lambda: None).on_zone_news
+        apply_news = NewsHandler(core, decisions, lambda: None).on_zone_news
         self.neighbours = Neighbours()
-        return ZoneMember(settings, core, self.feeds, None, take, self.neighbours, log)
+        return ZoneMember(
+            settings, core, self.feeds, None, apply_news, self.neighbours, log
+        )
 
     def feed(self):
         """Make the member a feeder whose store has just answered."""
--- a/endivepick/forwarder/zone.py
+++ b/endivepick/forwarder/zone.py
@@ -313,15 +313,15 @@
                 with self._following(feeder):
                     while True:
                         self._check_freshness(self._poll(feeder, connection))
-        except _FeederUnreliable as left:
-            if left.lost:
+        except _FeederUnreliable as failure:
+            if failure.lost:
                 self._lost_at_s[feeder] = steady_now_s()
             self._log.event(
                 "zone",
                 "feeder_left",
                 "left the feeder; following the store",
                 feeder=feeder,
-                reason=left.reason,
+                reason=failure.reason,
                 fed_for_s=truncate_number(steady_now_s() - began_s),
             )
 
@@ -352,12 +352,10 @@
             # is requested again.
             config = max(config, self._requested_config_revision)
         registry = self._core.registry.revision
-        seen = self._core.seen(steady_now_s())
-        question = ZoneQuestion(
-            self._settings.advertised_address, config, registry, seen
-        )
+        report = self._core.seen(steady_now_s())
+        poll = ZoneQuestion(self._settings.advertised_address, config, registry, report)
         try:
-            path = f"{NEWS_PATH}?{question.query}"
+            path = f"{NEWS_PATH}?{poll.query}"
             body = connection.get(path, POLL_WAIT_S + POLL_TIMEOUT_MARGIN_S)
             answer = read_feeder_answer(body)
         except PlatformAnswerError:
@@ -397,13 +395,13 @@
             gevent.spawn(self._send_report, self._feeder_address)
 
     def _send_report(self, feeder: str) -> None:
-        seen = self._core.seen(steady_now_s())
-        if not seen.urgent:
+        report = self._core.seen(steady_now_s())
+        if not report.urgent:
             return
-        question = ZoneQuestion(self._settings.advertised_address, 0, 0, seen)
+        poll = ZoneQuestion(self._settings.advertised_address, 0, 0, report)
         try:
             with store_connection(feeder) as connection:
-                connection.get(f"{SEEN_PATH}?{question.query}", POLL_TIMEOUT_MARGIN_S)
+                connection.get(f"{SEEN_PATH}?{poll.query}", POLL_TIMEOUT_MARGIN_S)
         except (EndivepickError, ValueError) as error:
             # The next poll carries the same report and detects a lost feeder.
             self._log.event(
@@ -441,8 +439,8 @@
         """
         try:
             self._check_freshness(news)
-        except _FeederUnreliable as left:
-            raise _FeederUnreliable(left.reason, lost=True) from None
+        except _FeederUnreliable as failure:
+            raise _FeederUnreliable(failure.reason, lost=True) from None
 
     def _check_freshness(self, news: ZoneNews) -> None:
         """Raise ``_FeederUnreliable`` if the store has not answered the feeder.
