--- a/endivepick/forwarder/peers.py
+++ b/endivepick/forwarder/peers.py
@@ -146,7 +146,7 @@
     apply_snapshot : callable
         Called with a peer's snapshot.
     log : BoundedLog
-        Log of what was learnt.
+        Log of the exchanges.
     """
 
     def __init__(
--- a/endivepick/forwarder/zone.py
+++ b/endivepick/forwarder/zone.py
@@ -1,13 +1,13 @@
 """Elects the feeders of a zone by claims in the store, and follows a feeder.
 
 A feeder is an instance that follows the store and serves the changes to other instances
-of its zone. An instance that follows a feeder reads nothing from the store, so its
+of its zone. While an instance follows a feeder, it does not watch the store, so its
 knowledge is as fresh as its feeder's: each answer carries the time since the store last
 answered the feeder. If that time exceeds a limit, or the feeder does not answer, the
 instance follows the store itself at once.
 
-The feeder sends a new configuration as a delta. If the delta is unknown there or too
-large for the feeder's link, which also carries its packets, the feeder sends only the
+The feeder sends a new configuration as a delta. If the feeder does not know the delta,
+or the delta is too large for its link, which also carries packets, it sends only the
 new revision, and the instance reads the configuration from the store.
 """
 
@@ -243,11 +243,11 @@
         lost = self._lost_feeders()
         if not lost:
             return
-        passed_over = ("", self._settings.advertised_address, *lost)
+        excluded = ("", self._settings.advertised_address, *lost)
         holders = [
             claim.holder
             for claim in claims
-            if claim.name in self._claim_names and claim.holder not in passed_over
+            if claim.name in self._claim_names and claim.holder not in excluded
         ]
         for holder in random.sample(holders, min(len(holders), MAX_CHECKED_HOLDERS)):
             self._check_holder(holder)
