--- a/endivepick/forwarder/decision_log.py
+++ b/endivepick/forwarder/decision_log.py
@@ -12,9 +12,9 @@
     BeliefChange,
     Configuration,
     ConfigurationChange,
+    DecisionRecord,
     DropReason,
     FaultConfirmed,
-    Note,
     ProbeResult,
     Reset,
 )
@@ -40,7 +40,7 @@
         self.log = log
         self.metrics = metrics
 
-    def log_decision(self, note: Note) -> None:
+    def log_decision(self, note: DecisionRecord) -> None:
         """Log a decision about a flow."""
         if note.name == "flow_placed":
             self.metrics.count("flows_placed", note.reason)
--- a/endivepick/forwarder/feeding.py
+++ b/endivepick/forwarder/feeding.py
@@ -26,8 +26,8 @@
     ForwardingCore,
     merge_reports,
 )
-from endivepick.forwarding.confirmation import TOLD_S
-from endivepick.forwarding.service_usual import UsualCounts, merge_usual
+from endivepick.forwarding.fault_confirmation import REPORT_VALID_S
+from endivepick.forwarding.service_baselines import UsualCounts, merge_baselines
 
 __all__ = ["ZoneFeeder"]
 
@@ -166,7 +166,7 @@
         if not self.feeding:
             return
         merged = self._merge_zone_reports()
-        outliers = self._core.fitness.alarming(steady_now_s())
+        outliers = self._core.fitness.outlier_names(steady_now_s())
         outliers |= {target.name for target in merged.silent}
         if not outliers <= self._known_outliers:
             self._alert_number += 1
@@ -176,14 +176,14 @@
     def _exceeds_link(self, poll: ZoneQuestion) -> bool:
         """Return whether the full registry would have to be sent and is too large."""
         registry = self._core.registry
-        if poll.registry_revision >= registry.told_from:
+        if poll.registry_revision >= registry.oldest_delta_revision:
             return False
         return len(registry) > self._max_full_targets
 
     def _merge_zone_reports(self) -> FitnessReport:
         """Merge the recent reports of the zone's instances and apply the result."""
         now_s = steady_now_s()
-        oldest_s = now_s - TOLD_S
+        oldest_s = now_s - REPORT_VALID_S
         self._reports = {
             a: entry for a, entry in self._reports.items() if entry[0] >= oldest_s
         }
@@ -193,11 +193,11 @@
         ]
         if now_s - self._baselines_at_s >= BASELINE_PERIOD_S:
             self._baselines_at_s = now_s
-            self._baselines = merge_usual(
+            self._baselines = merge_baselines(
                 each for report in reports for each in report.usual
             )
         merged = merge_reports(reports, self._baselines)
-        self._core.on_seen(merged, now_s)
+        self._core.on_zone_report(merged, now_s)
         return merged
 
     def _make_news(self, poll: ZoneQuestion) -> ZoneNews:
--- a/endivepick/forwarder/forwarder.py
+++ b/endivepick/forwarder/forwarder.py
@@ -221,7 +221,7 @@
             self.core.on_wall_clock(time.time() - now_s)
             registry = self._feeds[FeedKind.REGISTRY]
             if registry.lost:
-                self.core.on_unread(now_s)
+                self.core.on_registry_unavailable(now_s)
             self.core.tick(now_s, registry.heard_s)
             self._path.perform_effects()
             if self._zone is not None:
@@ -231,7 +231,7 @@
 
     def _on_pause(self, paused_s: float, now_s: float) -> None:
         self.decisions.log_pause(paused_s)
-        self.core.on_unread(now_s)
+        self.core.on_registry_unavailable(now_s)
         for feed in self._feeds.values():
             feed.request_list()
 
--- a/endivepick/forwarder/news.py
+++ b/endivepick/forwarder/news.py
@@ -65,7 +65,7 @@
             case _:
                 self._on_items(news, now_s)
         if news.kind is FeedKind.REGISTRY:
-            self._core.on_registry_seen(news.revision)
+            self._core.on_registry_revision(news.revision)
         self._on_applied()
 
     def on_zone_news(
--- a/endivepick/forwarder/tests/test_zone.py
+++ b/endivepick/forwarder/tests/test_zone.py
@@ -17,7 +17,7 @@
     ZoneNews,
 )
 from endivepick.forwarding import RegistryNews, TargetState
-from endivepick.forwarding.changes import change_between
+from endivepick.forwarding.configuration_changes import compute_change
 from endivepick.forwarding.tests.support import (
     make_configuration,
     make_target,
@@ -127,7 +127,7 @@
     def test_delta_is_applied_without_the_store(self):
         known = self.core.routes.configuration
         newer = make_configuration(revision=7, version=9, ports=(443,))
-        told = self.news(config=7, change=change_between(known, newer))
+        told = self.news(config=7, change=compute_change(known, newer))
         self.follow(self.news(), told)
         self.assertEqual(self.calls(FeedKind.CONFIGURATION), ["suspend", "resume 7"])
         self.assertEqual(self.core.routes.configuration, newer)
@@ -135,7 +135,7 @@
     def test_delta_from_another_version_is_read_from_the_store(self):
         older = make_configuration(revision=0, version=1)
         newer = make_configuration(revision=7, version=9)
-        told = self.news(config=7, change=change_between(older, newer))
+        told = self.news(config=7, change=compute_change(older, newer))
         self.follow(self.news(), told)
         expected = ["suspend", "list", "resume 1"]
         self.assertEqual(self.calls(FeedKind.CONFIGURATION), expected)
--- a/endivepick/forwarder/zone.py
+++ b/endivepick/forwarder/zone.py
@@ -373,7 +373,7 @@
                 raise _FeederUnreliable("feeder cannot send the changes", lost=False)
             case ZoneNews():
                 self._neighbours.mark_alive(feeder, steady_now_s())
-                self._core.on_seen(answer.seen, steady_now_s())
+                self._core.on_zone_report(answer.seen, steady_now_s())
                 self._apply_news(answer.registry, answer.config_change)
                 return answer
 
@@ -384,7 +384,7 @@
         would lose requests to a target that others already know to be failing.
         """
         now_s = steady_now_s()
-        if now_s - self._report_sent_s < REPORT_PERIOD_S or not self._core.doubts(
+        if now_s - self._report_sent_s < REPORT_PERIOD_S or not self._core.has_suspects(
             now_s
         ):
             return
@@ -396,7 +396,7 @@
 
     def _send_report(self, feeder: str) -> None:
         report = self._core.seen(steady_now_s())
-        if not report.urgent:
+        if not report.is_urgent:
             return
         poll = ZoneQuestion(self._settings.advertised_address, 0, 0, report)
         try:
