--- a/endivepick/forwarder/feeding.py
+++ b/endivepick/forwarder/feeding.py
@@ -1,4 +1,4 @@
-"""Feeds other instances of the zone: answers their questions with what is newer."""
+"""Feeds other instances of the zone: answers their polls with newer state."""
 
 from collections.abc import Mapping
 
@@ -7,8 +7,8 @@
 
 from endivepick.clock import steady_now_s
 from endivepick.forwarder.feed import StoreFeed, heard_before_s
-from endivepick.forwarder.feeders import Askers
-from endivepick.forwarder.freshness import POLL_WAIT_S, freshness_of
+from endivepick.forwarder.feeders import FedInstances
+from endivepick.forwarder.freshness import POLL_WAIT_S, compute_freshness
 from endivepick.forwarder.http import Response, json_response
 from endivepick.forwarder.logs import BoundedLog
 from endivepick.forwarder.peer_book import Neighbours
@@ -31,35 +31,37 @@
 
 __all__ = ["ZoneFeeder"]
 
-UNASKED_S = 10.0
-"""A feeder that nobody has asked for so long keeps no short watch: the only instance of
-a zone is its feeder, and short watches would cost the store calls for nothing."""
-USUAL_EVERY_S = 0.5
-"""How often it is added up what is usual in the zone: some milliseconds of work."""
-TARGET_BYTES = 100
-"""What an entry of the registry takes in an answer, with a long name of its zone."""
-WHOLE_S = 1.0
-"""How long the whole registry may keep the feeder's link, told to all whom it feeds:
-packets wait behind it."""
+REQUEST_IDLE_S = 10.0
+"""Time without polls after which a feeder returns to long watches: the only instance of
+a zone is its feeder, and short watches would cost calls of the store without
+benefit."""
+BASELINE_PERIOD_S = 0.5
+"""Period at which the request baselines of the zone are merged, which takes some
+milliseconds of CPU time."""
+ENTRY_BYTES = 100
+"""Size of a registry entry in an answer, with a long name of its zone."""
+FULL_REGISTRY_SEND_S = 1.0
+"""Maximum time for which the full registry, sent to all fed instances, may occupy the
+feeder's link; packets queue behind it."""
 _MBIT_BYTES = 125_000
 _NOT_FEEDING = Response(404)
 
 
 class ZoneFeeder:
-    """What an instance does for those whom it feeds.
+    """Feeder role of an instance.
 
     Parameters
     ----------
     settings : ForwarderSettings
-        Name, and how many are fed at a time.
+        Name, and maximum number of fed instances.
     core : ForwardingCore
-        What is known here.
+        Routes, registry and fitness reports of this instance.
     feeds : mapping of FeedKind to StoreFeed
-        How fresh that is.
+        Times of the store's last answers.
     neighbours : Neighbours
-        Told who is fed here.
+        Records the fed instances.
     log : BoundedLog
-        Where it says what it does.
+        Log of the start and the end of feeding.
     """
 
     def __init__(
@@ -71,148 +73,161 @@
         log: BoundedLog,
     ) -> None:
         self._name = settings.name
-        self._tells_changes = settings.mechanisms.told_changes
+        self._sends_deltas = settings.mechanisms.told_changes
         self._core = core
         self._feeds = feeds
         self._neighbours = neighbours
         self._log = log
-        self._askers = Askers(settings.fed_most)
-        self._watch_wait_s = freshness_of(settings).feeding_wait_s
-        told_bytes = TARGET_BYTES * settings.fed_most
-        self._whole_targets = WHOLE_S * settings.link_mbps * _MBIT_BYTES / told_bytes
-        self._seen: dict[str, tuple[float, FitnessReport]] = {}
-        self._usual: list[UsualCounts] = []
-        self._usual_s = float("-inf")
-        self._alarming: frozenset[str] = frozenset()
-        self._alarms = 0
-        self._changed = Event()
-        self._asked_s = float("-inf")
+        self._fed_instances = FedInstances(settings.fed_most)
+        self._watch_wait_s = compute_freshness(settings).feeding_wait_s
+        sent_bytes = ENTRY_BYTES * settings.fed_most
+        self._max_full_targets = (
+            FULL_REGISTRY_SEND_S * settings.link_mbps * _MBIT_BYTES / sent_bytes
+        )
+        self._reports: dict[str, tuple[float, FitnessReport]] = {}
+        self._baselines: list[UsualCounts] = []
+        self._baselines_at_s = float("-inf")
+        self._known_outliers: frozenset[str] = frozenset()
+        self._alert_number = 0
+        self._news_event = Event()
+        self._last_request_s = float("-inf")
         self._stopping = False
         self.feeding = False
-        """Whether others may be fed here."""
+        """Whether other instances may be fed here."""
 
-    def begin(self) -> None:
-        """Feed others from now on, unless this instance is about to stop."""
+    def start_feeding(self) -> None:
+        """Start feeding other instances unless a planned stop has begun."""
         if not self.feeding and not self._stopping:
-            self._log.event("zone", "feeding", "feeding others of the zone")
+            self._log.event("zone", "feeding", "feeding other instances of the zone")
         self.feeding = not self._stopping
         self._set_watch_wait()
 
-    def end(self) -> None:
-        """Feed others no more: another does."""
+    def end_feeding(self) -> None:
+        """Stop feeding: another instance holds the claim."""
         if self.feeding:
-            self._log.event("zone", "feeding_ended", "another feeds in its place")
+            self._log.event("zone", "feeding_ended", "another instance feeds the zone")
         self.feeding = False
         self._set_watch_wait()
         self.notify()
 
     def stop(self) -> None:
-        """Let those who are fed here look for another feeder, for good."""
+        """Stop feeding for good, so that the fed instances look for another feeder."""
         self._stopping = True
         self.feeding = False
         self.notify()
 
     def notify(self) -> None:
-        """Answer those who wait for news."""
-        waiting, self._changed = self._changed, Event()
+        """Answer the pending polls."""
+        waiting, self._news_event = self._news_event, Event()
         waiting.set()
 
-    def answer(self, query: str) -> Response:
-        """Answer an instance that is fed: at once if there is news for it."""
-        question = ZoneQuestion.read(query)
-        if question is None:
+    def answer_poll(self, query: str) -> Response:
+        """Answer the poll of a fed instance, at once if there is news for it."""
+        poll = ZoneQuestion.read(query)
+        if poll is None:
             return _NOT_FEEDING
-        self._asked_s = steady_now_s()
-        if self.feeding and not self._askers.admit(question.asker, self._asked_s):
+        self._last_request_s = steady_now_s()
+        if self.feeding and not self._fed_instances.admit(
+            poll.asker, self._last_request_s
+        ):
             return json_response(FeederFull(self._name))
-        self._neighbours.heard(question.asker, self._asked_s)
-        self._seen[question.asker] = (self._asked_s, question.seen)
+        self._neighbours.mark_alive(poll.asker, self._last_request_s)
+        self._reports[poll.asker] = (self._last_request_s, poll.seen)
         self._set_watch_wait()
-        alarms = self._alarms
+        alert_number = self._alert_number
         with gevent.Timeout(POLL_WAIT_S, False):
-            while self._may_wait(question, alarms):
-                self._changed.wait()
+            while self._should_wait(poll, alert_number):
+                self._news_event.wait()
         if not self.feeding or not self._core.ready:
             return _NOT_FEEDING
-        if self._is_too_much(question):
+        if self._exceeds_link(poll):
             return json_response(FeederAhead(self._name))
-        return json_response(self._news(question))
+        return json_response(self._make_news(poll))
 
-    def _may_wait(self, question: ZoneQuestion, alarms: int) -> bool:
-        """Whether there is nothing to tell an instance yet."""
-        return self.feeding and self._alarms == alarms and not self._has_news(question)
+    def _should_wait(self, poll: ZoneQuestion, alert_number: int) -> bool:
+        """Return whether there is no news for an instance yet."""
+        return (
+            self.feeding
+            and self._alert_number == alert_number
+            and not self._has_news(poll)
+        )
 
-    def note_seen(self, query: str) -> Response:
-        """Take in what an instance has seen of targets, between its questions."""
-        question = ZoneQuestion.read(query)
-        if question is None or not self.feeding:
+    def receive_report(self, query: str) -> Response:
+        """Receive an instance's report about targets between its polls."""
+        poll = ZoneQuestion.read(query)
+        if poll is None or not self.feeding:
             return _NOT_FEEDING
-        self._seen[question.asker] = (steady_now_s(), question.seen)
-        self.review_seen()
+        self._reports[poll.asker] = (steady_now_s(), poll.seen)
+        self.notify_new_outliers()
         return Response(200)
 
-    def review_seen(self) -> None:
-        """Tell all who are fed at once when one more target fails or is silent."""
+    def notify_new_outliers(self) -> None:
+        """Answer the pending polls when a further target fails or is silent."""
         if not self.feeding:
             return
-        together = self._seen_together()
-        outlier_names = self._core.fitness.outlier_names(steady_now_s())
-        outlier_names |= {told.name for told in together.silent}
-        if not outlier_names <= self._alarming:
-            self._alarms += 1
+        merged = self._merge_zone_reports()
+        outliers = self._core.fitness.outlier_names(steady_now_s())
+        outliers |= {target.name for target in merged.silent}
+        if not outliers <= self._known_outliers:
+            self._alert_number += 1
             self.notify()
-        self._alarming = outlier_names
+        self._known_outliers = outliers
 
-    def _is_too_much(self, question: ZoneQuestion) -> bool:
-        """Whether all of a large registry would have to be told."""
+    def _exceeds_link(self, poll: ZoneQuestion) -> bool:
+        """Return whether the full registry would have to be sent and is too large."""
         registry = self._core.registry
-        if question.registry_revision >= registry.oldest_delta_revision:
+        if poll.registry_revision >= registry.oldest_delta_revision:
             return False
-        return len(registry) > self._whole_targets
+        return len(registry) > self._max_full_targets
 
-    def _seen_together(self) -> FitnessReport:
-        """Add up what instances of the zone see; a silent one tells nothing."""
+    def _merge_zone_reports(self) -> FitnessReport:
+        """Merge the recent reports of the zone's instances and apply the result."""
         now_s = steady_now_s()
         oldest_s = now_s - REPORT_VALID_S
-        self._seen = {a: seen for a, seen in self._seen.items() if seen[0] >= oldest_s}
-        reports = [self._core.seen(now_s), *(seen for _, seen in self._seen.values())]
-        if now_s - self._usual_s >= USUAL_EVERY_S:
-            self._usual_s = now_s
-            self._usual = merge_baselines(
-                each for seen in reports for each in seen.usual
+        self._reports = {
+            a: entry for a, entry in self._reports.items() if entry[0] >= oldest_s
+        }
+        reports = [
+            self._core.seen(now_s),
+            *(report for _, report in self._reports.values()),
+        ]
+        if now_s - self._baselines_at_s >= BASELINE_PERIOD_S:
+            self._baselines_at_s = now_s
+            self._baselines = merge_baselines(
+                each for report in reports for each in report.usual
             )
-        together = merge_reports(reports, self._usual)
-        self._core.on_zone_report(together, now_s)
-        return together
+        merged = merge_reports(reports, self._baselines)
+        self._core.on_zone_report(merged, now_s)
+        return merged
 
-    def _news(self, question: ZoneQuestion) -> ZoneNews:
+    def _make_news(self, poll: ZoneQuestion) -> ZoneNews:
         return ZoneNews(
             self._name,
             self._core.routes.revision,
-            self._change_since(question.config_revision),
-            self._core.registry.news_since(question.registry_revision),
+            self._change_since(poll.config_revision),
+            self._core.registry.news_since(poll.registry_revision),
             heard_before_s(self._feeds.values()),
             heard_before_s([self._feeds[FeedKind.REGISTRY]]),
-            self._seen_together(),
+            self._merge_zone_reports(),
         )
 
     def _change_since(self, revision: int) -> ConfigurationChange | None:
-        if not self._tells_changes:
+        if not self._sends_deltas:
             return None
         return self._core.routes.change_since(revision)
 
-    def _has_news(self, question: ZoneQuestion) -> bool:
+    def _has_news(self, poll: ZoneQuestion) -> bool:
         return (
-            self._core.routes.revision > question.config_revision
-            or self._core.registry.revision > question.registry_revision
+            self._core.routes.revision > poll.config_revision
+            or self._core.registry.revision > poll.registry_revision
         )
 
     def _set_watch_wait(self) -> None:
-        """Keep a short watch of the registry while others are fed.
+        """Hold short watches of the registry while other instances are fed.
 
         The registry changes more often than the configuration, so that the short wait
-        costs fewer calls there.
+        costs fewer extra calls there.
         """
-        asked = steady_now_s() - self._asked_s < UNASKED_S
-        wait_s = self._watch_wait_s if self.feeding and asked else None
-        self._feeds[FeedKind.REGISTRY].hold_watches(wait_s)
+        polled = steady_now_s() - self._last_request_s < REQUEST_IDLE_S
+        wait_s = self._watch_wait_s if self.feeding and polled else None
+        self._feeds[FeedKind.REGISTRY].set_watch_wait(wait_s)
--- a/endivepick/forwarder/forwarder.py
+++ b/endivepick/forwarder/forwarder.py
@@ -1,4 +1,4 @@
-"""A forwarder: its tasks, and how they are tied together."""
+"""Assembles a forwarder from its tasks."""
 
 from __future__ import annotations
 
@@ -20,10 +20,10 @@
 from endivepick.forwarder.http import http_server
 from endivepick.forwarder.logs import BoundedLog
 from endivepick.forwarder.metrics import ForwarderMetrics
-from endivepick.forwarder.news import NewsIntake
+from endivepick.forwarder.news import NewsHandler
 from endivepick.forwarder.packet_path import PacketPath, PathRequests
 from endivepick.forwarder.pages import Pages
-from endivepick.forwarder.peers import PeerFeed
+from endivepick.forwarder.peers import PeerExchange
 from endivepick.forwarder.ports import FeedKind, PacketCodec, StoreDialect
 from endivepick.forwarder.settings import ForwarderSettings
 from endivepick.forwarder.tasks import spawn_supervised
@@ -36,36 +36,37 @@
 __all__ = ["Forwarder"]
 
 TICK_S = 0.1
-"""How often time passes for the core: a fraction of its shortest limit."""
+"""Period of the core's tick, a fraction of the core's shortest limit."""
 PROBE_TIMEOUTS_S = (0.06, 0.2)
-"""Waits for a connection; the slowest path between two zones takes some ten
-milliseconds, and a process may stand still for a tenth of a second when its share of a
-core is used up."""
+"""Timeouts of the connection attempts of a probe. The slowest path between two zones
+takes about ten milliseconds, and a process may be paused for a tenth of a second when
+its CPU quota is used up."""
 PROBE_GAP_S = 0.5
-"""Least time between two probes of a target; each occupies a slot for a millisecond."""
+"""Minimum time between two probes of a target; each occupies a slot for a
+millisecond."""
 LARGEST_OBJECT_MBIT = 8.0
-"""The store's largest object, a megabyte: so much may be on this machine's link before
-the answer to a probe."""
+"""Size of the store's largest object, a megabyte; as much data may precede the answer
+to a probe on this machine's link."""
 STOP_MARGIN_S = 0.5
-"""A planned stop ends that long before the process would be killed: it takes some
-hundredths of a second to end, more on a machine whose share of a core is used up."""
+"""Time between the end of a planned stop and the kill of the process. The process needs
+some hundredths of a second to end, more if its CPU quota is used up."""
 
 
 class Forwarder:
-    """Everything that one process runs.
+    """All tasks and sockets of one forwarder process.
 
     Parameters
     ----------
     settings : ForwarderSettings
         All settings.
     codec : PacketCodec
-        Packets of the fabric.
+        Codec of the fabric's packets.
     dialect : StoreDialect
         The platform's object API.
     log : BoundedLog
-        Where decisions are written.
+        Log of the decisions.
     asked : mapping of socket, default=None
-        Connections on which lists of the store were asked for already, by kind.
+        Connections on which lists of the store were already requested, by kind.
     """
 
     def __init__(
@@ -77,30 +78,32 @@
         asked: Mapping[FeedKind, socket] | None = None,
     ) -> None:
         self.settings = settings
-        self.core = ForwardingCore(_core_settings(settings), random.random)
+        self.core = ForwardingCore(_make_core_settings(settings), random.random)
         self.decisions = DecisionLog(log, ForwarderMetrics())
         self.stopping = False
         self._was_ready = False
         self._started_s = steady_now_s()
-        self._ticked_s = self._started_s
+        self._last_tick_s = self._started_s
         self._dialect = dialect
         self._zone: ZoneMember | None = None
         self._zone_task: gevent.Greenlet | None = None
-        self._news = news = NewsIntake(self.core, self.decisions, self._after_news)
+        self._news = news = NewsHandler(
+            self.core, self.decisions, self._on_news_applied
+        )
         breaker = CircuitBreaker(settings.mechanisms.breaker)
         self._feeds = {
             kind: StoreFeed(
                 settings,
                 kind,
                 dialect,
-                news.on_feed,
+                news.on_store_update,
                 self.decisions,
                 breaker,
                 (asked or {}).get(kind),
             )
             for kind in FeedKind
         }
-        self._peers = PeerFeed(
+        self._peers = PeerExchange(
             settings,
             self.core,
             list(self._feeds.values()),
@@ -108,7 +111,7 @@
             log,
         )
         requests = PathRequests(
-            self._feeds[FeedKind.REGISTRY].list_again, self._peers.hint
+            self._feeds[FeedKind.REGISTRY].request_list, self._peers.hint
         )
         self._path = PacketPath(self.core, codec, dialect, self.decisions, requests)
         self._pages = Pages(
@@ -124,7 +127,7 @@
 
     @property
     def ready(self) -> bool:
-        """Whether the fabric may send flows here."""
+        """Whether the fabric may send flows to this instance."""
         return self.core.ready and not self.stopping
 
     @property
@@ -140,7 +143,7 @@
         Parameters
         ----------
         early : socket, default=None
-            Socket for packets that was bound before.
+            Data socket that was bound before the program was loaded.
         """
         with ExitStack() as stack:
             path = self._path.open(self.settings.data_address, early)
@@ -161,15 +164,15 @@
             yield datagrams
 
     def stop(self) -> None:
-        """Ask the fabric to turn away; packets are forwarded on."""
+        """Report not ready to the fabric and go on forwarding packets."""
         self.stopping = True
         self._peers.stopping = True
         if self._zone is not None:
             self._zone.stop()
-        self.decisions.stop_begun(len(self.core.flows), self.forwards_for_s)
+        self.decisions.log_stop_begin(len(self.core.flows), self.forwards_for_s)
 
-    def _after_news(self) -> None:
-        self._path.perform()
+    def _on_news_applied(self) -> None:
+        self._path.perform_effects()
         if self._zone is not None:
             self._zone.feeder.notify()
         if self.core.ready and not self._was_ready:
@@ -178,16 +181,16 @@
         self.decisions.log.flush()
 
     def _on_first_ready(self) -> None:
-        # What was loaded until now stays: a collection of it would free next to nothing
-        # and keep packets waiting.
+        # Moves the objects loaded so far out of the garbage collector: collecting them
+        # would free almost nothing and delay packets.
         gc.freeze()
         gc.enable()
         targets = sum(1 for _ in self.core.registry)
-        self.decisions.ready(steady_now_s() - self._started_s, targets)
+        self.decisions.log_ready(steady_now_s() - self._started_s, targets)
         self._zone_task = spawn_supervised("zone", self._run_zone, self.decisions)
 
     def _run_zone(self) -> None:
-        """Load what no packet needs once packets are forwarded, then run it."""
+        """Import the zone module, which no packet needs, and run its task."""
         from endivepick.forwarder.zone import ZoneMember
 
         self._zone = ZoneMember(
@@ -211,8 +214,8 @@
         while True:
             gevent.sleep(TICK_S)
             now_s = steady_now_s()
-            late_s = now_s - self._ticked_s - TICK_S
-            self._ticked_s = now_s
+            late_s = now_s - self._last_tick_s - TICK_S
+            self._last_tick_s = now_s
             if late_s > PAUSE_S:
                 self._on_pause(late_s, now_s)
             self.core.on_wall_clock(time.time() - now_s)
@@ -220,20 +223,20 @@
             if registry.lost:
                 self.core.on_registry_unavailable(now_s)
             self.core.tick(now_s, registry.heard_s)
-            self._path.perform()
+            self._path.perform_effects()
             if self._zone is not None:
-                self._zone.tell_seen()
+                self._zone.report_observations()
             self.decisions.metrics.fold()
             self.decisions.log.flush()
 
     def _on_pause(self, paused_s: float, now_s: float) -> None:
-        self.decisions.paused(paused_s)
+        self.decisions.log_pause(paused_s)
         self.core.on_registry_unavailable(now_s)
         for feed in self._feeds.values():
-            feed.list_again()
+            feed.request_list()
 
 
-def _core_settings(settings: ForwarderSettings) -> ForwardingSettings:
+def _make_core_settings(settings: ForwarderSettings) -> ForwardingSettings:
     patience_s = PROBE_TIMEOUTS_S[1] + LARGEST_OBJECT_MBIT / settings.link_mbps
     timeouts_s = (PROBE_TIMEOUTS_S[0], patience_s)
     return ForwardingSettings(
--- a/endivepick/forwarder/news.py
+++ b/endivepick/forwarder/news.py
@@ -1,4 +1,4 @@
-"""Takes what the store and peers tell into the core."""
+"""Applies what the store, the feeder and peers report to the core."""
 
 from collections.abc import Callable
 
@@ -18,41 +18,41 @@
     check_target,
 )
 
-__all__ = ["NewsIntake"]
+__all__ = ["NewsHandler"]
 
 STORE, FEEDER, PEER = "store", "feeder", "peer"
-"""Who told of a configuration, for the log."""
+"""Sources of a configuration, for the log."""
 
 
-class NewsIntake:
-    """Hands news to the core, and has what it decides carried out.
+class NewsHandler:
+    """Passes news to the core and triggers the effects of its decisions.
 
     Parameters
     ----------
     core : ForwardingCore
-        Takes the news in.
+        Core to which the news are applied.
     decisions : DecisionLog
-        Where news are written.
-    after : callable
-        Called when all of a message was taken in.
+        Log of the news.
+    on_applied : callable
+        Called after each message has been applied.
     """
 
     def __init__(
         self,
         core: ForwardingCore,
         decisions: DecisionLog,
-        after: Callable[[], None],
+        on_applied: Callable[[], None],
     ) -> None:
         self._core = core
         self._decisions = decisions
-        self._after = after
+        self._on_applied = on_applied
 
-    def on_feed(self, news: FeedList | FeedChanges) -> None:
-        """Take in what a feed read."""
+    def on_store_update(self, news: FeedList | FeedChanges) -> None:
+        """Apply a list or changes that a feed read."""
         now_s = steady_now_s()
         for item in news.items:
             if isinstance(item, UnreadableItem):
-                self._decisions.unreadable(news.kind, item)
+                self._decisions.log_unreadable(news.kind, item)
         match news:
             case FeedList(kind=FeedKind.REGISTRY, items=items):
                 targets = [item for item in items if isinstance(item, Target)]
@@ -66,31 +66,31 @@
                 self._on_items(news, now_s)
         if news.kind is FeedKind.REGISTRY:
             self._core.on_registry_revision(news.revision)
-        self._after()
+        self._on_applied()
 
     def on_zone_news(
         self, registry: RegistryNews, change: ConfigurationChange | None
     ) -> None:
-        """Take in what the zone's feeder tells.
+        """Apply the news of the zone's feeder.
 
         Parameters
         ----------
         registry : RegistryNews
-            What changed in the registry.
+            Changes of the registry.
         change : ConfigurationChange or None
-            What changed in the configuration, as far as the feeder can tell.
+            Delta of the configuration, if the feeder can compute it.
         """
         now_s = steady_now_s()
         newer = registry.revision > self._core.registry.revision
         if change is not None:
             self._on_change(change, now_s)
         if newer:
-            self._core.on_registry_news(self._usable(registry), now_s)
+            self._core.on_registry_news(self._mark_invalid(registry), now_s)
         if newer or change is not None:
-            self._after()
+            self._on_applied()
 
     def on_snapshot(self, snapshot: PeerSnapshot) -> None:
-        """Take in what a peer knows, as far as it is newer."""
+        """Apply the parts of a peer's snapshot that are newer."""
         now_s = steady_now_s()
         configuration, revision = snapshot.configuration, snapshot.registry_revision
         known = self._core.routes.configuration
@@ -100,19 +100,19 @@
             self._on_configuration(configuration, now_s, PEER)
         if snapshot.targets is not None and revision >= self._core.registry.revision:
             removed = [RemovedTarget(n, revision, True) for n in snapshot.unreadable]
-            told = RegistryNews(snapshot.targets, removed, True, revision)
-            usable = self._usable(told)
+            received = RegistryNews(snapshot.targets, removed, True, revision)
+            usable = self._mark_invalid(received)
             unreadable = [each.name for each in usable.removed]
             self._core.on_target_list(
                 usable.targets, revision, now_s, unreadable=unreadable
             )
-        self._decisions.snapshot(
+        self._decisions.log_snapshot(
             snapshot.name,
             configuration.version if configuration is not None else None,
             revision,
             snapshot.heard_before_s,
         )
-        self._after()
+        self._on_applied()
 
     def _on_items(self, news: FeedList | FeedChanges, now_s: float) -> None:
         for item in news.items:
@@ -128,30 +128,31 @@
                 case _:
                     pass
 
-    def _usable(self, told: RegistryNews) -> RegistryNews:
-        """Return what another instance told, its unusable entries as unreadable.
+    def _mark_invalid(self, received: RegistryNews) -> RegistryNews:
+        """Return another instance's news with its invalid entries as unreadable.
 
-        One of another build may pass on what is not taken here.
+        An instance of another build may forward entries that this build does not
+        accept.
         """
         targets: list[Target] = []
-        removed = list(told.removed)
-        for target in told.targets:
+        removed = list(received.removed)
+        for target in received.targets:
             try:
                 check_target(target)
             except ValueError as error:
                 item = UnreadableItem(target.name, str(error), target.revision)
-                self._decisions.unreadable(FeedKind.REGISTRY, item)
+                self._decisions.log_unreadable(FeedKind.REGISTRY, item)
                 removed.append(RemovedTarget(item.name, item.revision, True))
             else:
                 targets.append(target)
-        return RegistryNews(targets, removed, told.whole, told.revision)
+        return RegistryNews(targets, removed, received.whole, received.revision)
 
     def _on_change(self, change: ConfigurationChange, now_s: float) -> None:
         known = self._core.routes.configuration
         configuration = None if known is None else apply_change(known, change)
         if configuration is None:
-            # The version that the feeder has is read from the store instead.
-            self._decisions.change_unfit(change, self._core.routes.revision)
+            # The configuration is read from the store instead.
+            self._decisions.log_unfit_change(change, self._core.routes.revision)
         else:
             self._on_configuration(configuration, now_s, FEEDER)
 
@@ -159,9 +160,9 @@
         self, configuration: Configuration, now_s: float, learnt_from: str
     ) -> None:
         in_force = self._core.on_configuration(configuration, now_s)
-        self._decisions.configuration(configuration, in_force, learnt_from)
+        self._decisions.log_configuration(configuration, in_force, learnt_from)
 
 
 def _is_entry(kind: FeedKind, name: str) -> bool:
-    """Whether an unreadable object is an entry of the registry that can be named."""
+    """Return whether an unreadable object is a registry entry with a known name."""
     return kind is FeedKind.REGISTRY and bool(name)
--- a/endivepick/forwarder/packet_path.py
+++ b/endivepick/forwarder/packet_path.py
@@ -1,4 +1,4 @@
-"""The way of packets: decode, decide, carry out."""
+"""Decodes packets, passes them to the core and performs the core's decisions."""
 
 from collections.abc import Callable, Iterator
 from contextlib import contextmanager
@@ -34,22 +34,25 @@
 __all__ = ["PacketPath", "PathRequests"]
 
 _NOT_SENT = "not_sent"
-"""The kernel did not take the packet."""
-HINT_WITHIN_S = 0.05
-"""A verdict is told to peers when it is new, not each time it is confirmed."""
-HINT_MEMORY_S = 2.0
-"""A probe that follows a peer's word ends within some tenths of a second."""
+"""Reason of a drop: the kernel did not accept the packet."""
+MAX_VERDICT_AGE_S = 0.05
+"""Maximum age of a verdict that is sent to peers, so that it is sent when it is new and
+not each time it is confirmed."""
+HINT_VALID_S = 2.0
+"""Time for which a verdict is attributed to a peer's hint; the probe that follows a
+hint ends within some tenths of a second."""
 
 
 class PathRequests(Struct, frozen=True):
-    """What the path asks other tasks for.
+    """Requests of the packet path to other tasks.
 
     Attributes
     ----------
     read_registry : callable
-        Reads the registry now, without waiting.
+        Reads the registry now, without blocking.
     hint_peers : callable
-        Tells peers that a target does not answer, and whether that was found out here.
+        Notifies peers that a target does not answer, and whether this instance detected
+        it.
     """
 
     read_registry: Callable[[], None]
@@ -57,20 +60,20 @@
 
 
 class PacketPath:
-    """Owns the socket for packets and carries out what the core decides.
+    """Owns the data socket and performs the effects of the core.
 
     Parameters
     ----------
     core : ForwardingCore
-        Decides.
+        Makes the decisions.
     codec : PacketCodec
-        Packets of the fabric.
+        Codec of the fabric's packets.
     dialect : StoreDialect
-        Reads answers of health checks.
+        Decodes answers of health checks.
     decisions : DecisionLog
-        Where decisions are written.
+        Log of the decisions.
     requests : PathRequests
-        Other tasks.
+        Requests to other tasks.
     """
 
     def __init__(
@@ -94,19 +97,19 @@
     def open(
         self, address: str, early: socket | None = None
     ) -> Iterator[DatagramSocket]:
-        """Read packets while the context is open.
+        """Receive packets while the context is open.
 
         Parameters
         ----------
         address : str
-            Where to bind; callers listen at the same port.
+            Address to bind; callers listen at the same port.
         early : socket, default=None
-            Socket that was bound before.
+            Socket that was bound before the program was loaded.
         """
         with datagram_socket(
             address,
             self._on_packet,
-            self._decisions.packet_failed,
+            self._decisions.log_packet_error,
             self._metrics.batch,
             steady_now_s,
             early,
@@ -114,45 +117,45 @@
             self._datagrams = datagrams
             yield datagrams
 
-    def perform(self) -> None:
-        """Carry out the core's effects, and say what it decided."""
+    def perform_effects(self) -> None:
+        """Perform the effects of the core and log its decisions."""
         effects, self._core.effects[:] = list(self._core.effects), []
         for effect in effects:
             match effect:
                 case DecisionRecord():
-                    self._decisions.note(effect)
+                    self._decisions.log_decision(effect)
                 case BeliefChange():
-                    self._decisions.belief_change(effect)
+                    self._decisions.log_belief_change(effect)
                 case FaultConfirmed():
-                    self._decisions.fault_confirmed(effect)
+                    self._decisions.log_fault_confirmed(effect)
                 case Reset():
-                    self._decisions.reset_with_target(effect)
+                    self._decisions.log_target_reset(effect)
                     self._reset(effect)
                 case Release(data, verdict):
-                    self._carry_out(verdict, data)
+                    self._apply_verdict(verdict, data)
                 case ProbeTarget():
                     self._probe(effect)
                 case ReadRegistry():
                     self._requests.read_registry()
 
     def on_hint(self, target: str) -> None:
-        """Take in a peer's word that a target does not answer."""
-        self._decisions.hint(target)
+        """Handle a peer's hint that a target does not answer."""
+        self._decisions.log_hint(target)
         self._core.on_hint(target, steady_now_s())
-        self.perform()
+        self.perform_effects()
 
     def _on_packet(self, data: bytes, now_s: float) -> None:
         try:
             packet = self._codec.decode(data)
         except PacketInvalidError as error:
-            self._decisions.malformed(error, len(data))
+            self._decisions.log_malformed(error, len(data))
             return
-        self._carry_out(self._core.on_packet(packet, data, now_s), data)
+        self._apply_verdict(self._core.on_packet(packet, data, now_s), data)
         if self._core.effects:
-            self.perform()
+            self.perform_effects()
             self._decisions.log.flush()
 
-    def _carry_out(self, verdict: Verdict, data: bytes) -> None:
+    def _apply_verdict(self, verdict: Verdict, data: bytes) -> None:
         match verdict:
             case Forward(belief):
                 self._forward(data, belief)
@@ -190,25 +193,25 @@
         )
 
     def _on_probe(self, result: ProbeResult) -> None:
-        self._decisions.probe(result)
+        self._decisions.log_probe(result)
         self._core.on_probe(result, steady_now_s())
         if result.outcome in (ProbeOutcome.REFUSED, ProbeOutcome.REPLACED):
             self._hint_if_new(result.target)
-        self.perform()
+        self.perform_effects()
         self._decisions.log.flush()
 
     def _hint_if_new(self, target: str) -> None:
-        """Tell peers of a target that has just been found dead.
+        """Notify peers of a target that has just been found dead.
 
-        Of one that drains the registry tells all, and hints of each end from every
-        instance would be some thousand a second while targets are replaced.  Silence
-        is not told: it may be our own link that is full, and peers that all probe
-        because of it would fill theirs.
+        A draining target is announced by the registry; hints from every instance at the
+        end of each would add up to some thousand a second while targets are replaced.
+        Silence is not reported: this instance's own link may be saturated, and the
+        probes of all notified peers would saturate theirs.
         """
         belief = self._core.registry.get(target)
         if belief is None or not belief.takes_flows:
             return
         now_s = steady_now_s()
-        if belief.reachability_since_s >= now_s - HINT_WITHIN_S:
-            found_here = belief.hinted_s < now_s - HINT_MEMORY_S
+        if belief.reachability_since_s >= now_s - MAX_VERDICT_AGE_S:
+            found_here = belief.hinted_s < now_s - HINT_VALID_S
             self._requests.hint_peers(target, found_here)
--- a/endivepick/forwarder/pages.py
+++ b/endivepick/forwarder/pages.py
@@ -1,4 +1,4 @@
-"""What a forwarder answers over HTTP: readiness, metrics, status, peers."""
+"""Serves readiness, metrics, status and the messages of peers over HTTP."""
 
 from __future__ import annotations
 
@@ -13,10 +13,10 @@
 from endivepick.forwarder.feed import StoreFeed
 from endivepick.forwarder.http import Response, json_response
 from endivepick.forwarder.metrics import render_page
-from endivepick.forwarder.peers import PeerFeed
+from endivepick.forwarder.peers import PeerExchange
 from endivepick.forwarder.ports import FeedKind
 from endivepick.forwarder.settings import ForwarderSettings
-from endivepick.forwarder.status import status_of
+from endivepick.forwarder.status import build_status
 from endivepick.forwarding import ForwardingCore
 
 if TYPE_CHECKING:
@@ -26,27 +26,26 @@
 
 
 class Pages:
-    """Answers by path, the same at all of a forwarder's TCP addresses.
+    """Answers requests by path, the same at all TCP addresses of a forwarder.
 
     Parameters
     ----------
     settings : ForwarderSettings
         Path of the readiness page.
     core : ForwardingCore
-        What is known.
+        Routes, registry and flows.
     feeds : mapping of FeedKind to StoreFeed
-        How long ago the store answered.
-    peer_feed : PeerFeed
+        Times of the store's last answers.
+    peer_exchange : PeerExchange
         Answers peers.
     zone : callable
-        Returns what answers those of the zone that are fed here, None before it is
-        loaded.
+        Returns the zone task, None before it is loaded.
     decisions : DecisionLog
-        Counters and the log's own loss.
+        Metrics, and the number of dropped log lines.
     on_hint : callable
-        Called with a target that a peer says does not answer.
+        Called with the name of a target that does not answer a peer.
     ready : callable
-        Whether the fabric may send flows here.
+        Returns whether the fabric may send flows to this instance.
     """
 
     def __init__(
@@ -54,7 +53,7 @@
         settings: ForwarderSettings,
         core: ForwardingCore,
         feeds: Mapping[FeedKind, StoreFeed],
-        peer_feed: PeerFeed,
+        peer_exchange: PeerExchange,
         zone: Callable[[], ZoneMember | None],
         decisions: DecisionLog,
         on_hint: Callable[[str], None],
@@ -63,7 +62,7 @@
         self._settings = settings
         self._core = core
         self._feeds = feeds
-        self._peers = peer_feed
+        self._peers = peer_exchange
         self._zone = zone
         self._decisions = decisions
         self._on_hint = on_hint
@@ -81,22 +80,24 @@
                 return self._peers.answer(path, query)
             case peers.NEWS_PATH:
                 zone = self._zone()
-                return Response(404) if zone is None else zone.feeder.answer(query)
+                return Response(404) if zone is None else zone.feeder.answer_poll(query)
             case peers.SEEN_PATH:
                 zone = self._zone()
-                return Response(404) if zone is None else zone.feeder.note_seen(query)
+                return (
+                    Response(404) if zone is None else zone.feeder.receive_report(query)
+                )
             case "/metrics":
                 return self._metrics()
             case "/status":
-                return json_response(status_of(self._core, steady_now_s()))
+                return json_response(build_status(self._core, steady_now_s()))
             case _:
                 return Response(404)
 
     def _metrics(self) -> Response:
         metrics = self._decisions.metrics
         metrics.counts["log_lines_dropped", "all"] = self._decisions.log.lines_dropped
-        # The library is loaded by the first reader: beside the packets, not in
-        # their way.
+        # Rendered in another thread, since the first call imports a library, which
+        # would delay packets.
         pool = gevent.get_hub().threadpool
         counted = (metrics.snapshot(), self._gauges())
         return Response(200, pool.apply(render_page, counted))
--- a/endivepick/forwarder/peers.py
+++ b/endivepick/forwarder/peers.py
@@ -1,10 +1,10 @@
-"""What forwarders tell each other while the store is out of reach.
+"""Exchanges knowledge between forwarders while the store is unreachable.
 
-Load pattern: instances are restarted while the store refuses them.  The fabric turns
-to all instances of a zone once fewer than half of them are ready, so those that know
-nothing would lose most packets of their zone; an instance that was cut off for long
-would go on with old routes and targets.  Any peer's knowledge is better than none, and
-the store's revisions say which of two is newer.
+Load pattern: instances are restarted while the store refuses their calls. The fabric
+sends flows to all instances of a zone once fewer than half of them are ready, so
+instances without routes and targets would drop most packets of their zone; an instance
+that was cut off for long would use old routes and targets. The knowledge of any peer is
+better than none, and the store's revisions show which of two states is newer.
 """
 
 import random
@@ -20,9 +20,9 @@
 from endivepick.clock import steady_now_s
 from endivepick.errors import EndivepickError
 from endivepick.forwarder.feed import StoreFeed, heard_before_s
-from endivepick.forwarder.http import Response, json_response, query_fields
+from endivepick.forwarder.http import Response, json_response, parse_query
 from endivepick.forwarder.logs import BoundedLog
-from endivepick.forwarder.peer_book import MAX_PEERS, Neighbours, PeerBook
+from endivepick.forwarder.peer_book import MAX_PEERS, Neighbours, PeerDirectory
 from endivepick.forwarder.settings import ForwarderSettings
 from endivepick.forwarding import Configuration, ForwardingCore, Target, TargetState
 from endivepick.store import store_connection
@@ -33,66 +33,69 @@
     "NEWS_PATH",
     "SNAPSHOT_PATH",
     "SEEN_PATH",
-    "PeerFeed",
+    "PeerExchange",
     "PeerSnapshot",
-    "asks_peers",
+    "should_query_peers",
 ]
 
 SNAPSHOT_PATH = "/peers/snapshot"
 HELLO_PATH = "/peers/hello"
 NEWS_PATH = "/peers/news"
-"""What a feeder answers, see `endivepick.forwarder.zone`."""
+"""Path of a feeder's news, see `endivepick.forwarder.zone`."""
 SEEN_PATH = "/peers/seen"
-"""What an instance that is fed has seen of targets, for its feeder."""
+"""Path of a follower's reports about targets to its feeder."""
 HINT_PATH = "/peers/hint/"
-"""Followed by the name of a target that does not answer."""
+"""Prefix of a hint, followed by the name of a target that does not answer."""
 _FROM = "from"
 _CONFIG = "config"
 _REGISTRY = "registry"
-"""Fields of a question: who asks, and the revisions that it knows."""
-TOLD_PEERS = 8
-"""Peers that are told to another, the last heard first."""
-MAX_ASKED = 8
-"""Peers that are asked in one round."""
-ASK_AFTER_S = 0.3
-"""Wait for the store before peers are asked; it answers within milliseconds."""
-ASK_EVERY_S = 1.0
-"""How often a peer is asked while the store is out of reach; a third of the time in
-which a change has to be in force."""
-HELLO_EVERY_S = 10.0
-"""How often one peer is greeted, so that peers know of each other in time."""
-MAX_HINTS = 16
-"""Hints under way at a time; more are left out, since in a partition most fail."""
-PASSED_ON = 3
-"""Peers to whom a hint is passed on; told by each to three, it reaches nearly all."""
-MAX_GREETINGS = 16
-"""Greetings of lost neighbours under way at a time."""
+"""Query fields: the address of the caller, and the revisions that it knows."""
+MAX_SHARED_PEERS = 8
+"""Maximum number of peers in an answer, the most recently active first."""
+MAX_QUERIED_PEERS = 8
+"""Maximum number of peers that are queried in one round."""
+INITIAL_STORE_WAIT_S = 0.3
+"""Time for which the store is awaited before peers are queried; it answers within
+milliseconds."""
+PEER_QUERY_PERIOD_S = 1.0
+"""Period of the queries while the store is unreachable; a third of the time within
+which a change must be in force."""
+HELLO_PERIOD_S = 10.0
+"""Period at which one peer is sent a hello, so that peers learn of each other in
+time."""
+MAX_PENDING_HINTS = 16
+"""Maximum number of hints in progress; more are dropped, since in a partition most
+fail."""
+HINT_FAN_OUT = 3
+"""Number of peers to which a received hint is forwarded; with a fan-out of three, it
+reaches nearly all instances."""
+MAX_PENDING_HELLOS = 16
+"""Maximum number of hellos to lost neighbours in progress."""
 CALL_TIMEOUT_S = 0.5
-"""Longest wait for a peer; the next one is asked then."""
+"""Timeout of a call to a peer, after which the next one is queried."""
 
 
 class PeerSnapshot(Struct, frozen=True):
-    """What a forwarder knows, with the store's revisions.
+    """Knowledge of a forwarder, with the store's revisions.
 
     Attributes
     ----------
     name : str
-        Who tells it.
+        Name of the instance that answers.
     configuration : Configuration or None
-        Configuration in force there; None if the asker has it.
+        Configuration in force there; None if the caller has it.
     targets : list of Target or None
-        Entries of the registry that are believed there; None if the asker knows as
-        much.
+        Valid registry entries there; None if the caller's revision is as new.
     registry_revision : int
-        Revision of the store up to which they are known.
+        Revision of the store up to which the entries are known.
     heard_before_s : float
-        How long ago the store answered there, in seconds.
+        Time since the store last answered there, in seconds.
     store_lost : bool
-        Whether the store is out of reach there as well.
+        Whether the store is unreachable from there as well.
     peers : list of str
-        Peers that it knows.
+        Addresses of peers known there.
     unreadable : list of str
-        Entries of the registry that are there and cannot be read.
+        Names of registry entries that exist and cannot be read.
     """
 
     name: str
@@ -109,40 +112,41 @@
 _read_peers = msgspec.json.Decoder(list[str])
 
 
-def asks_peers(ready: bool, store_lost: bool, arriving: bool) -> bool:
-    """Whether peers are asked for what they know.
+def should_query_peers(ready: bool, store_lost: bool, arriving: bool) -> bool:
+    """Return whether to query peers for their knowledge.
 
     Load pattern: hundreds of instances start at once, and the lists of thousands of
-    targets take longer to arrive than an instance waits before it asks.  What a peer
-    knows is as long, and all would ask the same few peers, whose links that fills.
+    targets take longer to arrive than an instance waits before it queries peers. A
+    peer's snapshot is as large as these lists, and the queries of all instances would
+    saturate the links of the same few peers.
 
     Parameters
     ----------
     ready : bool
-        Routes and targets are known.
+        Whether routes and targets are known.
     store_lost : bool
-        The store did not answer the last call.
+        Whether the last call of the store failed.
     arriving : bool
-        Part of a list of the store came just now.
+        Whether part of a list of the store has just arrived.
     """
     return store_lost or not (ready or arriving)
 
 
-class PeerFeed:
-    """Task that learns from peers, and answers theirs.
+class PeerExchange:
+    """Task that learns from peers and answers their queries.
 
     Parameters
     ----------
     settings : ForwarderSettings
-        Name, own address, and peers to begin with.
+        Name, own address, and seed peers.
     core : ForwardingCore
-        What is known here.
+        Routes and registry of this instance.
     feeds : sequence of StoreFeed
-        How the store is reached.
-    take : callable
-        Called with a snapshot of a peer.
+        State of the connections to the store.
+    apply_snapshot : callable
+        Called with a peer's snapshot.
     log : BoundedLog
-        Where it says what it learnt.
+        Log of the exchanges.
     """
 
     def __init__(
@@ -150,87 +154,89 @@
         settings: ForwarderSettings,
         core: ForwardingCore,
         feeds: Sequence[StoreFeed],
-        take: Callable[[PeerSnapshot], None],
+        apply_snapshot: Callable[[PeerSnapshot], None],
         log: BoundedLog,
     ) -> None:
         self._name = settings.name
-        self._used = settings.mechanisms
-        self._own = settings.reached_at
+        self._mechanisms = settings.mechanisms
+        self._own_address = settings.advertised_address
         self._core = core
         self._feeds = feeds
-        self._take = take
+        self._apply_snapshot = apply_snapshot
         self._log = log
-        self.book = PeerBook(self._own, settings.seeds)
+        self.directory = PeerDirectory(self._own_address, settings.seeds)
         self.neighbours = Neighbours()
         self.stopping = False
-        """A neighbour that stops is to be greeted again when it has started."""
-        self._hints = Pool(MAX_HINTS)
-        self._greetings = Pool(MAX_GREETINGS)
-        self._found = Event()
+        """Whether hellos are refused, so that neighbours go on sending them until this
+        instance has started again."""
+        self._pending_hints = Pool(MAX_PENDING_HINTS)
+        self._pending_hellos = Pool(MAX_PENDING_HELLOS)
+        self._peer_heard = Event()
 
     def run(self) -> None:
-        """Greet peers now and then; ask them while the store is out of reach."""
-        gevent.sleep(ASK_AFTER_S)
+        """Send hellos periodically; query peers while the store is unreachable."""
+        gevent.sleep(INITIAL_STORE_WAIT_S)
         until_hello_s = 0.0
         while True:
-            self._found.clear()
-            self._greet_lost()
-            if asks_peers(self._core.ready, self._store_lost, self._arriving):
-                self._ask()
+            self._peer_heard.clear()
+            self._hello_lost_neighbours()
+            if should_query_peers(self._core.ready, self._store_lost, self._arriving):
+                self._query_peers()
             elif until_hello_s <= 0:
-                self._greet()
-                until_hello_s = HELLO_EVERY_S
-            self._found.wait(ASK_EVERY_S)
-            until_hello_s -= ASK_EVERY_S
+                self._hello_recent_peer()
+                until_hello_s = HELLO_PERIOD_S
+            self._peer_heard.wait(PEER_QUERY_PERIOD_S)
+            until_hello_s -= PEER_QUERY_PERIOD_S
 
     def hint(self, target: str, found_here: bool) -> None:
-        """Tell peers that a target does not answer, so that each sees for itself.
+        """Notify peers that a target does not answer, so that each verifies it.
 
-        Each instance meets few of a target's flows; without a hint each loses a
-        request of its own before it looks.  Whoever was told passes the word on to few,
-        so that it costs a large fleet some messages for an instance, not for each pair.
+        Each instance handles few of a target's flows; without a hint, each would lose a
+        request of its own before it probes the target. An instance that received the
+        hint forwards it to few peers, so that the number of messages grows with the
+        instances of a fleet and not with the pairs of instances.
 
         Parameters
         ----------
         target : str
-            The target.
+            Name of the target.
         found_here : bool
-            No peer had told it before.
+            Whether this instance detected it, rather than a peer.
         """
-        if not self._used.hints:
+        if not self._mechanisms.hints:
             return
-        peers = self.book.recent(MAX_PEERS)
+        peers = self.directory.list_recent(MAX_PEERS)
         if not found_here:
-            peers = random.sample(peers, min(PASSED_ON, len(peers)))
+            peers = random.sample(peers, min(HINT_FAN_OUT, len(peers)))
         for address in peers:
-            if self._hints.free_count() > 0:
-                self._hints.spawn(self._call, address, HINT_PATH + target)
+            if self._pending_hints.free_count() > 0:
+                self._pending_hints.spawn(self._call, address, HINT_PATH + target)
 
     def answer(self, path: str, query: str) -> Response:
-        """Answer a peer."""
-        fields = query_fields(query)
+        """Answer a peer's hello or query."""
+        fields = parse_query(query)
         if _is_address(fields.get(_FROM, "")):
-            self.book.heard(fields[_FROM])
+            self.directory.mark_alive(fields[_FROM])
             if not self._core.ready:
-                self._found.set()
+                self._peer_heard.set()
         if path == HELLO_PATH and self.stopping:
             return Response(503)
         if path == HELLO_PATH:
-            return json_response(self.book.recent(TOLD_PEERS))
-        known = (_number(fields, _CONFIG), _number(fields, _REGISTRY))
-        snapshot = self._snapshot(*known)
+            return json_response(self.directory.list_recent(MAX_SHARED_PEERS))
+        known = (_parse_number(fields, _CONFIG), _parse_number(fields, _REGISTRY))
+        snapshot = self._make_snapshot(*known)
         return Response(503) if snapshot is None else json_response(snapshot)
 
     @property
     def _arriving(self) -> bool:
-        return any(feed.arriving(ASK_AFTER_S) for feed in self._feeds)
+        return any(feed.is_receiving_list(INITIAL_STORE_WAIT_S) for feed in self._feeds)
 
     @property
     def _store_lost(self) -> bool:
         return any(feed.lost for feed in self._feeds)
 
-    def _snapshot(self, config: int, registry: int) -> PeerSnapshot | None:
-        """Return what is newer than the asker's revisions, None if not ready."""
+    def _make_snapshot(self, config: int, registry: int) -> PeerSnapshot | None:
+        """Return what is newer than the caller's revisions, None if not ready."""
         configuration = self._core.routes.configuration
         if configuration is None or not self._core.ready:
             return None
@@ -238,88 +244,92 @@
         return PeerSnapshot(
             self._name,
             configuration if newer else None,
-            self._targets() if self._core.registry.revision > registry else None,
+            self._list_targets() if self._core.registry.revision > registry else None,
             self._core.registry.revision,
             heard_before_s(self._feeds),
             self._store_lost,
-            self.book.recent(TOLD_PEERS),
+            self.directory.list_recent(MAX_SHARED_PEERS),
             [b.name for b in self._core.registry if b.state is TargetState.UNREADABLE],
         )
 
-    def _targets(self) -> list[Target]:
+    def _list_targets(self) -> list[Target]:
         named = (TargetState.READY, TargetState.DRAINING, TargetState.LAPSED)
         return [b.target for b in self._core.registry if b.state in named]
 
-    def _greet(self) -> None:
-        for address in self.book.recent(1):
-            self._hello(address)
+    def _hello_recent_peer(self) -> None:
+        for address in self.directory.list_recent(1):
+            self._send_hello(address)
 
-    def _greet_lost(self) -> None:
-        """Greet neighbours that have fallen silent, beside all else."""
-        if not self._used.greet_neighbours:
+    def _hello_lost_neighbours(self) -> None:
+        """Send hellos to silent neighbours in the background."""
+        if not self._mechanisms.greet_neighbours:
             return
-        for address in self.neighbours.lost(steady_now_s()):
-            if self._greetings.free_count() > 0:
-                self._greetings.spawn(self._greet_back, address)
+        for address in self.neighbours.find_lost(steady_now_s()):
+            if self._pending_hellos.free_count() > 0:
+                self._pending_hellos.spawn(self._hello_neighbour, address)
 
-    def _greet_back(self, address: str) -> None:
-        if self._hello(address):
-            self.neighbours.greeted(address)
+    def _hello_neighbour(self, address: str) -> None:
+        if self._send_hello(address):
+            self.neighbours.mark_found(address)
             self._log.event(
-                "peer", "neighbour_found", "lost neighbour answers", peer=address
+                "peer",
+                "neighbour_found",
+                "silent neighbour answers again",
+                peer=address,
             )
 
-    def _hello(self, address: str) -> bool:
-        """Greet a peer, and learn of others; returns whether it answered."""
-        body = self._call(address, f"{HELLO_PATH}?{_FROM}={self._own}")
+    def _send_hello(self, address: str) -> bool:
+        """Send a hello to a peer and learn of others; return whether it answered."""
+        body = self._call(address, f"{HELLO_PATH}?{_FROM}={self._own_address}")
         if body is None:
             return False
         try:
-            self._learn(_read_peers.decode(body))
+            self._add_candidates(_read_peers.decode(body))
         except msgspec.MsgspecError as error:
-            # A peer of another build; it lives all the same.
-            self._say_failed(address, str(error))
+            # A peer of another build; it is alive all the same.
+            self._log_failure(address, str(error))
         return True
 
-    def _ask(self) -> None:
-        """Ask one peer after the other until one is in touch with the store."""
-        # At random, so that the few that all know do not get the questions of all.
-        peers = self.book.recent(MAX_PEERS)
-        asked = random.sample(peers, k=min(MAX_ASKED, len(peers)))
-        helped = False
-        likely = asked if self._core.ready else self._answering(asked)
-        for address in likely:
-            body = self._call(address, f"{SNAPSHOT_PATH}?{self._question()}")
+    def _query_peers(self) -> None:
+        """Query peers in turn until one has contact with the store."""
+        # The random choice spreads the queries beyond the few peers that all instances
+        # know.
+        peers = self.directory.list_recent(MAX_PEERS)
+        queried = random.sample(peers, k=min(MAX_QUERIED_PEERS, len(peers)))
+        answered = False
+        candidates = queried if self._core.ready else self._find_responsive(queried)
+        for address in candidates:
+            body = self._call(address, f"{SNAPSHOT_PATH}?{self._format_query()}")
             if body is None:
                 continue
             try:
                 snapshot = _read_snapshot.decode(body)
             except msgspec.MsgspecError as error:
                 # A peer of another build; the others may be of this one.
-                self._say_failed(address, str(error))
+                self._log_failure(address, str(error))
                 continue
-            self._learn(snapshot.peers)
-            self._take(snapshot)
-            helped = True
+            self._add_candidates(snapshot.peers)
+            self._apply_snapshot(snapshot)
+            answered = True
             if not snapshot.store_lost:
                 return
-        if not helped:
+        if not answered:
             self._log.warning(
                 "peer",
                 "peers_silent",
-                "no peer could be asked",
-                peers=len(asked),
+                "no peer answered",
+                peers=len(queried),
                 ready=self._core.ready,
             )
 
-    def _answering(self, addresses: Sequence[str]) -> Iterator[str]:
-        """Greet some peers at once, and yield those that answer, the first first.
+    def _find_responsive(self, addresses: Sequence[str]) -> Iterator[str]:
+        """Send hellos to several peers at once and yield those that answer first.
 
-        One that has just started knows little else than seeds.  Asked one after the
-        other, those in other zones would take half a second each in a partition.
+        An instance that has just started knows little more than its seeds. Querying
+        them in turn would take half a second for each seed in a zone that is cut off.
         """
         greetings = {
-            gevent.spawn(self._hello, address): address for address in addresses
+            gevent.spawn(self._send_hello, address): address for address in addresses
         }
         try:
             for greeting in gevent.iwait(list(greetings)):
@@ -328,29 +338,29 @@
         finally:
             gevent.killall(list(greetings), block=False)
 
-    def _question(self) -> str:
+    def _format_query(self) -> str:
         config = self._core.routes.revision
         registry = self._core.registry.revision if self._core.registry.known else 0
-        return f"{_FROM}={self._own}&{_CONFIG}={config}&{_REGISTRY}={registry}"
+        return f"{_FROM}={self._own_address}&{_CONFIG}={config}&{_REGISTRY}={registry}"
 
-    def _learn(self, addresses: Sequence[str]) -> None:
+    def _add_candidates(self, addresses: Sequence[str]) -> None:
         for address in addresses:
-            self.book.told(address)
+            self.directory.add_candidate(address)
 
     def _call(self, address: str, path: str) -> bytes | None:
         try:
             with store_connection(address) as connection:
                 body = connection.get(path, CALL_TIMEOUT_S)
         except (EndivepickError, ValueError) as error:
-            self.book.failed(address)
-            self._say_failed(address, str(error))
+            self.directory.mark_failed(address)
+            self._log_failure(address, str(error))
             return None
-        self.book.heard(address)
+        self.directory.mark_alive(address)
         return body
 
-    def _say_failed(self, address: str, error: str) -> None:
+    def _log_failure(self, address: str, error: str) -> None:
         self._log.event(
-            "peer", "peer_failed", "peer did not help", peer=address, error=error
+            "peer", "peer_failed", "call of a peer failed", peer=address, error=error
         )
 
 
@@ -362,6 +372,6 @@
     return True
 
 
-def _number(fields: dict[str, str], key: str) -> int:
+def _parse_number(fields: dict[str, str], key: str) -> int:
     text = fields.get(key, "")
     return int(text) if text.isascii() and text.isdigit() else 0
--- a/endivepick/forwarder/probes.py
+++ b/endivepick/forwarder/probes.py
@@ -1,4 +1,4 @@
-"""Probes of single targets, each in a task of its own."""
+"""Probes single targets, each in its own task."""
 
 from collections.abc import Callable, Iterator
 from contextlib import contextmanager
@@ -22,22 +22,22 @@
 __all__ = ["ANSWER_TIMEOUT_S", "probe_target"]
 
 ANSWER_TIMEOUT_S = 0.5
-"""A target that accepted a connection lives; its answer only tells who it is, and
-waits for a free slot."""
-_AT_HAND_S = 0.02
-"""An answer that came with that of another target is taken in within that time, also
-after this process stood still."""
+"""Timeout of the answer to a health check. A target that accepted the connection is
+alive; the answer only identifies it, and waits for a free slot."""
+_MIN_ANSWER_WAIT_S = 0.02
+"""Minimum wait for a target's answer after that of the compared target; answers that
+arrived together are read within it, also after a pause of this process."""
 _READ_BYTES = 4096
-LONGEST_BODY_BYTES = 65536
-"""What is read of an answer that says who gives it."""
+MAX_BODY_BYTES = 65536
+"""Maximum size of the body that is read to identify the target."""
 
 
-_Reached: TypeAlias = socket.socket | ProbeOutcome
+_ConnectResult: TypeAlias = socket.socket | ProbeOutcome
 """A connection, or ``REFUSED`` or ``SILENT``."""
 
 
 class _Answer:
-    """Collects the header that names the target's entry, and the body."""
+    """Collects the body of an answer and the header that names the target's entry."""
 
     def __init__(self, header: bytes) -> None:
         self._header = header
@@ -51,14 +51,14 @@
 
     def on_body(self, data: bytes) -> None:
         self.body += data
-        self.complete = len(self.body) > LONGEST_BODY_BYTES
+        self.complete = len(self.body) > MAX_BODY_BYTES
 
     def on_message_complete(self) -> None:
         self.complete = True
 
 
 class _Outcome(Struct, frozen=True):
-    """How one attempt ended, and when the target that answered had started."""
+    """Outcome of one probe, and the start time of the target that answered."""
 
     outcome: ProbeOutcome
     born_ms: int = 0
@@ -70,39 +70,41 @@
     settings: ForwardingSettings,
     deliver: Callable[[ProbeResult], None],
 ) -> None:
-    """Find out whether a target lives, and say so.
+    """Probe a target and deliver the result.
 
     Parameters
     ----------
     probe : ProbeTarget
         Target and path.
     dialect : StoreDialect
-        Reads from an answer who gave it.
+        Decodes the identity of the target that answered.
     settings : ForwardingSettings
-        Longest wait of each attempt, and of the last one if another target answers.
+        Timeout of each attempt, and of the last one if another target answers.
     deliver : callable
-        Called once with the outcome.
+        Called once with the result.
     """
-    ended = _outcome(probe, dialect, settings)
+    ended = _run_probe(probe, dialect, settings)
     target = probe.target
     deliver(ProbeResult(target.name, ended.outcome, target.born_ms, ended.born_ms))
 
 
-def _outcome(
+def _run_probe(
     probe: ProbeTarget, dialect: StoreDialect, settings: ForwardingSettings
 ) -> _Outcome:
-    reached = _reach(probe, settings)
+    reached = _connect_repeatedly(probe, settings)
     if isinstance(reached, ProbeOutcome):
         return _Outcome(reached)
     with _closing(reached):
-        identity = _identity(reached, probe.path, dialect)
+        identity = _read_identity(reached, probe.path, dialect)
     if identity.name and identity.name != probe.target.name:
         return _Outcome(ProbeOutcome.REPLACED)
     return _Outcome(ProbeOutcome.ALIVE, identity.born_ms)
 
 
-def _reach(probe: ProbeTarget, settings: ForwardingSettings) -> _Reached:
-    """Connect to a target, in several attempts if it is silent."""
+def _connect_repeatedly(
+    probe: ProbeTarget, settings: ForwardingSettings
+) -> _ConnectResult:
+    """Connect to a target, with several attempts if it is silent."""
     *earlier_s, last_s = settings.probe_timeouts_s
     for timeout_s in earlier_s:
         reached = _connect(probe.target, timeout_s)
@@ -115,25 +117,25 @@
 
 def _connect_compared(
     target: Target, control: Target, settings: ForwardingSettings
-) -> _Reached:
-    """Connect to a target, and to another to see whether answers arrive here at all."""
+) -> _ConnectResult:
+    """Connect to a target, and to another one to check that answers arrive here."""
     last_s = settings.probe_timeouts_s[-1]
     attempt = gevent.spawn(_connect, target, last_s)
-    compared = gevent.spawn(_answered_after_s, control, last_s)
+    compared = gevent.spawn(_measure_answer_s, control, last_s)
     try:
         attempt.join(settings.probe_compared_s)
         gevent.wait((attempt, compared), count=1)
         other_s = compared.value if compared.ready() else None
-        attempt.join(None if other_s is None else max(other_s, _AT_HAND_S))
+        attempt.join(None if other_s is None else max(other_s, _MIN_ANSWER_WAIT_S))
         return attempt.value if attempt.ready() else ProbeOutcome.SILENT
     finally:
         gevent.killall([attempt, compared], block=False)
 
 
-def _answered_after_s(target: Target, timeout_s: float) -> float | None:
-    """Return how long a target took to answer, None if it did not.
+def _measure_answer_s(target: Target, timeout_s: float) -> float | None:
+    """Return the time that a target took to answer, None if it did not.
 
-    A refusal is an answer as well.
+    A refusal counts as an answer.
     """
     began_s = steady_now_s()
     reached = _connect(target, timeout_s)
@@ -144,8 +146,8 @@
     return steady_now_s() - began_s
 
 
-def _connect(target: Target, timeout_s: float) -> _Reached:
-    """Make one attempt."""
+def _connect(target: Target, timeout_s: float) -> _ConnectResult:
+    """Make one attempt to connect."""
     try:
         with gevent.Timeout(timeout_s):
             return socket.create_connection((target.host, target.port))
@@ -163,21 +165,22 @@
         connection.close()
 
 
-def _identity(
+def _read_identity(
     connection: socket.socket, path: str, dialect: StoreDialect
 ) -> TargetIdentity:
-    """Return who answers, as far as the answer says it in time."""
+    """Return the identity of the target, as far as it is received in time."""
     answer = _Answer(dialect.identity_header)
     try:
         with gevent.Timeout(ANSWER_TIMEOUT_S):
-            _ask(connection, path, answer)
+            _request_health(connection, path, answer)
     except (OSError, gevent.Timeout, httptools.HttpParserError):
-        # It accepted the connection, so something lives there; what came counts.
+        # The target accepted the connection, so it is alive; the data received so far
+        # are used.
         pass
     return dialect.read_health(answer.header, answer.body)
 
 
-def _ask(connection: socket.socket, path: str, answer: _Answer) -> None:
+def _request_health(connection: socket.socket, path: str, answer: _Answer) -> None:
     request = f"GET {path} HTTP/1.1\r\nHost: target\r\nConnection: close\r\n\r\n"
     connection.sendall(request.encode())
     parser = httptools.HttpResponseParser(answer)
--- a/endivepick/forwarder/tests/zone_case.py
+++ b/endivepick/forwarder/tests/zone_case.py
@@ -1,4 +1,4 @@
-"""An instance of a zone whose store and feeds are stand-ins."""
+"""Fixture of a zone member with fake feeds and without a store."""
 
 import json
 import unittest
@@ -7,7 +7,7 @@
 from endivepick.forwarder.decision_log import DecisionLog
 from endivepick.forwarder.logs import BoundedLog
 from endivepick.forwarder.metrics import ForwarderMetrics
-from endivepick.forwarder.news import NewsIntake
+from endivepick.forwarder.news import NewsHandler
 from endivepick.forwarder.peer_book import Neighbours
 from endivepick.forwarder.ports import FeedKind
 from endivepick.forwarder.settings import decode_settings
@@ -24,7 +24,7 @@
 
 
 class FakeFeed:
-    """Notes what is asked of it."""
+    """Records the calls that it receives."""
 
     lost = False
     settled = True
@@ -32,19 +32,19 @@
     wait_s = None
 
     def __init__(self):
-        self.done = []
+        self.calls = []
 
-    def hold_watches(self, wait_s):
+    def set_watch_wait(self, wait_s):
         self.wait_s = wait_s
 
     def suspend(self):
-        self.done.append("suspend")
+        self.calls.append("suspend")
 
     def resume(self, revision):
-        self.done.append(f"resume {revision}")
+        self.calls.append(f"resume {revision}")
 
-    def list_again(self):
-        self.done.append("list")
+    def request_list(self):
+        self.calls.append("list")
 
 
 class ZoneCase(unittest.TestCase):
@@ -60,12 +60,14 @@
         log = BoundedLog("a", lambda data: self.lines.append(bytes(data)) or len(data))
 
         decisions = DecisionLog(log, ForwarderMetrics())
-        take = NewsIntake(core, decisions, lambda: None).on_zone_news
+        apply_news = NewsHandler(core, decisions, lambda: None).on_zone_news
         self.neighbours = Neighbours()
-        return ZoneMember(settings, core, self.feeds, None, take, self.neighbours, log)
+        return ZoneMember(
+            settings, core, self.feeds, None, apply_news, self.neighbours, log
+        )
 
     def feed(self):
-        """Let the member feed others, and have heard of the store just now."""
-        self.member.feeder.begin()
+        """Make the member a feeder whose store has just answered."""
+        self.member.feeder.start_feeding()
         for feed in self.feeds.values():
             feed.heard_s = steady_now_s()
