--- a/endivepick/forwarder/early.py
+++ b/endivepick/forwarder/early.py
@@ -25,11 +25,11 @@
 
 __all__ = [
     "RECEIVE_BUFFER_BYTES",
-    "ask_early",
+    "send_early_requests",
     "bind_early",
     "connect_early",
     "new_datagram_socket",
-    "take_early_signals",
+    "install_early_signal_handlers",
 ]
 
 RECEIVE_BUFFER_BYTES = 1 << 20
@@ -93,7 +93,7 @@
     return connections
 
 
-def ask_early(
+def send_early_requests(
     connections: list[socket], paths: Mapping[_Kind, str]
 ) -> dict[_Kind, socket]:
     """Send a request on each established connection; never blocks.
@@ -133,7 +133,7 @@
     return host, int(port)
 
 
-def take_early_signals() -> None:
+def install_early_signal_handlers() -> None:
     """Install signal handlers for the time until the program's own are installed.
 
     A process that receives SIGTERM while it loads has no flows and exits at once, as in
--- a/endivepick/forwarder/peers.py
+++ b/endivepick/forwarder/peers.py
@@ -19,11 +19,11 @@
 from endivepick.addresses import parse_address
 from endivepick.clock import steady_now_s
 from endivepick.errors import EndivepickError
-from endivepick.forwarder.feed import StoreFeed, heard_before_s
 from endivepick.forwarder.http import Response, json_response, parse_query
 from endivepick.forwarder.logs import BoundedLog
-from endivepick.forwarder.peer_book import MAX_PEERS, Neighbours, PeerDirectory
+from endivepick.forwarder.peer_directory import MAX_PEERS, Neighbours, PeerDirectory
 from endivepick.forwarder.settings import ForwarderSettings
+from endivepick.forwarder.store_feed import StoreFeed, heard_before_s
 from endivepick.forwarding import Configuration, ForwardingCore, Target, TargetState
 from endivepick.store import store_connection
 
@@ -41,7 +41,7 @@
 SNAPSHOT_PATH = "/peers/snapshot"
 HELLO_PATH = "/peers/hello"
 NEWS_PATH = "/peers/news"
-"""Path of a feeder's news, see `endivepick.forwarder.zone`."""
+"""Path of a feeder's news, see `endivepick.forwarder.zone_member`."""
 SEEN_PATH = "/peers/seen"
 """Path of a follower's reports about targets to its feeder."""
 HINT_PATH = "/peers/hint/"
--- a/endivepick/forwarder/tests/test_early.py
+++ b/endivepick/forwarder/tests/test_early.py
@@ -9,7 +9,7 @@
 
 from endivepick.errors import PlatformUnavailableError
 from endivepick.forwarder.datagrams import datagram_socket
-from endivepick.forwarder.early import ask_early, bind_early, connect_early
+from endivepick.forwarder.early import bind_early, connect_early, send_early_requests
 from endivepick.store import store_connection
 
 
@@ -116,7 +116,7 @@
 
     def test_pending_answers_are_read(self):
         begun = connect_early(self.path, 2)
-        asked = ask_early(begun, {"a": "/a", "b": "/b"})
+        asked = send_early_requests(begun, {"a": "/a", "b": "/b"})
         connection, path = self.accept(b"aaaa")
         self.assertEqual(path, b"/a")
         self.assertEqual(self.accept(b"bbbb")[1], b"/b")
@@ -132,7 +132,7 @@
     def test_refused_connection_is_dropped(self):
         self.listener.close()
         begun = connect_early(self.path, 2)
-        self.assertEqual(ask_early(begun, {"a": "/a", "b": "/b"}), {})
+        self.assertEqual(send_early_requests(begun, {"a": "/a", "b": "/b"}), {})
 
     def test_invalid_settings_are_not_reported_early(self):
         Path(self.path).write_text("{")
@@ -140,7 +140,7 @@
         self.assertEqual(connect_early("/nowhere", 2), [])
 
     def test_lost_early_answer_raises(self):
-        asked = ask_early(connect_early(self.path, 1), {"a": "/a"})
+        asked = send_early_requests(connect_early(self.path, 1), {"a": "/a"})
         connection, _ = self.listener.accept()
         connection.close()
         lost = self.assertRaises(PlatformUnavailableError)
--- a/endivepick/forwarder/tests/test_feeders.py
+++ b/endivepick/forwarder/tests/test_feeders.py
@@ -1,7 +1,7 @@
 import random
 import unittest
 
-from endivepick.forwarder.feeders import (
+from endivepick.forwarder.feeder_election import (
     CLAIM_PROBABILITY,
     Feed,
     FollowFeeder,
@@ -10,7 +10,7 @@
     choose_step,
 )
 from endivepick.forwarder.ports import FeederClaim
-from endivepick.forwarder.zone import MAX_FEEDERS
+from endivepick.forwarder.zone_member import MAX_FEEDERS
 
 OWN = "10.0.0.1:1"
 PLACES = ["a.0", "a.1", "a.2"]
