--- a/endivepick/forwarder/tests/test_early.py
+++ b/endivepick/forwarder/tests/test_early.py
@@ -65,7 +65,7 @@
 SIGNALLED = """
 import os, signal, sys
 from endivepick.forwarder import early
-early.take_early_signals()
+early.install_early_signal_handlers()
 try:
     os.kill(os.getpid(), signal.Signals[sys.argv[1]])
 except BaseException as error:
--- a/endivepick/forwarder/tests/test_feeding.py
+++ b/endivepick/forwarder/tests/test_feeding.py
@@ -6,6 +6,7 @@
 import msgspec
 
 from endivepick.clock import steady_now_s
+from endivepick.forwarder import zone_feeder
 from endivepick.forwarder.http import Response, http_server
 from endivepick.forwarder.peers import SEEN_PATH
 from endivepick.forwarder.ports import FeedKind
@@ -113,7 +114,7 @@
         self.assertIsNone(feed.wait_s)
         self.ask(config=0)
         self.assertEqual(feed.wait_s, self.member._freshness.feeding_wait_s)
-        with patch.object(feeding, "REQUEST_IDLE_S", 0.0):
+        with patch.object(zone_feeder, "REQUEST_IDLE_S", 0.0):
             self.member.feeder.start_feeding()
         self.assertIsNone(feed.wait_s)
         self.assertIsNone(self.feeds[FeedKind.CONFIGURATION].wait_s)
@@ -171,7 +172,7 @@
     def test_expired_report_is_ignored(self):
         self.feed()
         self.ask(3.0)
-        with patch.object(feeding, "TOLD_S", -1.0):
+        with patch.object(zone_feeder, "REPORT_VALID_S", -1.0):
             self.assertEqual(self.ask(2.0, "10.0.0.3:1").targets, [])
 
     def test_new_outlier_is_reported_at_once(self):
--- a/endivepick/forwarder/tests/test_zone.py
+++ b/endivepick/forwarder/tests/test_zone.py
@@ -6,6 +6,7 @@
 import msgspec
 
 from endivepick.clock import steady_now_s
+from endivepick.forwarder import zone_member
 from endivepick.forwarder.freshness import ANSWER_TIMEOUT_MARGIN_S
 from endivepick.forwarder.http import Response, http_server
 from endivepick.forwarder.ports import FeederClaim, FeedKind
@@ -111,7 +112,9 @@
             self.member._follow(address)
         limits = self.member._freshness
         asked_for_s = limits.feeding_wait_s + ANSWER_TIMEOUT_MARGIN_S
-        self.assertLessEqual(len(asked), asked_for_s / zone.POLL_RETRY_DELAY_S + 2)
+        self.assertLessEqual(
+            len(asked), asked_for_s / zone_member.POLL_RETRY_DELAY_S + 2
+        )
 
     def test_feeder_that_stays_stale_is_not_followed(self):
         address = self.follow(then=self.news(heard_before_s=9.0), after_s=0.1)
@@ -154,7 +157,7 @@
             gevent.sleep(TIMEOUT_S)
             return Response(404)
 
-        slack = patch.object(zone, "POLL_WAIT_S", 0.1)
+        slack = patch.object(zone_member, "POLL_WAIT_S", 0.1)
         with slack, http_server("127.0.0.1:0", silent) as address:
             self.member._follow(address)
         self.assertEqual(self.member._lost_feeders(), [address])
@@ -201,7 +204,7 @@
 
         self.core.on_configuration(make_configuration(revision=9, version=9), 1.0)
         with (
-            patch.object(zone, "_sleep", lambda _bounds_s: gevent.sleep(0)),
+            patch.object(zone_member, "_sleep", lambda _bounds_s: gevent.sleep(0)),
             patch.object(self.member, "_read_claims", read),
             patch.object(self.member, "_follow", follow),
             patch.object(self.member, "_write_claim", lambda *_: follow("")),
