--- a/endivepick/store/__init__.py
+++ b/endivepick/store/__init__.py
@@ -1,4 +1,4 @@
-"""Connections to a platform's object API, and how calls over them end."""
+"""HTTP connections to the platform's object API, and the outcomes of calls."""
 
 from endivepick.store.connection import (
     CallLimits,
--- a/endivepick/store/connection.py
+++ b/endivepick/store/connection.py
@@ -1,4 +1,4 @@
-"""Calls to an object API over one kept connection."""
+"""HTTP calls to an object API over one persistent connection."""
 
 from collections.abc import Iterator
 from contextlib import contextmanager
@@ -26,22 +26,22 @@
 
 _READ_BYTES = 65536
 _KEEPALIVE_IDLE_S = 1
-_KEEPALIVE_GAP_S = 1
+_KEEPALIVE_INTERVAL_S = 1
 _KEEPALIVE_PROBES = 2
-"""A connection that went silent is noticed after three seconds."""
+"""TCP keepalive detects an unresponsive peer after three seconds."""
 READ_TIMEOUT_S = 2.0
-"""Longest pause within an answer: a large one takes seconds on a slow link."""
+"""Maximum gap between two reads: a large response takes seconds on a slow link."""
 _OK = 200
 _CREATED = 201
 _CONFLICT = 409
 _GONE = 410
 _RETRY_AFTER = b"retry-after"
-# Never yields: what a connection shows is asked between two calls.
+# Unpatched poll, so that the check of a connection between two calls never yields.
 _poll = monkey.get_original("select", "poll")
 
 
 class StoreCall(Struct, frozen=True):
-    """One call.
+    """Request of an object API call.
 
     Attributes
     ----------
@@ -50,7 +50,7 @@
     path : str
         Path and query.
     body : bytes
-        JSON; empty if there is none.
+        JSON body; empty for a request without a body.
     """
 
     method: str
@@ -59,18 +59,18 @@
 
 
 class CallLimits(Struct, frozen=True):
-    """How long a call may take.
+    """Timeouts of a call.
 
     Attributes
     ----------
-    begin_s : float
-        Until the answer begins, in seconds.
-    pause_s : float
-        Between two pieces of the answer, in seconds.
+    first_byte_s : float
+        Timeout until the response begins, in seconds; includes connecting.
+    read_s : float
+        Timeout between two reads of the response, in seconds.
     connect_s : float or None
-        To connect, in seconds; None: within ``begin_s`` only.
-    whole_s : float or None
-        For the whole call, in seconds; None: no further limit.
+        Timeout of connecting, in seconds; None: ``first_byte_s`` alone applies.
+    total_s : float or None
+        Timeout of the whole call, in seconds; None: no further timeout.
     """
 
     begin_s: float
@@ -79,23 +79,23 @@
     whole_s: float | None = None
 
 
-class _Reader:
-    """Collects one response as httptools parses it."""
+class _ResponseReader:
+    """Parser of one HTTP response."""
 
     def __init__(self) -> None:
         self._parser = httptools.HttpResponseParser(self)
         self._body = bytearray()
         self._retry_after_s: float | None = None
         self.complete = False
-        self.kept = False
-        """Whether the connection serves a further call."""
+        self.keep_alive = False
+        """Whether the connection stays open for a further call."""
 
     def feed(self, data: bytes) -> None:
-        """Take the next bytes."""
+        """Parse the next bytes."""
         self._parser.feed_data(data)
 
     def answer(self) -> Answer:
-        """Return what was read; `complete` tells whether that is all."""
+        """Return the response read so far; partial unless `complete` is set."""
         status = self._parser.get_status_code()
         return Answer(status, bytes(self._body), self._retry_after_s)
 
@@ -108,89 +108,94 @@
 
     def on_message_complete(self) -> None:
         self.complete = True
-        # The parser knows only until the callback returns.
-        self.kept = self._parser.should_keep_alive()
+        # The parser resets this state when the callback returns.
+        self.keep_alive = self._parser.should_keep_alive()
 
 
 class StoreConnection:
-    """Typed answers to calls; repeats nothing by itself.
+    """Persistent connection that returns typed outcomes; it never retries a call.
 
     Parameters
     ----------
     address : str
         ``host:port`` of the object API.
-    asked : socket, default=None
-        Connection on which the first request was sent already.
+    pending_socket : socket, default=None
+        Connected socket on which the first request was already sent.
     source_host : str, default=""
-        IPv4 address that calls come from; empty lets the system choose.
+        Local IPv4 address of the connection; the system chooses if it is empty.
     """
 
     def __init__(
-        self, address: str, asked: PlainSocket | None = None, source_host: str = ""
+        self,
+        address: str,
+        pending_socket: PlainSocket | None = None,
+        source_host: str = "",
     ) -> None:
         self._address = address
-        self._asked = asked
+        self._pending_socket = pending_socket
         self._source = (source_host, 0) if source_host else None
         self._socket: socket.socket | None = None
         self.received_s = float("-inf")
-        """When the last bytes came, in seconds."""
+        """Monotonic time at which the last bytes arrived, in seconds."""
 
     @property
     def is_open(self) -> bool:
-        """Whether the next call needs no new connection, as far as is known."""
+        """Whether there is an open connection, as far as is known."""
         return self._socket is not None
 
     def close(self) -> None:
-        """Close the connection; the next call opens another."""
+        """Close the connection; the next call opens a new one."""
         if self._socket is not None:
             self._socket.close()
             self._socket = None
 
     def get(self, path: str, timeout_s: float) -> bytes:
-        """Return the body of an answer.
+        """Return the body of the response to a GET request.
 
         Parameters
         ----------
         path : str
             Path and query.
         timeout_s : float
-            Longest wait until the answer begins, in seconds.
+            Timeout until the response begins, in seconds.
 
         Raises
         ------
         PlatformUnavailableError
-            No answer, or the store refuses this instance for now.
+            If there is no response, or the store rejects calls temporarily.
         WatchExpiredError
-            The history asked for is gone.
+            If the store has discarded the requested history.
         PlatformAnswerError
-            The call was refused for another reason.
+            If the call was rejected for another reason.
         """
         match self.call(StoreCall("GET", path), CallLimits(timeout_s)):
             case Answer(status=status, data=data) if status == _OK:
                 return data
             case Answer(status=status) if status == _GONE:
-                raise WatchExpiredError("The changes asked for are gone. List again.")
+                raise WatchExpiredError(
+                    "The store discarded the requested changes. List again."
+                )
             case Answer(status=status, data=data, retry_after_s=wait_s):
                 raise call_error(Answer(status, f"{path}: ".encode() + data, wait_s))
             case outcome:
                 raise call_error(outcome)
 
     def write(self, call: StoreCall, timeout_s: float) -> bool:
-        """Write an object; returns False if another writer was first.
+        """Write an object; returns False on a conflict with another writer.
 
         Parameters
         ----------
         call : StoreCall
-            The call; it has to carry the condition under which it holds.
+            The call; it has to contain the precondition of the write.
         timeout_s : float
-            Longest wait until the answer begins, in seconds.
+            Timeout until the response begins, in seconds.
 
         Raises
         ------
         PlatformUnavailableError
-            No answer: it may have been done, or may be done later.
+            If there is no response: the write may be applied, now or later.
         PlatformAnswerError
-            The call was refused for another reason.
+            If the call was rejected for another reason.
         """
         match self.call(call, CallLimits(timeout_s)):
             case Answer(status=status) if status in (_OK, _CREATED, _CONFLICT):
@@ -199,14 +204,14 @@
                 raise call_error(outcome)
 
     def call(self, call: StoreCall, limits: CallLimits) -> CallOutcome:
-        """Make one call; what became of it is told, never raised.
+        """Make one call; failures are returned as outcomes and not raised.
 
         Parameters
         ----------
         call : StoreCall
             The call.
         limits : CallLimits
-            How long it may take.
+            Timeouts of the call.
         """
         try:
             with gevent.Timeout(limits.whole_s):
@@ -215,19 +220,19 @@
             self.close()
             return AnswerLost(repr(error))
         except BaseException:
-            # The task was ended; a late answer would be read as that of another call.
+            # The task was killed. The next call must not read the late response.
             self.close()
             raise
 
     def _call(self, call: StoreCall, limits: CallLimits) -> CallOutcome:
-        reader = _Reader()
+        reader = _ResponseReader()
         with gevent.Timeout(limits.begin_s):
-            if self._asked is not None:
-                self._socket = _adopt(self._asked)
-                self._asked = None
+            if self._pending_socket is not None:
+                self._socket = _wrap_socket(self._pending_socket)
+                self._pending_socket = None
             else:
                 try:
-                    connection = self._connected(limits)
+                    connection = self._open_connection(limits)
                 except (OSError, gevent.Timeout) as error:
                     return NotSent(repr(error))
                 connection.sendall(self._encode(call))
@@ -235,19 +240,19 @@
         while not reader.complete:
             with gevent.Timeout(limits.pause_s):
                 self._read_into(reader)
-        if not reader.kept:
+        if not reader.keep_alive:
             self.close()
         return reader.answer()
 
-    def _connected(self, limits: CallLimits) -> socket.socket:
-        if self._socket is not None and _has_ended(self._socket):
+    def _open_connection(self, limits: CallLimits) -> socket.socket:
+        if self._socket is not None and _is_closed_by_peer(self._socket):
             self.close()
         if self._socket is None:
             with gevent.Timeout(limits.connect_s):
                 connection = socket.create_connection(
                     parse_address(self._address), source_address=self._source
                 )
-            self._socket = _with_options(connection)
+            self._socket = _set_options(connection)
         return self._socket
 
     def _encode(self, call: StoreCall) -> bytes:
@@ -257,45 +262,47 @@
             head += f"Content-Length: {len(call.body)}\r\n"
         return f"{head}\r\n".encode() + call.body
 
-    def _read_into(self, reader: _Reader) -> None:
+    def _read_into(self, reader: _ResponseReader) -> None:
         assert self._socket is not None
         data = self._socket.recv(_READ_BYTES)
         if not data:
-            raise ConnectionResetError("closed before the answer was complete")
+            raise ConnectionResetError(
+                "connection closed before the response was complete"
+            )
         self.received_s = steady_now_s()
         reader.feed(data)
 
 
 @contextmanager
 def store_connection(
-    address: str, asked: PlainSocket | None = None
+    address: str, pending_socket: PlainSocket | None = None
 ) -> Iterator[StoreConnection]:
-    """Keep a connection while the context is open; see `StoreConnection`."""
-    connection = StoreConnection(address, asked)
+    """Provide a connection that is closed with the context; see `StoreConnection`."""
+    connection = StoreConnection(address, pending_socket)
     try:
         yield connection
     finally:
         connection.close()
 
 
-def _has_ended(connection: socket.socket) -> bool:
-    """Tell whether the other side has closed or reset a connection."""
+def _is_closed_by_peer(connection: socket.socket) -> bool:
+    """Return whether the peer has closed or reset a connection."""
     poll = _poll()
     poll.register(connection.fileno(), POLLRDHUP)
     return bool(poll.poll(0))
 
 
-def _adopt(plain: PlainSocket) -> socket.socket:
+def _wrap_socket(plain: PlainSocket) -> socket.socket:
     fileno = plain.detach()
-    return _with_options(
+    return _set_options(
         socket.socket(socket.AF_INET, socket.SOCK_STREAM, fileno=fileno)
     )
 
 
-def _with_options(connection: socket.socket) -> socket.socket:
+def _set_options(connection: socket.socket) -> socket.socket:
     options = {
         socket.TCP_KEEPIDLE: _KEEPALIVE_IDLE_S,
-        socket.TCP_KEEPINTVL: _KEEPALIVE_GAP_S,
+        socket.TCP_KEEPINTVL: _KEEPALIVE_INTERVAL_S,
         socket.TCP_KEEPCNT: _KEEPALIVE_PROBES,
         socket.TCP_NODELAY: 1,
     }
--- a/endivepick/store/outcomes.py
+++ b/endivepick/store/outcomes.py
@@ -1,4 +1,4 @@
-"""How calls to the object API end, and the typed errors of those without effect."""
+"""Outcomes of object API calls, and the typed errors of unsuccessful ones."""
 
 from msgspec import Struct
 
@@ -19,7 +19,7 @@
 
 
 class Answer(Struct, frozen=True):
-    """The platform's whole answer."""
+    """The complete response of the platform."""
 
     status: int
     data: bytes
@@ -27,13 +27,13 @@
 
 
 class NotSent(Struct, frozen=True):
-    """The call did not reach the platform: it has no effect."""
+    """The request was not sent: the call has no effect."""
 
     reason: str
 
 
 class AnswerLost(Struct, frozen=True):
-    """The call may have reached the platform: its effect is unknown."""
+    """The request may have reached the platform: its effect is unknown."""
 
     reason: str
 
@@ -42,38 +42,41 @@
 
 
 def retry_after_s(header: str | None) -> float | None:
-    """Return the seconds that a ``Retry-After`` header asks for, if it does.
+    """Return the delay of a ``Retry-After`` header in seconds.
+
+    None if the header is absent or is no number of seconds.
 
     Examples
     --------
     >>> retry_after_s("3"), retry_after_s(None)
     (3.0, None)
     """
-    # A date is allowed as well; the platform's contract gives seconds.
+    # HTTP also allows a date; the platform's API specifies seconds.
     if header is None or not header.isascii() or not header.isdigit():
         return None
     return float(header)
 
 
 def call_error(outcome: CallOutcome) -> EndivepickError:
-    """Return the typed error of a call that had no effect."""
+    """Return the typed error of an unsuccessful call."""
     match outcome:
         case Answer(status=429 | 503 as status, retry_after_s=retry_after_s):
             return PlatformUnavailableError(
-                f"The platform answered {status}. Try again later.", retry_after_s
+                f"The platform responded with status {status}. Try again later.",
+                retry_after_s,
             )
         case Answer(status=status) if status >= 500:
             return PlatformUnavailableError(
-                f"The platform answered {status}. Try again later."
+                f"The platform responded with status {status}. Try again later."
             )
         case Answer(status=status, data=data):
             text = data[:200].decode(errors="replace")
             return PlatformAnswerError(
-                f"The platform refused the call with {status}: {text} "
-                "Check the name and the size of the body (at most a megabyte)."
+                f"The platform rejected the call with status {status}: {text} "
+                "Check the name and the size of the body (at most 1 MB)."
             )
         case NotSent(reason=reason) | AnswerLost(reason=reason):
             return PlatformUnavailableError(
-                f"No answer from the platform ({reason}). Check its address in the "
+                f"No response from the platform ({reason}). Check its address in the "
                 "settings and the network, or try again later."
             )
--- a/endivepick/store/tests/test_connection.py
+++ b/endivepick/store/tests/test_connection.py
@@ -24,7 +24,7 @@
 
 class TestStoreConnection(unittest.TestCase):
     def serve(self, *answers):
-        """Answer each request of a connection with the next text; then close it."""
+        """Serve the texts in order, one for each request; then close the connection."""
         self.connections = 0
         self.closed = Event()
         remaining = list(answers)
@@ -55,7 +55,7 @@
             self.assertEqual(store.get("/2", TIMEOUT_S), b"b")
         self.assertEqual(self.connections, 1)
 
-    def test_an_answer_that_ends_early_is_no_answer(self):
+    def test_truncated_response_raises_unavailable(self):
         short = "HTTP/1.1 200 OK\r\nContent-Length: 10\r\nx: close\r\n\r\nabc"
         with (
             store_connection(self.serve(short)) as store,
@@ -70,7 +70,7 @@
                 store.get("/", TIMEOUT_S)
             self.assertEqual(store.get("/", TIMEOUT_S), b"b")
 
-    def test_a_connection_that_was_closed_while_idle_is_replaced(self):
+    def test_connection_closed_while_idle_is_replaced(self):
         closing = "HTTP/1.1 200 OK\r\nContent-Length: 1\r\nx: close\r\n\r\na"
         address = self.serve(closing, self.answer(body="b"))
         with store_connection(address) as store:
@@ -79,7 +79,7 @@
             self.assertEqual(store.get("/2", TIMEOUT_S), b"b")
         self.assertEqual(self.connections, 2)
 
-    def test_a_silent_store_is_given_up_in_time(self):
+    def test_silent_store_times_out(self):
         silent = StreamServer(("127.0.0.1", 0), lambda c, _: c.recv(1) and c.recv(1))
         silent.start()
         self.addCleanup(silent.stop, 0)
@@ -104,7 +104,7 @@
         with store_connection(f"127.0.0.1:{server.server_port}") as store:
             self.assertEqual(store.get("/", 0.15), b"x" * 20)
 
-    def test_refusals_say_when_to_come_back(self):
+    def test_rejection_carries_retry_after(self):
         busy = self.answer("429 Too Many", headers="Retry-After: 3\r\n")
         with (
             store_connection(self.serve(busy)) as store,
@@ -113,7 +113,7 @@
             store.get("/", TIMEOUT_S)
         self.assertEqual(raised.exception.retry_after_s, 3.0)
 
-    def test_lost_history_and_wrong_calls_have_errors_of_their_own(self):
+    def test_discarded_history_and_rejected_call_raise_their_errors(self):
         address = self.serve(self.answer("410 Gone"), self.answer("404 Not Found"))
         with store_connection(address) as store:
             with self.assertRaises(WatchExpiredError):
@@ -123,7 +123,7 @@
 
 
 class TestStorePool(unittest.TestCase):
-    """Several tasks call over kept connections."""
+    """Concurrent calls over pooled connections."""
 
     def serve(self, handle):
         self.connections = 0
@@ -137,12 +137,12 @@
         self.addCleanup(server.stop, 0)
         return f"127.0.0.1:{server.server_port}"
 
-    def pool(self, address, kept=2):
-        pool = StorePool(address, "", kept)
+    def pool(self, address, max_idle=2):
+        pool = StorePool(address, "", max_idle)
         self.addCleanup(pool.close)
         return pool
 
-    def test_connections_are_used_again_up_to_the_kept_number(self):
+    def test_connections_are_reused_up_to_max_idle(self):
         def echo(connection, _address):
             while request := connection.recv(4096):
                 path = request.split()[1]
@@ -163,27 +163,27 @@
             self.assertTrue(all(task.value for task in tasks))
         self.assertEqual(self.connections, 4 + 2)
 
-    def test_ended_task_leaves_no_answer_for_the_next_call(self):
-        asked, ended = Event(), Event()
+    def test_killed_task_leaves_no_response_to_the_next_call(self):
+        received, killed = Event(), Event()
 
         def late(connection, _address):
             while request := connection.recv(4096):
                 path = request.split()[1]
                 if path == b"/1":
-                    asked.set()
-                    ended.wait(TIMEOUT_S)
+                    received.set()
+                    killed.wait(TIMEOUT_S)
                 head = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n"
                 connection.sendall(head.encode() + path)
 
         pool = self.pool(self.serve(late))
         task = gevent.spawn(pool.call, StoreCall("GET", "/1"), CallLimits(TIMEOUT_S))
-        self.assertTrue(asked.wait(TIMEOUT_S))
+        self.assertTrue(received.wait(TIMEOUT_S))
         task.kill()
-        ended.set()
+        killed.set()
         answer = pool.call(StoreCall("GET", "/2"), CallLimits(TIMEOUT_S))
         self.assertEqual(answer.data, b"/2")
 
-    def test_dripping_answer_is_lost_at_the_limit_of_the_whole(self):
+    def test_slow_response_is_lost_at_the_total_timeout(self):
         def drip(connection, _address):
             connection.recv(4096)
             connection.sendall(b"HTTP/1.1 200 OK\r\nContent-Length: 9999\r\n\r\n")
@@ -195,7 +195,7 @@
         limits = CallLimits(TIMEOUT_S, whole_s=0.1)
         self.assertIsInstance(pool.call(StoreCall("GET", "/"), limits), AnswerLost)
 
-    def test_unreachable_store_got_nothing(self):
+    def test_unreachable_store_returns_not_sent(self):
         server = StreamServer(("127.0.0.1", 0), lambda *_: None)
         server.start()
         address = f"127.0.0.1:{server.server_port}"
