--- a/endivepick/store/connection.py
+++ b/endivepick/store/connection.py
@@ -73,10 +73,10 @@
         Timeout of the whole call, in seconds; None: no further timeout.
     """
 
-    begin_s: float
-    pause_s: float = READ_TIMEOUT_S
+    first_byte_s: float
+    read_s: float = READ_TIMEOUT_S
     connect_s: float | None = None
-    whole_s: float | None = None
+    total_s: float | None = None
 
 
 class _ResponseReader:
@@ -214,7 +214,7 @@
             Timeouts of the call.
         """
         try:
-            with gevent.Timeout(limits.whole_s):
+            with gevent.Timeout(limits.total_s):
                 return self._call(call, limits)
         except (OSError, gevent.Timeout, httptools.HttpParserError) as error:
             self.close()
@@ -226,7 +226,7 @@
 
     def _call(self, call: StoreCall, limits: CallLimits) -> CallOutcome:
         reader = _ResponseReader()
-        with gevent.Timeout(limits.begin_s):
+        with gevent.Timeout(limits.first_byte_s):
             if self._pending_socket is not None:
                 self._socket = _wrap_socket(self._pending_socket)
                 self._pending_socket = None
@@ -238,7 +238,7 @@
                 connection.sendall(self._encode(call))
             self._read_into(reader)
         while not reader.complete:
-            with gevent.Timeout(limits.pause_s):
+            with gevent.Timeout(limits.read_s):
                 self._read_into(reader)
         if not reader.keep_alive:
             self.close()
