--- a/standins/_callrates.py
+++ b/standins/_callrates.py
@@ -44,9 +44,9 @@
             maxlen=_RATE_WINDOW_S + 1
         )
 
-    def add(self, what: str, now_s: float) -> None:
+    def add(self, call_class: str, now_s: float) -> None:
         """Count one call of class `what`."""
-        self.totals[what] += 1
+        self.totals[call_class] += 1
         second = int(now_s)
         if not self._seconds or self._seconds[-1][0] != second:
             self._seconds.append([second, 0])
--- a/standins/_fabricsettings.py
+++ b/standins/_fabricsettings.py
@@ -13,7 +13,7 @@
     delay_ms_min: float = 0.0
     delay_ms_max: float = 0.0
 
-    def none(self) -> bool:
+    def has_no_effect(self) -> bool:
         """Tell whether datagrams pass untouched."""
         return not (self.loss or self.duplicate or self.delay_ms_max)
 
--- a/standins/_inforcecases.py
+++ b/standins/_inforcecases.py
@@ -14,20 +14,20 @@
 from standins.cluster import Cluster
 from standins.versions import wait_in_force
 
-__all__ = ["CASES", "Case", "Change", "Run"]
+__all__ = ["CASES", "Case", "Change", "CaseRun"]
 
-PAUSE_S = 0.5
+PAUSE_MAX_S = 0.5
 """Longest pause between two changes, in seconds; it is drawn."""
-CUT_S = (0.0, 4.0)
-OUTAGE_S = (5.0, 20.0)
+CUT_BOUNDS_S = (0.0, 4.0)
+OUTAGE_BOUNDS_S = (5.0, 20.0)
 """Shortest and longest duration of an outage, in seconds."""
 DELAY_MS = 100.0
 LOSS = 0.05
 LOSSY_DELAY_MS = 20.0
 SLOW_MS = 1000.0
-CHANGES = 100
+CHANGES_UNDER_LASTING_FAULT = 100
 """Changes of a case whose fault lasts."""
-FAILURES = 20
+CHANGES_WITH_OWN_FAULT = 20
 """Changes of a case that brings its fault about for each of them."""
 _OUTAGES = ("refuse", "unavailable", "hang")
 _CUTS = ("cut", "blackhole")
@@ -58,25 +58,25 @@
 
 
 @dataclass
-class Run:
+class CaseRun:
     """One case in one installation."""
 
     running: Cluster
-    chance: random.Random
+    rng: random.Random
     changes: list[Change] = field(default_factory=list)
 
     def draw_s(self, bounds_s: tuple[float, float]) -> float:
         """Return a duration between two bounds, in seconds."""
-        return self.chance.uniform(*bounds_s)
+        return self.rng.uniform(*bounds_s)
 
     def draw_zone(self) -> str:
         """Return one of the zones."""
-        return self.chance.choice(self.running.shape.zones)
+        return self.rng.choice(self.running.shape.zones)
 
     def write(self) -> dict[str, Any]:
         """Change a record; returns the accepted object."""
-        service = self.chance.choice(self.running.shape.services).name
-        waiting = self.chance.randint(4, 8)
+        service = self.rng.choice(self.running.shape.services).name
+        waiting = self.rng.randint(4, 8)
 
         def change(body: dict[str, Any]) -> None:
             body["waiting_per_slot"] = waiting
@@ -96,12 +96,14 @@
         self.changes.append(Change(record, version, names, since_s))
 
 
-def _change(run: Run) -> None:
+def _write_and_wait(run: CaseRun) -> None:
     run.wait(run.write())
 
 
 @contextmanager
-def _rules(run: Run, *actions: dict[str, Any], **match: str) -> Iterator[None]:
+def _apply_rules(
+    run: CaseRun, *actions: dict[str, Any], **match: str
+) -> Iterator[None]:
     """Apply rules of the fault proxy while the context is open."""
     assert run.running.faults is not None
     for action in actions:
@@ -112,16 +114,16 @@
         run.running.heal()
 
 
-def _delay(run: Run) -> AbstractContextManager[None]:
-    return _rules(run, {"type": "delay", "delay_ms": DELAY_MS}, **_PEERS)
+def _delay_peers(run: CaseRun) -> AbstractContextManager[None]:
+    return _apply_rules(run, {"type": "delay", "delay_ms": DELAY_MS}, **_PEERS)
 
 
-def _loss(run: Run) -> AbstractContextManager[None]:
+def _lose_peer_chunks(run: CaseRun) -> AbstractContextManager[None]:
     delay = {"type": "delay", "delay_ms": LOSSY_DELAY_MS}
-    return _rules(run, delay, {"type": "loss", "share": LOSS}, **_PEERS)
+    return _apply_rules(run, delay, {"type": "loss", "share": LOSS}, **_PEERS)
 
 
-def _change_twice(run: Run) -> None:
+def _change_twice(run: CaseRun) -> None:
     """Change a record again while the watches that brought the first come back."""
     with ThreadPoolExecutor() as writers:
         first = writers.submit(run.write)
@@ -132,7 +134,7 @@
 
 
 @contextmanager
-def _slow(run: Run) -> Iterator[None]:
+def _slow_platform(run: CaseRun) -> Iterator[None]:
     run.running.platform.control(slow_ms=SLOW_MS)
     try:
         yield
@@ -140,31 +142,31 @@
         run.running.platform.control(slow_ms=0.0)
 
 
-def _zone_without_platform(run: Run) -> None:
+def _change_without_platform_in_zone(run: CaseRun) -> None:
     """Change a record some time after a zone lost the platform, not its peers."""
-    action = {"type": run.chance.choice(_CUTS)}
-    with _rules(run, action, source_zone=run.draw_zone(), **_PLATFORM):
-        time.sleep(run.draw_s(CUT_S))
-        _change(run)
+    action = {"type": run.rng.choice(_CUTS)}
+    with _apply_rules(run, action, source_zone=run.draw_zone(), **_PLATFORM):
+        time.sleep(run.draw_s(CUT_BOUNDS_S))
+        _write_and_wait(run)
 
 
-def _platform_back(run: Run) -> None:
+def _change_after_outage(run: CaseRun) -> None:
     """Change a record as soon as the platform is back after an outage."""
-    run.running.platform.control(outage=run.chance.choice(_OUTAGES))
-    time.sleep(run.draw_s(OUTAGE_S))
+    run.running.platform.control(outage=run.rng.choice(_OUTAGES))
+    time.sleep(run.draw_s(OUTAGE_BOUNDS_S))
     run.running.platform.control(outage=None)
-    _change(run)
+    _write_and_wait(run)
 
 
-def _platform_reached_again(run: Run) -> None:
+def _change_while_platform_unreachable(run: CaseRun) -> None:
     """Change a record while no instance reaches the platform; count from the heal."""
-    with _rules(run, {"type": run.chance.choice(_CUTS)}, **_PLATFORM):
+    with _apply_rules(run, {"type": run.rng.choice(_CUTS)}, **_PLATFORM):
         written = run.write()
-        time.sleep(run.draw_s(OUTAGE_S))
+        time.sleep(run.draw_s(OUTAGE_BOUNDS_S))
     run.wait(written, since_s=time.time())
 
 
-def _watchers(run: Run, zone: str) -> tuple[str, ...]:
+def _zone_watchers(run: CaseRun, zone: str) -> tuple[str, ...]:
     views = [
         InstanceView(plan.name, plan.zone, 0, "", PeerState.ALIVE)
         for plan in run.running.shape.instances
@@ -172,10 +174,10 @@
     return zone_roles(zone, views, DisseminationSettings()).watchers
 
 
-def _watchers_killed(run: Run) -> None:
+def _change_after_killing_watchers(run: CaseRun) -> None:
     """Kill all watchers of a zone that has other instances; they stay listed."""
     # The first zone has the most instances.
-    killed = _watchers(run, run.running.shape.zones[0])
+    killed = _zone_watchers(run, run.running.shape.zones[0])
     for name in killed:
         run.running.kill_instance(name, listed=True)
     living = tuple(name for name in run.running.instances if name not in killed)
@@ -183,9 +185,9 @@
     run.running.start_instances(killed)
 
 
-def _replacement(run: Run) -> None:
+def _change_during_planned_stop(run: CaseRun) -> None:
     """Change a record while the status writer of a zone stops as planned."""
-    name = _watchers(run, run.draw_zone())[0]
+    name = _zone_watchers(run, run.draw_zone())[0]
     others = tuple(other for other in run.running.instances if other != name)
     run.running.begin_stop(name)
     run.wait(run.write(), others)
@@ -193,12 +195,12 @@
     run.running.start_instance(name)
 
 
-def _zone_healed(run: Run) -> None:
+def _change_while_zone_cut(run: CaseRun) -> None:
     """Change a record while a zone is cut from everything; count from the heal."""
-    action = run.chance.choice(_CUTS)
+    action = run.rng.choice(_CUTS)
     run.running.cut_zone(run.draw_zone(), platform=True, action=action)
     written = run.write()
-    time.sleep(run.draw_s(OUTAGE_S))
+    time.sleep(run.draw_s(OUTAGE_BOUNDS_S))
     run.running.heal()
     run.wait(written, since_s=time.time())
 
@@ -222,21 +224,48 @@
     """
 
     name: str
-    changes: int = CHANGES
-    once: Callable[[Run], None] = _change
-    around: Callable[[Run], AbstractContextManager[None]] = lambda _: nullcontext()
-    settled: bool = False
+    changes: int = CHANGES_UNDER_LASTING_FAULT
+    make_change: Callable[[CaseRun], None] = _write_and_wait
+    fault_context: Callable[[CaseRun], AbstractContextManager[None]] = lambda _: (
+        nullcontext()
+    )
+    wait_agreement: bool = False
 
 
 CASES = (
     Case("undisturbed"),
-    Case("peers-delayed", around=_delay),
-    Case("peers-lossy", around=_loss),
-    Case("platform-slow", CHANGES // 2, _change_twice, _slow),
-    Case("zone-without-platform", FAILURES, _zone_without_platform),
-    Case("replacement", FAILURES, _replacement, settled=True),
-    Case("watchers-killed", FAILURES, _watchers_killed, settled=True),
-    Case("platform-back", FAILURES, _platform_back),
-    Case("platform-reached-again", FAILURES, _platform_reached_again),
-    Case("zone-healed", FAILURES, _zone_healed, settled=True),
+    Case("peers-delayed", fault_context=_delay_peers),
+    Case("peers-lossy", fault_context=_lose_peer_chunks),
+    Case(
+        "platform-slow", CHANGES_UNDER_LASTING_FAULT // 2, _change_twice, _slow_platform
+    ),
+    Case(
+        "zone-without-platform",
+        CHANGES_WITH_OWN_FAULT,
+        _change_without_platform_in_zone,
+    ),
+    Case(
+        "replacement",
+        CHANGES_WITH_OWN_FAULT,
+        _change_during_planned_stop,
+        wait_agreement=True,
+    ),
+    Case(
+        "watchers-killed",
+        CHANGES_WITH_OWN_FAULT,
+        _change_after_killing_watchers,
+        wait_agreement=True,
+    ),
+    Case("platform-back", CHANGES_WITH_OWN_FAULT, _change_after_outage),
+    Case(
+        "platform-reached-again",
+        CHANGES_WITH_OWN_FAULT,
+        _change_while_platform_unreachable,
+    ),
+    Case(
+        "zone-healed",
+        CHANGES_WITH_OWN_FAULT,
+        _change_while_zone_cut,
+        wait_agreement=True,
+    ),
 )
--- a/standins/_objectstore.py
+++ b/standins/_objectstore.py
@@ -55,7 +55,7 @@
 
     def put(self, key: Key, body: Any, if_version: int | None) -> StoredObject:
         """Write an object; VersionConflictError if `if_version` does not hold."""
-        previous = self._checked(key, if_version)
+        previous = self._check_version(key, if_version)
         self.revision += 1
         stored = StoredObject(*key, self.revision, body)
         self._objects[key] = stored
@@ -64,7 +64,7 @@
 
     def delete(self, key: Key, if_version: int | None) -> StoredObject | None:
         """Delete an object; returns its tombstone, or None if it is absent."""
-        previous = self._checked(key, if_version)
+        previous = self._check_version(key, if_version)
         if previous is None:
             return None
         self.revision += 1
@@ -73,13 +73,13 @@
         self._record(StoreEvent("delete", tombstone, previous))
         return tombstone
 
-    def snapshot(self, back: int) -> tuple[int, dict[Key, StoredObject]]:
+    def snapshot(self, revisions_ago: int) -> tuple[int, dict[Key, StoredObject]]:
         """Return the revision and the objects as they were `back` revisions ago."""
-        if back <= 0:
+        if revisions_ago <= 0:
             return self.revision, self._objects
         objects = dict(self._objects)
         revision = self.revision
-        for event in list(self._history)[: -back - 1 : -1]:
+        for event in list(self._history)[: -revisions_ago - 1 : -1]:
             key = (event.object.kind, event.object.name)
             if event.previous is None:
                 objects.pop(key, None)
@@ -96,17 +96,17 @@
         recent = list(self._history)[len(self._history) - count :]
         return [event for event in recent if event.object.kind in kinds]
 
-    def trim(self, limit: int) -> None:
+    def trim_history(self, limit: int) -> None:
         """Forget all but the last `limit` events."""
         while len(self._history) > limit:
             self._history.popleft()
 
-    def wake(self) -> None:
+    def wake_watches(self) -> None:
         """Let all waiting watches look again."""
         waiting, self.changed = self.changed, Event()
         waiting.set()
 
-    def _checked(self, key: Key, if_version: int | None) -> StoredObject | None:
+    def _check_version(self, key: Key, if_version: int | None) -> StoredObject | None:
         current = self._objects.get(key)
         version = current.version if current else 0
         if if_version is not None and if_version != version:
@@ -115,4 +115,4 @@
 
     def _record(self, event: StoreEvent) -> None:
         self._history.append(event)
-        self.wake()
+        self.wake_watches()
--- a/standins/_proxyconnection.py
+++ b/standins/_proxyconnection.py
@@ -78,7 +78,7 @@
         self._actions = [
             rule.action for rule in rules if rule.matches(self.source, self.route)
         ]
-        self._forget_lifted_limits()
+        self._reset_lifted_limits()
         if any(isinstance(action, Cut) for action in self._actions):
             self.close("cut", reset=True)
         waiting, self._changed = self._changed, Event()
@@ -98,10 +98,10 @@
             ("to_target", self._client, target),
             ("to_source", target, self._client),
         ]
-        for direction, giver, taker in pairs:
+        for direction, reader, writer in pairs:
             queue: Queue[Chunk] = Queue(maxsize=_QUEUE_CHUNKS)
-            self._tasks.append(gevent.spawn(self._read, direction, giver, queue))
-            self._tasks.append(gevent.spawn(self._write, direction, taker, queue))
+            self._tasks.append(gevent.spawn(self._read, direction, reader, queue))
+            self._tasks.append(gevent.spawn(self._write, direction, writer, queue))
         gevent.joinall(self._tasks)
         self.close("ended")
 
@@ -130,11 +130,11 @@
         return sock
 
     def _read(
-        self, direction: Direction, giver: GeventSocket, queue: "Queue[Chunk]"
+        self, direction: Direction, reader: GeventSocket, queue: "Queue[Chunk]"
     ) -> None:
         while True:
             try:
-                data = giver.recv(_CHUNK_BYTES)
+                data = reader.recv(_CHUNK_BYTES)
             except OSError:
                 data = b""
             self.read_bytes[direction] += len(data)
@@ -149,7 +149,7 @@
         return sum(delays + repeats) / 1000
 
     def _write(
-        self, direction: Direction, taker: GeventSocket, queue: "Queue[Chunk]"
+        self, direction: Direction, writer: GeventSocket, queue: "Queue[Chunk]"
     ) -> None:
         for chunk in iter(queue.get, None):
             wait_s = chunk.due_s - time.monotonic()
@@ -157,32 +157,32 @@
                 gevent.sleep(wait_s)
             self._wait_while_held(direction)
             try:
-                if not self._deliver(direction, taker, chunk.data):
+                if not self._deliver(direction, writer, chunk.data):
                     return
             except OSError as error:
                 self.close(f"{direction}: {error}", reset=True)
                 return
 
     def _wait_while_held(self, direction: Direction) -> None:
-        while not self.closed_by and self._held(direction):
+        while not self.closed_by and self._is_held(direction):
             self._changed.wait()
 
-    def _held(self, direction: Direction) -> bool:
+    def _is_held(self, direction: Direction) -> bool:
         return any(
             isinstance(action, Blackhole) and action.holds(direction)
             for action in self._actions
         )
 
-    def _deliver(self, direction: Direction, taker: GeventSocket, data: bytes) -> bool:
+    def _deliver(self, direction: Direction, writer: GeventSocket, data: bytes) -> bool:
         """Hand on one chunk; returns False at the end of the stream."""
         if not data:
-            taker.shutdown(socket.SHUT_WR)
+            writer.shutdown(socket.SHUT_WR)
             return False
         if direction == "to_source" and self._drops_answers():
             self.close("answer dropped")
             return False
         allowed = self._allowed_bytes(direction, len(data))
-        taker.sendall(data[:allowed])
+        writer.sendall(data[:allowed])
         self.passed_bytes[direction] += allowed
         if self._limit_reached():
             self.close("byte limit")
@@ -195,7 +195,7 @@
     def _limits(self) -> Iterator[CloseAfterBytes]:
         return (a for a in self._actions if isinstance(a, CloseAfterBytes))
 
-    def _forget_lifted_limits(self) -> None:
+    def _reset_lifted_limits(self) -> None:
         """Let a limit that is lifted and set again count from zero."""
         in_force = {limit.key() for limit in self._limits()}
         for key in set(self._counted_bytes) - in_force:
@@ -204,10 +204,10 @@
     def _allowed_bytes(self, direction: Direction, size_bytes: int) -> int:
         """Count the bytes against the limits; returns how many may pass."""
         counting = [limit for limit in self._limits() if limit.counts(direction)]
-        rooms = [
+        remaining_bytes = [
             limit.limit_bytes - self._counted_bytes[limit.key()] for limit in counting
         ]
-        allowed = min([size_bytes, *rooms])
+        allowed = min([size_bytes, *remaining_bytes])
         for limit in counting:
             self._counted_bytes[limit.key()] += allowed
         return allowed
--- a/standins/addressblock.py
+++ b/standins/addressblock.py
@@ -9,9 +9,9 @@
 from collections.abc import Iterator
 from contextlib import contextmanager
 
-__all__ = ["BLOCKS", "AddressBlockError", "address_block", "host_in_block"]
+__all__ = ["BLOCK_COUNT", "AddressBlockError", "address_block", "host_in_block"]
 
-BLOCKS = 48
+BLOCK_COUNT = 48
 """Number of blocks; the second bytes of their addresses are 1 to 192."""
 _ZONES = 4
 _LOCK_PORT = 47_001
@@ -41,7 +41,7 @@
 
 
 @contextmanager
-def address_block(count: int = BLOCKS) -> Iterator[int]:
+def address_block(count: int = BLOCK_COUNT) -> Iterator[int]:
     """Hold a block that no other process holds; yields its number.
 
     Parameters
@@ -55,10 +55,10 @@
         If all are held.
     """
     with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as lock:
-        yield _take_block(lock, count)
+        yield _lock_free_block(lock, count)
 
 
-def _take_block(lock: socket.socket, count: int) -> int:
+def _lock_free_block(lock: socket.socket, count: int) -> int:
     """Bind the lock in the first free block: the system lets only one do so."""
     for block in range(count):
         try:
--- a/standins/checker.py
+++ b/standins/checker.py
@@ -10,13 +10,13 @@
 
 from standins.evidence import Evidence, Request, Run, Stream
 
-__all__ = ["Disturbance", "Promise", "Report", "Violation", "check"]
+__all__ = ["UnplannedFailure", "Promise", "Report", "Violation", "check"]
 
 LEAVING_GRACE_S = 3.0
 """Time after which a leaving target gets no new work."""
 RECOVERY_S = 10.0
 """Time after an unplanned failure in which requests may still end badly."""
-STALL_S = 5.0
+STALL_LIMIT_S = 5.0
 """Longest time without an event of a stream whose interval is far shorter."""
 
 
@@ -45,7 +45,7 @@
 
 
 @dataclass(frozen=True)
-class Disturbance:
+class UnplannedFailure:
     """An unplanned failure that a test brought about; it may outlast the logs."""
 
     from_s: float
@@ -74,7 +74,9 @@
         return [v for v in self.violations if v.promise is promise]
 
 
-def check(evidence: Evidence, disturbances: Iterable[Disturbance] = ()) -> Report:
+def check(
+    evidence: Evidence, unplanned_failures: Iterable[UnplannedFailure] = ()
+) -> Report:
     """Check all promises.
 
     Parameters
@@ -85,16 +87,16 @@
         Unplanned failures; only requests and streams under way during one may
         end with an unknown outcome.
     """
-    known = list(disturbances)
+    failures = list(unplanned_failures)
     violations = [
-        *_wrong_services(evidence),
-        *_run_twice(evidence),
-        *_refused_but_ran(evidence),
-        *_wrong_answers(evidence),
-        *_cut_requests(evidence, known),
-        *_broken_streams(evidence, known),
-        *_lost_flows(evidence),
-        *_work_while_leaving(evidence),
+        *_find_wrong_services(evidence),
+        *_find_repeated_runs(evidence),
+        *_find_refused_runs(evidence),
+        *_find_wrong_answers(evidence),
+        *_find_cut_requests(evidence, failures),
+        *_find_broken_streams(evidence, failures),
+        *_find_lost_flows(evidence),
+        *_find_work_while_leaving(evidence),
     ]
     return Report(_count(evidence), violations)
 
@@ -114,7 +116,7 @@
     return counts
 
 
-def _wrong_services(evidence: Evidence) -> Iterator[Violation]:
+def _find_wrong_services(evidence: Evidence) -> Iterator[Violation]:
     for line in evidence.misdirected:
         if line["named_service"] != line["service"]:
             yield Violation(
@@ -130,7 +132,7 @@
                 yield Violation(Promise.SERVICE, detail)
 
 
-def _run_twice(evidence: Evidence) -> Iterator[Violation]:
+def _find_repeated_runs(evidence: Evidence) -> Iterator[Violation]:
     for echo, runs in evidence.runs_by_echo().items():
         if len(runs) > 1 and not _is_idempotent(evidence, echo, runs):
             yield Violation(Promise.ONCE, f"{echo} ran {_describe_runs(runs)}")
@@ -143,7 +145,7 @@
     return all(run.idempotent for run in runs)
 
 
-def _refused_but_ran(evidence: Evidence) -> Iterator[Violation]:
+def _find_refused_runs(evidence: Evidence) -> Iterator[Violation]:
     by_echo = evidence.runs_by_echo()
     for request in evidence.requests.values():
         runs = by_echo.get(request.echo, [])
@@ -157,7 +159,7 @@
     return f"{len(runs)} times: {places}"
 
 
-def _wrong_answers(evidence: Evidence) -> Iterator[Violation]:
+def _find_wrong_answers(evidence: Evidence) -> Iterator[Violation]:
     by_echo = evidence.runs_by_echo()
     for request in evidence.requests.values():
         if request.end == "answer" and request.verdict != "whole":
@@ -172,40 +174,42 @@
             yield Violation(Promise.WHOLE, detail)
 
 
-def _is_excused(item: Request | Stream, disturbances: Iterable[Disturbance]) -> bool:
-    return any(d.covers(item.sent_s, item.ended_s) for d in disturbances)
+def _is_excused(
+    item: Request | Stream, unplanned_failures: Iterable[UnplannedFailure]
+) -> bool:
+    return any(d.covers(item.sent_s, item.ended_s) for d in unplanned_failures)
 
 
-def _cut_requests(
-    evidence: Evidence, disturbances: list[Disturbance]
+def _find_cut_requests(
+    evidence: Evidence, unplanned_failures: list[UnplannedFailure]
 ) -> Iterator[Violation]:
     for request in evidence.requests.values():
         ended_badly = request.end in ("unknown", "gave_up", "status")
-        if ended_badly and not _is_excused(request, disturbances):
+        if ended_badly and not _is_excused(request, unplanned_failures):
             detail = f"{request.echo} ended as {request.end} ({request.reason})"
             yield Violation(Promise.GRACEFUL, detail)
 
 
-def _broken_streams(
-    evidence: Evidence, disturbances: list[Disturbance]
+def _find_broken_streams(
+    evidence: Evidence, unplanned_failures: list[UnplannedFailure]
 ) -> Iterator[Violation]:
     for stream in evidence.streams:
-        if not stream.by_caller and not _is_excused(stream, disturbances):
+        if not stream.by_caller and not _is_excused(stream, unplanned_failures):
             detail = f"stream {stream.echo} ended after {stream.events} events"
             yield Violation(Promise.FLOWS, f"{detail} ({stream.error})")
-        stalled_s = _stalled_s(stream, disturbances)
-        if stalled_s > STALL_S:
+        stalled_s = _stalled_s(stream, unplanned_failures)
+        if stalled_s > STALL_LIMIT_S:
             detail = f"stream {stream.echo} stood still for {stalled_s:.1f} s"
             yield Violation(Promise.FLOWS, detail)
 
 
-def _stalled_s(stream: Stream, disturbances: list[Disturbance]) -> float:
+def _stalled_s(stream: Stream, unplanned_failures: list[UnplannedFailure]) -> float:
     from_s, until_s = stream.longest_gap_s
-    excused_s = sum(d.overlap_s(from_s, until_s) for d in disturbances)
+    excused_s = sum(d.overlap_s(from_s, until_s) for d in unplanned_failures)
     return until_s - from_s - excused_s
 
 
-def _lost_flows(evidence: Evidence) -> Iterator[Violation]:
+def _find_lost_flows(evidence: Evidence) -> Iterator[Violation]:
     """Yield flows whose last requests all failed, whatever the cause."""
     by_flow: dict[str, list[Request]] = defaultdict(list)
     for request in evidence.requests.values():
@@ -219,7 +223,7 @@
             yield Violation(Promise.FLOWS, detail)
 
 
-def _work_while_leaving(evidence: Evidence) -> Iterator[Violation]:
+def _find_work_while_leaving(evidence: Evidence) -> Iterator[Violation]:
     for leaving in evidence.leaving:
         late = [
             run.started_s - leaving.from_s
--- a/standins/cluster.py
+++ b/standins/cluster.py
@@ -37,7 +37,7 @@
 __all__ = ["Cluster", "ClusterSettings", "cluster"]
 
 _STOP_TIMEOUT_S = 90.0
-_NO_ADDRESS = "127.0.0.1:1"
+_CLOSED_ADDRESS = "127.0.0.1:1"
 """Where a route leads until its instance listens; nothing does there."""
 
 
@@ -85,7 +85,7 @@
         platform.wait_ready()
         self.platform = PlatformHandle(platform)
         self._start_network()
-        self._take_targets(targets)
+        self._register_targets(targets)
         self.platform.put("keyring", "tokens", keyring_body(self.settings))
         for service in self.shape.services:
             self.write_record(service)
@@ -99,14 +99,14 @@
             proxy.wait_ready()
             self.faults = FaultsHandle(proxy, self.shape)
             for plan in self.shape.instances:
-                self._peer_route(plan, _NO_ADDRESS)
+                self._set_peer_route(plan, _CLOSED_ADDRESS)
         self.fabric.wait_ready()
         self._endpoints = Endpoints(
-            platform=self._route("platform", PLATFORM_ZONE, self.platform.api),
+            platform=self._add_route("platform", PLATFORM_ZONE, self.platform.api),
             fabric_return=self.fabric.ready["addresses"]["instances"],
         )
 
-    def _route(self, name: str, zone: str, address: str) -> str:
+    def _add_route(self, name: str, zone: str, address: str) -> str:
         """Return the address by which instances reach ``address``."""
         if self.faults is None:
             return address
@@ -179,10 +179,10 @@
         spawned = [(plan, *self._spawn_instance(plan, same_ports)) for plan in plans]
         for plan, process, log in spawned:
             self._last_ready[plan.name] = process.wait_ready()
-            listed = self._listed(plan, process)
+            listed = self._make_list_entry(plan, process)
             self.instances[plan.name] = Instance(plan, process, listed, log)
             self._leaving.discard(plan.name)
-        self._publish_list()
+        self._publish_instance_list()
         for plan in plans:
             self.wait_instance_ready(plan.name)
 
@@ -204,7 +204,7 @@
     def begin_stop(self, name: str) -> None:
         """Mark an instance as leaving and send it SIGTERM."""
         self._leaving.add(name)
-        self._publish_list()
+        self._publish_instance_list()
         self.instances[name].process.signal(signal.SIGTERM)
 
     def finish_stop(self, name: str) -> int:
@@ -231,9 +231,9 @@
         """Take an instance that has ended off the platform's list."""
         del self.instances[name]
         self._leaving.discard(name)
-        self._publish_list()
+        self._publish_instance_list()
 
-    def _publish_list(self) -> None:
+    def _publish_instance_list(self) -> None:
         listed = []
         for name, instance in self.instances.items():
             state = "leaving" if name in self._leaving else "live"
@@ -244,7 +244,7 @@
         self, plan: InstancePlan, same_ports: bool
     ) -> tuple[ChildProcess, Path]:
         log = self.launcher.log_path("instances", plan.name)
-        addresses = self._addresses_of(plan, same_ports)
+        addresses = self._choose_addresses(plan, same_ports)
         settings = daemon_settings(self.settings, plan, self._endpoints, log, addresses)
         path = self.launcher.write_settings(plan.name, settings)
         process = self.launcher.spawn(
@@ -255,7 +255,9 @@
         )
         return process, log
 
-    def _addresses_of(self, plan: InstancePlan, same_ports: bool) -> InstanceAddresses:
+    def _choose_addresses(
+        self, plan: InstancePlan, same_ports: bool
+    ) -> InstanceAddresses:
         last = self._last_ready.get(plan.name, {}) if same_ports else {}
         seeds = [a for n, a in self._peer_addresses.items() if n != plan.name]
         return InstanceAddresses(
@@ -266,18 +268,20 @@
             seeds=tuple(seeds),
         )
 
-    def _peer_route(self, plan: InstancePlan, address: str) -> str:
+    def _set_peer_route(self, plan: InstancePlan, address: str) -> str:
         """Return where peers connect to so that they reach ``address``."""
-        route = self._route(f"peer:{plan.name}", plan.zone, address)
+        route = self._add_route(f"peer:{plan.name}", plan.zone, address)
         self._peer_addresses[plan.name] = route
         return route
 
-    def _listed(self, plan: InstancePlan, process: ChildProcess) -> ListedInstance:
+    def _make_list_entry(
+        self, plan: InstancePlan, process: ChildProcess
+    ) -> ListedInstance:
         peer_address = process.ready["peer_address"]
         return ListedInstance(
             plan.name,
             plan.zone,
-            self._peer_route(plan, peer_address),
+            self._set_peer_route(plan, peer_address),
             process.ready["data_address"],
         )
 
@@ -285,7 +289,7 @@
 
     def start_target(self, plan: TargetPlan) -> Target:
         """Start a target; the record does not change."""
-        self._take_targets([self._spawn_target(plan)])
+        self._register_targets([self._spawn_target(plan)])
         return self.targets[plan.name]
 
     def kill_target(self, name: str) -> None:
@@ -317,12 +321,12 @@
         arguments = target_arguments(self.settings, plan, log)
         return plan, self.launcher.spawn(plan.name, "standins.target", arguments), log
 
-    def _take_targets(
+    def _register_targets(
         self, spawned: list[tuple[TargetPlan, ChildProcess, Path]]
     ) -> None:
         for plan, process, log in spawned:
             listening = process.wait_ready()["address"]
-            address = self._route(f"target:{plan.name}", plan.zone, listening)
+            address = self._add_route(f"target:{plan.name}", plan.zone, listening)
             self.targets[plan.name] = Target(plan, process, address, log)
 
 
--- a/standins/combined.py
+++ b/standins/combined.py
@@ -17,7 +17,7 @@
 import fire
 
 from standins.cases import choose_shape
-from standins.checker import Disturbance, Promise, Report, Violation, check
+from standins.checker import Promise, Report, UnplannedFailure, Violation, check
 from standins.cluster import Cluster, ClusterSettings, cluster
 from standins.demo import start_callers, stop_callers
 from standins.evidence import read_evidence
@@ -26,7 +26,7 @@
 
 __all__ = ["main", "run_combined"]
 
-JUDGED = (
+CHECKED_PROMISES = (
     Promise.SERVICE,
     Promise.WHOLE,
     Promise.NOT_RUN,
@@ -34,12 +34,12 @@
     Promise.LEAVING,
     Promise.IN_FORCE,
 )
-PAUSE_S = (0.2, 1.0)
+PAUSE_BOUNDS_S = (0.2, 1.0)
 """Shortest and longest time between two failures, in seconds."""
-DURATION_S = (0.5, 4.0)
+DURATION_BOUNDS_S = (0.5, 4.0)
 """Shortest and longest duration of a failure, in seconds."""
-FAILURES_AT_ONCE = 3
-LIVE_INSTANCES_MIN = 2
+MAX_ACTIVE_FAILURES = 3
+MIN_LIVE_INSTANCES = 2
 RACING_WRITERS = 4
 
 
@@ -58,13 +58,13 @@
     """State of one randomized run."""
 
     running: Cluster
-    chance: random.Random
+    rng: random.Random
     started_s: float
     active: list[_Failure] = field(default_factory=list)
     counts: dict[str, int] = field(default_factory=dict)
     written: list[dict[str, int]] = field(default_factory=list)
 
-    def note(self, text: str) -> None:
+    def print_step(self, text: str) -> None:
         print(f"{time.monotonic() - self.started_s:5.1f} s  {text}", flush=True)
 
     def is_active(self, *kinds: str) -> bool:
@@ -79,24 +79,24 @@
         return sorted(set(self.running.targets) - touched)
 
 
-def _nothing() -> None:
+def _do_nothing() -> None:
     return None
 
 
 def _freeze(run: _Run) -> tuple[str, Callable[[], None]] | None:
     names = run.untouched_instances()
-    if len(names) <= LIVE_INSTANCES_MIN - 1:
+    if len(names) <= MIN_LIVE_INSTANCES - 1:
         return None
-    name = run.chance.choice(names)
+    name = run.rng.choice(names)
     run.running.freeze_instance(name)
     return name, lambda: run.running.thaw_instance(name)
 
 
 def _kill(run: _Run) -> tuple[str, Callable[[], None]] | None:
     names = run.untouched_instances()
-    if len(names) < LIVE_INSTANCES_MIN:
+    if len(names) < MIN_LIVE_INSTANCES:
         return None
-    name = run.chance.choice(names)
+    name = run.rng.choice(names)
     listed = run.running.instances[name]
     run.running.kill_instance(name)
     return listed.plan.name, lambda: run.running.start_instances([name])
@@ -104,9 +104,9 @@
 
 def _replace(run: _Run) -> tuple[str, Callable[[], None]] | None:
     names = run.untouched_instances()
-    if len(names) < LIVE_INSTANCES_MIN:
+    if len(names) < MIN_LIVE_INSTANCES:
         return None
-    name = run.chance.choice(names)
+    name = run.rng.choice(names)
     run.running.begin_stop(name)
 
     def end() -> None:
@@ -119,45 +119,45 @@
 def _cut_zone(run: _Run) -> tuple[str, Callable[[], None]] | None:
     if run.is_active("cut_zone"):
         return None
-    zone = run.chance.choice(run.running.shape.zones)
-    action = run.chance.choice(("cut", "blackhole"))
-    run.running.cut_zone(zone, platform=run.chance.random() < 0.5, action=action)
+    zone = run.rng.choice(run.running.shape.zones)
+    action = run.rng.choice(("cut", "blackhole"))
+    run.running.cut_zone(zone, platform=run.rng.random() < 0.5, action=action)
     return zone, run.running.heal
 
 
-def _outage(run: _Run) -> tuple[str, Callable[[], None]] | None:
+def _begin_outage(run: _Run) -> tuple[str, Callable[[], None]] | None:
     if run.is_active("outage"):
         return None
     platform = run.running.platform
-    kind = run.chance.choice(("refuse", "hang", "unavailable"))
+    kind = run.rng.choice(("refuse", "hang", "unavailable"))
     platform.control(outage=kind)
     return kind, lambda: platform.control(outage=None) and None
 
 
-def _bad_fabric(run: _Run) -> tuple[str, Callable[[], None]] | None:
+def _degrade_fabric(run: _Run) -> tuple[str, Callable[[], None]] | None:
     if run.is_active("bad_fabric"):
         return None
     faults = {"loss": 0.1, "duplicate": 0.3, "delay_ms_min": 0, "delay_ms_max": 30}
     run.running.control_fabric(to_instances=faults, to_callers=faults)
-    calm = {"loss": 0.0, "duplicate": 0.0, "delay_ms_min": 0, "delay_ms_max": 0}
+    no_faults = {"loss": 0.0, "duplicate": 0.0, "delay_ms_min": 0, "delay_ms_max": 0}
 
     def end() -> None:
-        run.running.control_fabric(to_instances=calm, to_callers=calm)
+        run.running.control_fabric(to_instances=no_faults, to_callers=no_faults)
 
     return "fabric", end
 
 
 def _break_target(run: _Run) -> tuple[str, Callable[[], None]] | None:
     names = run.untouched_targets()
-    name = run.chance.choice(names)
-    fault = run.chance.choice(("shed", "stuck", "close_after_run"))
+    name = run.rng.choice(names)
+    fault = run.rng.choice(("shed", "stuck", "close_after_run"))
     target = run.running.targets[name]
     target.control(**{fault: True})
     return name, lambda: target.control(**{fault: False})
 
 
 def _restart_target(run: _Run) -> tuple[str, Callable[[], None]] | None:
-    name = run.chance.choice(run.untouched_targets())
+    name = run.rng.choice(run.untouched_targets())
     plan = run.running.targets[name].plan
     service = next(s for s in run.running.shape.services if s.name == plan.service)
     run.running.kill_target(name)
@@ -169,11 +169,11 @@
     return name, end
 
 
-def _race(run: _Run) -> tuple[str, Callable[[], None]] | None:
+def _race_writers(run: _Run) -> tuple[str, Callable[[], None]] | None:
     """Let several writers change one record at once."""
     if run.is_active("outage"):
         return None
-    service = run.chance.choice(run.running.shape.services).name
+    service = run.rng.choice(run.running.shape.services).name
 
     def write(number: int) -> None:
         def change(body: dict[str, object]) -> None:
@@ -190,7 +190,7 @@
         writer.start()
     for writer in writers:
         writer.join()
-    return service, _nothing
+    return service, _do_nothing
 
 
 _FAILURES = {
@@ -198,56 +198,56 @@
     "kill": _kill,
     "replace": _replace,
     "cut_zone": _cut_zone,
-    "outage": _outage,
-    "bad_fabric": _bad_fabric,
+    "outage": _begin_outage,
+    "bad_fabric": _degrade_fabric,
     "break_target": _break_target,
     "restart_target": _restart_target,
-    "race": _race,
+    "race": _race_writers,
 }
-_NEED_CALM = frozenset({"kill", "replace", "restart_target"})
+_NEED_PLATFORM = frozenset({"kill", "replace", "restart_target"})
 """Their end starts a process or writes a record, which waits for the platform."""
 
 
-def _begin_one(run: _Run) -> None:
-    kind = run.chance.choice(sorted(_FAILURES))
+def _begin_failure(run: _Run) -> None:
+    kind = run.rng.choice(sorted(_FAILURES))
     begun = _FAILURES[kind](run)
     if begun is None:
         return
     subject, end = begun
-    until_s = time.monotonic() + run.chance.uniform(*DURATION_S)
+    until_s = time.monotonic() + run.rng.uniform(*DURATION_BOUNDS_S)
     run.active.append(_Failure(kind, subject, until_s, end))
     run.counts[kind] = run.counts.get(kind, 0) + 1
-    run.note(f"{kind} {subject}")
+    run.print_step(f"{kind} {subject}")
 
 
-def _end_due(run: _Run, all_of_them: bool = False) -> None:
+def _end_due_failures(run: _Run, end_all: bool = False) -> None:
     """End failures whose time is over; what needs the platform waits for it."""
     due = [
         failure
         for failure in run.active
-        if all_of_them or time.monotonic() >= failure.until_s
+        if end_all or time.monotonic() >= failure.until_s
     ]
-    for failure in sorted(due, key=lambda failure: failure.kind in _NEED_CALM):
+    for failure in sorted(due, key=lambda failure: failure.kind in _NEED_PLATFORM):
         blocked = run.is_active("cut_zone", "outage", "freeze")
-        if failure.kind in _NEED_CALM and blocked and not all_of_them:
+        if failure.kind in _NEED_PLATFORM and blocked and not end_all:
             continue
         run.active.remove(failure)
         failure.end()
-        run.note(f"end of {failure.kind} {failure.subject}")
+        run.print_step(f"end of {failure.kind} {failure.subject}")
 
 
-def _play(run: _Run, run_s: float) -> None:
+def _run_failures(run: _Run, run_s: float) -> None:
     callers = start_callers(run.running)
     for process in callers:
         process.wait_ready()
     end_s = time.monotonic() + run_s
     while time.monotonic() < end_s:
-        _end_due(run)
-        if len(run.active) < FAILURES_AT_ONCE:
-            _begin_one(run)
+        _end_due_failures(run)
+        if len(run.active) < MAX_ACTIVE_FAILURES:
+            _begin_failure(run)
         # Part of the experiment: the time between two failures.
-        time.sleep(run.chance.uniform(*PAUSE_S))
-    _end_due(run, all_of_them=True)
+        time.sleep(run.rng.uniform(*PAUSE_BOUNDS_S))
+    _end_due_failures(run, end_all=True)
     for name in run.running.instances:
         run.running.wait_instance_ready(name)
     _check_in_force(run)
@@ -266,7 +266,7 @@
 
 
 @contextmanager
-def _prepared(
+def _start_run(
     shape: Shape, seed: int, folder: str
 ) -> Iterator[tuple[_Run, VersionWatch]]:
     settings = ClusterSettings(shape, faults=True, seed=seed, folder=folder)
@@ -296,15 +296,17 @@
         Counts and broken promises, and how often each kind of failure began.
     """
     print(f"seed {seed}, shape {shape.name}, {run_s:g} s of failures", flush=True)
-    with _prepared(shape, seed, folder) as (run, watch):
-        _play(run, run_s)
+    with _start_run(shape, seed, folder) as (run, watch):
+        _run_failures(run, run_s)
         logs = run.running.launcher.logs
         evidence = read_evidence(logs("callers"), logs("targets"), logs("platform"))
-        report = check(evidence, [Disturbance(0.0, time.time())])
+        report = check(evidence, [UnplannedFailure(0.0, time.time())])
         report.violations += [
             Violation(Promise.IN_FORCE, detail) for detail in watch.reverted
         ]
-        report.violations = [v for v in report.violations if v.promise in JUDGED]
+        report.violations = [
+            v for v in report.violations if v.promise in CHECKED_PROMISES
+        ]
         return report, run.counts
 
 
--- a/standins/control.py
+++ b/standins/control.py
@@ -210,7 +210,7 @@
         self._log = log
         self._stats = stats
         self._listeners: list[Callable[[], None]] = []
-        self._extra: dict[tuple[str, str], Callable[[Any], Any]] = {}
+        self._extra_routes: dict[tuple[str, str], Callable[[Any], Any]] = {}
 
     def on_change(self, listener: Callable[[], None]) -> None:
         """Call `listener` after each change of the document."""
@@ -218,7 +218,7 @@
 
     def add_route(self, method: str, path: str, handler: Callable[[Any], Any]) -> None:
         """Serve one more path; `handler` maps the JSON body to the answer."""
-        self._extra[(method, path)] = handler
+        self._extra_routes[(method, path)] = handler
 
     def answer(self, environ: dict[str, Any]) -> Answer:
         """Answer one request to the control endpoint."""
@@ -237,9 +237,9 @@
                 return Answer(200, self.current.model_dump(mode="json"))
             case ("GET", "/stats"):
                 return Answer(200, self._stats())
-            case _ if key in self._extra:
+            case _ if key in self._extra_routes:
                 body = None if key[0] == "GET" else read_json(environ)
-                return Answer(200, self._extra[key](body))
+                return Answer(200, self._extra_routes[key](body))
             case _:
                 return Answer(404, {"error": "Use /control or /stats."})
 
--- a/standins/demo.py
+++ b/standins/demo.py
@@ -15,12 +15,12 @@
 import fire
 
 from standins.cases import choose_shape
-from standins.checker import Disturbance, Promise, Report, Violation, check
+from standins.checker import Promise, Report, UnplannedFailure, Violation, check
 from standins.cluster import Cluster, ClusterSettings, cluster
 from standins.evidence import Evidence, read_evidence
 from standins.process import ChildProcess, exit_on_signal, wait_until
 from standins.shapes import ServicePlan, Shape
-from standins.summary import Story, print_summary
+from standins.summary import Scenario, print_summary
 from standins.versions import VersionWatch, wait_in_force, watch_versions
 
 __all__ = ["main", "run_demo", "start_callers", "stop_callers"]
@@ -34,13 +34,13 @@
 _STREAM_INTERVAL_MS = 200.0
 _LOAD_MAX_S = 60.0
 _STEADY_S = 2.0
-_DRAINED_S = 4.0
+_AFTER_DRAIN_S = 4.0
 _AFTER_KILL_S = 5.0
 _END_TIMEOUT_S = 30.0
-_SHOWN_VIOLATIONS = 10
+_MAX_SHOWN_VIOLATIONS = 10
 
 
-def _flows_for(service: ServicePlan) -> int:
+def _flows_per_caller(service: ServicePlan) -> int:
     """Return how many flows keep the service at about the wanted load."""
     slots = sum(target.slots for target in service.targets)
     busy_share = _WORK_MS / (_WORK_MS + _THINK_MS)
@@ -60,7 +60,7 @@
             "workloads": [
                 {
                     "service": service.name,
-                    "flows": _flows_for(service),
+                    "flows": _flows_per_caller(service),
                     "work_ms": _WORK_MS,
                     "think_ms": _THINK_MS,
                     "stream_interval_ms": _STREAM_INTERVAL_MS,
@@ -100,94 +100,94 @@
     return max(flows, key=lambda name: flows[name])
 
 
-def _replace_instance(running: Cluster, story: Story) -> None:
+def _replace_instance(running: Cluster, scenario: Scenario) -> None:
     name = _busiest_instance(running)
     flows = running.instances[name].status()["flows"]
     status = running.stop_instance(name)
     if status != 0:
         detail = f"{name} ended its planned stop with status {status}"
-        story.violations.append(Violation(Promise.GRACEFUL, detail))
-    story.note(f"stopped instance {name} as planned; it held {flows} flows")
+        scenario.violations.append(Violation(Promise.GRACEFUL, detail))
+    scenario.print_step(f"stopped instance {name} as planned; it held {flows} flows")
     running.start_instance(name)
-    story.note(f"started its replacement {name}")
+    scenario.print_step(f"started its replacement {name}")
 
 
-def _put_in_force(
-    running: Cluster, story: Story, what: str, write: Callable[[], dict[str, Any]]
+def _change_and_wait(
+    running: Cluster, scenario: Scenario, what: str, write: Callable[[], dict[str, Any]]
 ) -> None:
     """Write a record and measure how long until it is in force everywhere."""
     written_s = time.monotonic()
     written = write()
     wait_in_force(running, written["name"], written["version"])
     took_s = time.monotonic() - written_s
-    story.in_force_s.append(took_s)
-    story.note(f"{what}: in force everywhere after {took_s:.2f} s")
+    scenario.in_force_s.append(took_s)
+    scenario.print_step(f"{what}: in force everywhere after {took_s:.2f} s")
     if took_s > IN_FORCE_LIMIT_S:
         detail = f"{what} took {took_s:.1f} s"
-        story.violations.append(Violation(Promise.IN_FORCE, detail))
+        scenario.violations.append(Violation(Promise.IN_FORCE, detail))
 
 
-def _drain_target(running: Cluster, story: Story) -> None:
+def _drain_target(running: Cluster, scenario: Scenario) -> None:
     target = running.shape.services[0].targets[0]
-    story.drained = target.name
-    _put_in_force(
+    scenario.drained = target.name
+    _change_and_wait(
         running,
-        story,
+        scenario,
         f"drained target {target.name}",
         lambda: running.drain_target(target.service, target.name),
     )
 
 
-def _change_record(running: Cluster, story: Story) -> None:
+def _change_record(running: Cluster, scenario: Scenario) -> None:
     service = running.shape.services[1].name
 
     def change(body: dict[str, Any]) -> None:
         body["waiting_per_slot"] = 4
 
-    _put_in_force(
+    _change_and_wait(
         running,
-        story,
+        scenario,
         f"changed the record of {service}",
         lambda: running.platform.change_record(service, change),
     )
 
 
-def _kill_instance(running: Cluster, story: Story) -> None:
+def _kill_instance(running: Cluster, scenario: Scenario) -> None:
     name = _busiest_instance(running)
     flows = running.instances[name].status()["flows"]
     killed_s = time.time()
     running.kill_instance(name)
-    story.disturbances.append(Disturbance(killed_s, killed_s))
-    story.note(f"killed instance {name}; it held {flows} flows")
+    scenario.unplanned_failures.append(UnplannedFailure(killed_s, killed_s))
+    scenario.print_step(f"killed instance {name}; it held {flows} flows")
 
 
-def _play(running: Cluster, story: Story) -> None:
+def _run_scenario(running: Cluster, scenario: Scenario) -> None:
     """Change the installation while callers use it."""
     callers = start_callers(running)
     for process in callers:
         process.wait_ready()
     logs = running.launcher.logs("callers")
     wait_until(lambda: all(log.stat().st_size for log in logs), "first requests")
-    story.note(f"{len(callers)} callers send requests")
+    scenario.print_step(f"{len(callers)} callers send requests")
     # The following pauses give the load time between two changes.
     time.sleep(_STEADY_S)
-    _replace_instance(running, story)
-    _drain_target(running, story)
-    _change_record(running, story)
-    time.sleep(_DRAINED_S)
-    _kill_instance(running, story)
+    _replace_instance(running, scenario)
+    _drain_target(running, scenario)
+    _change_record(running, scenario)
+    time.sleep(_AFTER_DRAIN_S)
+    _kill_instance(running, scenario)
     time.sleep(_AFTER_KILL_S)
     stop_callers(callers)
-    story.note("callers have ended")
+    scenario.print_step("callers have ended")
 
 
-def _judge(
-    running: Cluster, story: Story, watch: VersionWatch
+def _check_logs(
+    running: Cluster, scenario: Scenario, watch: VersionWatch
 ) -> tuple[Evidence, Report]:
     logs = running.launcher.logs
     evidence = read_evidence(logs("callers"), logs("targets"), logs("platform"))
-    report = check(evidence, story.disturbances)
-    report.violations += story.violations
+    report = check(evidence, scenario.unplanned_failures)
+    report.violations += scenario.violations
     report.violations += [
         Violation(Promise.IN_FORCE, detail) for detail in watch.reverted
     ]
@@ -211,7 +211,7 @@
     Report
         Counts and broken promises.
     """
-    story = Story(time.monotonic())
+    scenario = Scenario(time.monotonic())
     # Whoever keeps the logs wants the time line, which needs the requests.
     logged = {"log": {"level": "debug"}} if folder else {}
     settings = ClusterSettings(
@@ -220,10 +220,12 @@
     with cluster(settings) as running, watch_versions(running) as watch:
         targets = sum(len(service.targets) for service in shape.services)
         instances = len(shape.instances)
-        story.note(f"{shape.name}: {instances} instances, {targets} targets serve")
-        _play(running, story)
-        evidence, report = _judge(running, story, watch)
-        print_summary(running.shape, story, evidence, report)
+        scenario.print_step(
+            f"{shape.name}: {instances} instances, {targets} targets serve"
+        )
+        _run_scenario(running, scenario)
+        evidence, report = _check_logs(running, scenario, watch)
+        print_summary(running.shape, scenario, evidence, report)
     return report
 
 
@@ -249,7 +251,7 @@
         print("\nEvery promise was kept.")
         return
     print("\nBROKEN PROMISES")
-    for violation in report.violations[:_SHOWN_VIOLATIONS]:
+    for violation in report.violations[:_MAX_SHOWN_VIOLATIONS]:
         print(f"  {violation}")
     print(f"  {len(report.violations)} in all")
     sys.exit(1)
--- a/standins/evidence.py
+++ b/standins/evidence.py
@@ -8,7 +8,7 @@
 
 from standins.jsonlines import read_lines
 
-__all__ = ["Evidence", "Leaving", "Request", "Run", "Stream", "read_evidence"]
+__all__ = ["Evidence", "LeavingPeriod", "Request", "Run", "Stream", "read_evidence"]
 
 _ANSWER_ENDS = frozenset({"answer", "status"})
 
@@ -85,7 +85,7 @@
 
 
 @dataclass(frozen=True)
-class Leaving:
+class LeavingPeriod:
     """A target that leaves, from the write that said so."""
 
     service: str
@@ -105,7 +105,7 @@
     shed: int = 0
     opens: int = 0
     opens_failed: int = 0
-    leaving: list[Leaving] = field(default_factory=list)
+    leaving: list[LeavingPeriod] = field(default_factory=list)
     writes: list[dict[str, Any]] = field(default_factory=list)
 
     def runs_by_echo(self) -> dict[str, list[Run]]:
@@ -156,7 +156,7 @@
             case "ended":
                 _end_request(evidence.requests[line["echo"]], line)
             case "stream_ended":
-                evidence.streams.append(_stream_of(line))
+                evidence.streams.append(_make_stream(line))
 
 
 def _end_request(request: Request, line: dict[str, Any]) -> None:
@@ -166,7 +166,7 @@
     request.reason = line.get("reason", "")
 
 
-def _stream_of(line: dict[str, Any]) -> Stream:
+def _make_stream(line: dict[str, Any]) -> Stream:
     return Stream(
         echo=line["echo"],
         service=line["service"],
@@ -186,7 +186,7 @@
     for line in read_lines(path):
         match line["event"]:
             case "start" | "stream_start":
-                run = _run_of(line)
+                run = _make_run(line)
                 evidence.runs.append(run)
                 open_runs[run.key, run.is_stream].append(run)
             case "end" | "cancelled" | "stream_end":
@@ -198,11 +198,11 @@
             case "shed":
                 evidence.shed += 1
             case "control" if line["change"].get("drain"):
-                leaving = Leaving(line["service"], line["target"], line["at_s"])
+                leaving = LeavingPeriod(line["service"], line["target"], line["at_s"])
                 evidence.leaving.append(leaving)
 
 
-def _run_of(line: dict[str, Any]) -> Run:
+def _make_run(line: dict[str, Any]) -> Run:
     return Run(
         echo=line["echo"],
         key=line["key"],
@@ -220,26 +220,28 @@
     names = {line["name"] for line in writes if line["kind"] == "service"}
     for name in sorted(names):
         versions = [w for w in writes if (w["kind"], w["name"]) == ("service", name)]
-        evidence.leaving += _leaving_of(name, versions)
+        evidence.leaving += _find_leaving_periods(name, versions)
 
 
-def _leaving_of(service: str, versions: list[dict[str, Any]]) -> Iterator[Leaving]:
+def _find_leaving_periods(
+    service: str, versions: list[dict[str, Any]]
+) -> Iterator[LeavingPeriod]:
     """Yield the spans in which a target was draining or gone from its record."""
     names: dict[str, str] = {}
     serving: set[str] = set()
     left_s: dict[str, float] = {}
     for write in versions:
-        now = _serving(write, names)
-        for target in serving - now:
+        serving_now = _find_serving_targets(write, names)
+        for target in serving - serving_now:
             left_s[target] = write["at_s"]
-        for target in now & left_s.keys():
-            yield Leaving(service, target, left_s.pop(target), write["at_s"])
-        serving = now
+        for target in serving_now & left_s.keys():
+            yield LeavingPeriod(service, target, left_s.pop(target), write["at_s"])
+        serving = serving_now
     for target, from_s in left_s.items():
-        yield Leaving(service, target, from_s)
+        yield LeavingPeriod(service, target, from_s)
 
 
-def _serving(write: dict[str, Any], names: dict[str, str]) -> set[str]:
+def _find_serving_targets(write: dict[str, Any], names: dict[str, str]) -> set[str]:
     """Return the targets that may get work; ``names`` keeps names by address.
 
     Schema 1 calls a target by its address, and so does what is converted from it.
--- a/standins/fabric.py
+++ b/standins/fabric.py
@@ -70,7 +70,7 @@
     def __init__(self, settings: FabricSettings) -> None:
         self.log = EventLog(settings.log_path)
         self.control = Control(settings.control, self.log, self._stats)
-        self.control.on_change(self._arrange)
+        self.control.on_change(self._update_targets)
         self.caller_sockets = [_udp_socket(listen) for listen in settings.callers]
         self.instance_socket = _udp_socket(settings.instances)
         self._settings = settings
@@ -78,11 +78,11 @@
         self._delayed = DelayQueue(self._send)
         self._counts: collections.Counter[str] = collections.Counter()
         self._per_instance: collections.Counter[Address] = collections.Counter()
-        self._last_used: dict[bytes, socket.socket] = {}
-        self._polled: list[FabricInstance] = []
+        self._last_caller_socket: dict[bytes, socket.socket] = {}
+        self._polled_instances: list[FabricInstance] = []
         self._targets: list[Address] = []
         self._cut_addresses: set[Address] = set()
-        self._arrange()
+        self._update_targets()
 
     def start(self) -> None:
         """Start the tasks."""
@@ -112,7 +112,7 @@
         self, sock: socket.socket, datagram: bytes, caller: Address
     ) -> None:
         prefix = _PREFIX.pack(socket.inet_aton(caller[0]), caller[1])
-        self._last_used[prefix] = sock
+        self._last_caller_socket[prefix] = sock
         if not self._targets:
             self._counts["no_instance"] += 1
             return
@@ -122,7 +122,7 @@
             return
         self._per_instance[target] += 1
         faults = self.control.current.to_instances
-        self._pass(faults, self.instance_socket, prefix + datagram, target)
+        self._send_with_faults(faults, self.instance_socket, prefix + datagram, target)
 
     def _from_instance(
         self, _sock: socket.socket, datagram: bytes, instance: Address
@@ -135,12 +135,12 @@
             return
         prefix = datagram[:PREFIX_BYTES]
         host, port = _PREFIX.unpack(prefix)
-        sock = self._last_used.get(prefix, self.caller_sockets[0])
+        sock = self._last_caller_socket.get(prefix, self.caller_sockets[0])
         caller = (socket.inet_ntoa(host), port)
         faults = self.control.current.to_callers
-        self._pass(faults, sock, datagram[PREFIX_BYTES:], caller)
+        self._send_with_faults(faults, sock, datagram[PREFIX_BYTES:], caller)
 
-    def _pass(
+    def _send_with_faults(
         self,
         faults: DirectionFaults,
         sock: socket.socket,
@@ -148,7 +148,7 @@
         address: Address,
     ) -> None:
         """Send the datagram once, twice, later or not at all."""
-        if faults.none():
+        if faults.has_no_effect():
             self._send(sock, datagram, address)
             return
         if self._random.random() < faults.loss:
@@ -189,22 +189,22 @@
                 answer = pool.request("GET", url)
                 if answer.status == 200:
                     listed = msgspec.json.decode(answer.data)["instances"]
-                    self._take_list(listed)
+                    self._apply_instance_list(listed)
             except urllib3.exceptions.HTTPError:
                 self._counts["poll_failed"] += 1
             gevent.sleep(self._settings.poll_interval_s)
 
-    def _take_list(self, listed: list[Any]) -> None:
+    def _apply_instance_list(self, listed: list[Any]) -> None:
         polled = [FabricInstance.model_validate(entry) for entry in listed]
-        if polled != self._polled:
-            self._polled = polled
-            self._arrange()
+        if polled != self._polled_instances:
+            self._polled_instances = polled
+            self._update_targets()
 
     def _instances(self) -> list[FabricInstance]:
         fixed = self.control.current.instances
-        return self._polled if fixed is None else fixed
+        return self._polled_instances if fixed is None else fixed
 
-    def _arrange(self) -> None:
+    def _update_targets(self) -> None:
         """Work out targets and cut addresses from the list and the control."""
         control = self.control.current
         known = self._instances()
--- a/standins/in_force.py
+++ b/standins/in_force.py
@@ -17,7 +17,7 @@
 import fire
 
 from endivepick.bench.measures import LatencyHistogram
-from standins._inforcecases import CASES, PAUSE_S, Case, Change, Run
+from standins._inforcecases import CASES, PAUSE_MAX_S, Case, CaseRun, Change
 from standins.cases import choose_cases, choose_shape
 from standins.cluster import Cluster, ClusterSettings, cluster
 from standins.jsonlines import read_lines
@@ -56,10 +56,10 @@
     def took_s(self, change: Change) -> float:
         """Return how long a change took until the last instance had it."""
         since_s = change.since_s or self._accepted[change.version]
-        last_s = max(self._first_s(name, change) for name in change.names)
+        last_s = max(self._first_applied_s(name, change) for name in change.names)
         return max(0.0, last_s - since_s)
 
-    def _first_s(self, name: str, change: Change) -> float:
+    def _first_applied_s(self, name: str, change: Change) -> float:
         applied = self._applied[name, change.record]
         return min(at_s for at_s, version in applied if version >= change.version)
 
@@ -85,19 +85,24 @@
     dict
         Times in seconds, and versions that went back.
     """
-    run = Run(running, random.Random(f"{seed}:{case.name}"))
+    run = CaseRun(running, random.Random(f"{seed}:{case.name}"))
     wait_agreed(running)
-    with watch_versions(running, over_restarts=True) as watch, case.around(run):
+    with (
+        watch_versions(running, across_restarts=True) as watch,
+        case.fault_context(run),
+    ):
         for _ in range(changes or case.changes):
-            if case.settled:
+            if case.wait_agreement:
                 wait_agreed(running)
-            time.sleep(run.draw_s((0.0, PAUSE_S)))
-            case.once(run)
-    return {**_figures(run), "reverted": watch.reverted}
+            time.sleep(run.draw_s((0.0, PAUSE_MAX_S)))
+            case.make_change(run)
+    return {**_summarize(run), "reverted": watch.reverted}
 
 
-def _figures(run: Run) -> dict[str, Any]:
-    times = InForceTimes(_logged(run, "platform"), _logged(run, "instances"))
+def _summarize(run: CaseRun) -> dict[str, Any]:
+    times = InForceTimes(
+        _read_log_lines(run, "platform"), _read_log_lines(run, "instances")
+    )
     histogram = LatencyHistogram()
     for change in run.changes:
         histogram.add(times.took_s(change))
@@ -109,7 +114,7 @@
     }
 
 
-def _logged(run: Run, part: str) -> Iterable[dict[str, Any]]:
+def _read_log_lines(run: CaseRun, part: str) -> Iterable[dict[str, Any]]:
     for path in run.running.launcher.logs(part):
         yield from read_lines(path)
 
--- a/standins/launcher.py
+++ b/standins/launcher.py
@@ -28,7 +28,7 @@
         self, name: str, module: str, arguments: list[str], code_folder: str = ""
     ) -> ChildProcess:
         """Start a process which ends with the cluster; does not wait for it."""
-        errors = self.folder / self._unique(name, "err")
+        errors = self.folder / self._unique_name(name, "err")
         process = ChildProcess(name, module, arguments, str(errors), code_folder)
         self._processes.append(process)
         return process
@@ -36,20 +36,20 @@
     def log_path(self, part: str, name: str) -> Path:
         """Return a new path for the log of a process of this part."""
         (self.folder / part).mkdir(exist_ok=True)
-        return self.folder / part / self._unique(name, "jsonl")
+        return self.folder / part / self._unique_name(name, "jsonl")
 
     def logs(self, part: str) -> list[Path]:
         """Return the logs of a part: callers, targets, platform, instances."""
         return sorted((self.folder / part).glob("*.jsonl"))
 
-    def _unique(self, name: str, suffix: str) -> str:
+    def _unique_name(self, name: str, suffix: str) -> str:
         key = (name, suffix)
         number = self._names[key] = self._names.get(key, 0) + 1
         return f"{name}.{number}.{suffix}"
 
     def write_settings(self, name: str, settings: dict[str, Any]) -> str:
         """Write a settings file and return its path."""
-        path = self.folder / self._unique(name, "json")
+        path = self.folder / self._unique_name(name, "json")
         path.write_text("// Written by standins.cluster.\n" + json.dumps(settings))
         return str(path)
 
--- a/standins/load.py
+++ b/standins/load.py
@@ -118,7 +118,7 @@
 
 
 @dataclass(frozen=True)
-class _Work:
+class _PlannedRequest:
     """One request that is to be sent."""
 
     echo: str
@@ -142,15 +142,15 @@
     def run(self, stopped: Event) -> None:
         """Open flows and use them until ``stopped`` is set."""
         while not stopped.is_set():
-            result = self._open()
+            result = self._open_flow()
             match result:
                 case Success(flow):
-                    self._use(flow, stopped)
+                    self._use_flow(flow, stopped)
                     flow.close()
                 case _:
-                    stopped.wait(self._pause_s(0.5))
+                    stopped.wait(self._bound_pause_s(0.5))
 
-    def _open(self) -> Result[Flow, Exception]:
+    def _open_flow(self) -> Result[Flow, Exception]:
         started_s = time.time()
         result = self._caller.open(self._workload.service)
         outcome: dict[str, Any] = {"opened": False}
@@ -163,7 +163,7 @@
         self._log.append("open", service=service, started_s=started_s, **outcome)
         return result
 
-    def _use(self, flow: Flow, stopped: Event) -> None:
+    def _use_flow(self, flow: Flow, stopped: Event) -> None:
         self._opened += 1
         prefix = f"{self._name}.{self._opened}"
         ended = Event()
@@ -181,7 +181,7 @@
 
     def _request(self, flow: Flow, echo: str) -> float:
         """Send one request; returns how long to pause after it."""
-        work = self._draw(echo)
+        work = self._draw_request(echo)
         fields = {
             "service": flow.service,
             "flow": f"{flow.flow_id:x}",
@@ -200,7 +200,7 @@
         self._log.append("ended", sent_s=sent_s, **fields, **_describe(result, echo))
         match result:
             case Failure(error):
-                return self._pause_s(error.retry_after_ms / 1000)
+                return self._bound_pause_s(error.retry_after_ms / 1000)
         return self._draw_ms(self._workload.think_ms) / 1000
 
     def _hold_stream(self, flow: Flow, echo: str, ended: Event) -> None:
@@ -215,18 +215,18 @@
         self._log.append("stream_sent", **fields)
         sent_s = time.time()
         stream = flow.stream(path)
-        closer = gevent.spawn(_close_after, stream, ended)
+        closer = gevent.spawn(_close_when_ended, stream, ended)
         progress = StreamProgress(echo, sent_s)
         error = ""
         try:
             for event in stream:
-                progress.take(event.event_id, event.data, time.time())
+                progress.record_event(event.event_id, event.data, time.time())
                 if ended.is_set():
                     break
         except Exception as failure:
             error = f"{type(failure).__name__}: {failure}"
         closer.kill()
-        progress.note_gap(time.time())
+        progress.record_gap(time.time())
         self._log.append(
             "stream_ended",
             sent_s=sent_s,
@@ -238,14 +238,14 @@
             **fields,
         )
 
-    def _draw(self, echo: str) -> _Work:
+    def _draw_request(self, echo: str) -> _PlannedRequest:
         idempotent = self._random.random() < self._workload.idempotent_share
         body = {
             "work_ms": round(self._draw_ms(self._workload.work_ms), 3),
             "answer_bytes": self._workload.answer_bytes,
             "echo": echo,
         }
-        return _Work(echo, idempotent, json.dumps(body).encode())
+        return _PlannedRequest(echo, idempotent, json.dumps(body).encode())
 
     def _draw_ms(self, mean_ms: float) -> float:
         if mean_ms <= 0:
@@ -253,11 +253,11 @@
         drawn_ms = self._random.expovariate(1 / mean_ms)
         return min(drawn_ms, _WORK_MAX_FACTOR * mean_ms)
 
-    def _pause_s(self, wanted_s: float) -> float:
+    def _bound_pause_s(self, wanted_s: float) -> float:
         return min(_RETRY_MAX_S, max(_RETRY_MIN_S, wanted_s))
 
 
-def _close_after(stream: EventStream, ended: Event) -> None:
+def _close_when_ended(stream: EventStream, ended: Event) -> None:
     ended.wait()
     stream.close()
 
--- a/standins/platform.py
+++ b/standins/platform.py
@@ -54,7 +54,7 @@
         since_s = now_s if self._lists else float("-inf")
         self._lists.append((since_s, instances))
 
-    def seen(self, lag_s: float, now_s: float) -> list[dict[str, Any]]:
+    def list_at(self, lag_s: float, now_s: float) -> list[dict[str, Any]]:
         """Return the list as it was `lag_s` ago."""
         at_s = now_s - lag_s
         known = [listed for since_s, listed in self._lists if since_s <= at_s]
@@ -171,7 +171,7 @@
             return Answer(413, {"error": "Bodies have at most a megabyte."})
         request = PutRequest.model_validate(read_json(environ))
         stored = self._store.put(key, request.body, request.if_version)
-        self._written("put", stored, source)
+        self._log_write("put", stored, source)
         return Answer(200, stored.to_json())
 
     def _delete(self, key: Key, query: dict[str, str], source: str) -> Answer:
@@ -180,12 +180,12 @@
         stored = self._store.delete(key, if_version)
         if stored is None:
             return Answer(404, {"error": f"There is no object {'/'.join(key)}."})
-        self._written("delete", stored, source)
+        self._log_write("delete", stored, source)
         return Answer(200, stored.to_json())
 
-    def _written(self, what: str, stored: StoredObject, source: str) -> None:
+    def _log_write(self, what: str, stored: StoredObject, source: str) -> None:
         """Log a write that took effect; drop the connection if the control says."""
-        self._store.trim(self.control.current.history_limit)
+        self._store.trim_history(self.control.current.history_limit)
         lost = self._loses_answer(stored.kind)
         body = stored.body if isinstance(stored.body, dict) else {}
         self.log.append(
@@ -237,8 +237,8 @@
 
     def _get_instances(self) -> Answer:
         lag_s = self.control.current.instances_lag_s
-        seen = self._directory.seen(lag_s, time.monotonic())
-        return Answer(200, {"age_ms": int(lag_s * 1000), "instances": seen})
+        shown = self._directory.list_at(lag_s, time.monotonic())
+        return Answer(200, {"age_ms": int(lag_s * 1000), "instances": shown})
 
     def _set_instances(self, listed: Any) -> Any:
         entries = [InstanceEntry.model_validate(entry) for entry in listed]
@@ -248,8 +248,8 @@
         return instances
 
     def _control_changed(self) -> None:
-        self._store.trim(self.control.current.history_limit)
-        self._store.wake()
+        self._store.trim_history(self.control.current.history_limit)
+        self._store.wake_watches()
 
     def _stats(self) -> dict[str, Any]:
         now_s = time.monotonic()
--- a/standins/process.py
+++ b/standins/process.py
@@ -24,7 +24,7 @@
 ]
 
 READY_TIMEOUT_S = 60.0
-_POLL_S = 0.02
+_POLL_INTERVAL_S = 0.02
 
 
 class ProcessNotReadyError(Exception):
@@ -44,10 +44,10 @@
 def exit_on_signal() -> Iterator[None]:
     """Let SIGTERM raise, so that the clean-up ends all processes."""
 
-    def leave(_number: int, _frame: Any) -> None:
+    def exit_process(_number: int, _frame: Any) -> None:
         sys.exit("ended by a signal")
 
-    before = signal.signal(signal.SIGTERM, leave)
+    before = signal.signal(signal.SIGTERM, exit_process)
     try:
         yield
     finally:
@@ -68,7 +68,7 @@
     while not (value := condition()):
         if time.monotonic() > end_s:
             raise TimeoutError(f"waited {timeout_s} s for: {what}")
-        time.sleep(_POLL_S)
+        time.sleep(_POLL_INTERVAL_S)
     return value
 
 
--- a/standins/run_tests.py
+++ b/standins/run_tests.py
@@ -29,7 +29,7 @@
 JOBS = 4
 TIMEOUT_S = 900.0
 _END_TIMEOUT_S = 30.0
-_EXAMPLE_MARK = ">>> "
+_DOCTEST_PROMPT = ">>> "
 
 
 @dataclass(frozen=True)
@@ -65,7 +65,7 @@
     return ".".join(path.relative_to(package.parent).with_suffix("").parts)
 
 
-def _holds_tests(folder: Path) -> bool:
+def _is_test_folder(folder: Path) -> bool:
     return "tests" in folder.relative_to(ROOT).parts
 
 
@@ -77,14 +77,14 @@
         units += [
             _module_name(package, p)
             for p in sources
-            if p.name.startswith("test_") and _holds_tests(p.parent)
+            if p.name.startswith("test_") and _is_test_folder(p.parent)
         ]
         units += [
             EXAMPLES_PREFIX + _module_name(package, path)
             for path in sources
-            if not _holds_tests(path.parent)
+            if not _is_test_folder(path.parent)
             and path.name != "__main__.py"
-            and _EXAMPLE_MARK in path.read_text()
+            and _DOCTEST_PROMPT in path.read_text()
         ]
     wanted = list(words)
     return [u for u in units if not wanted or any(word in u for word in wanted)]
@@ -145,10 +145,10 @@
             verdict.reports.append(f"{result.unit} gave no result\n{result.output}")
             continue
         passed += result.outcome.passed
-        bad = result.outcome.failed
-        verdict.failed.extend(test for test in bad if test not in known_red)
-        verdict.known_red.extend(test for test in bad if test in known_red)
-        if bad:
+        failed_tests = result.outcome.failed
+        verdict.failed.extend(test for test in failed_tests if test not in known_red)
+        verdict.known_red.extend(test for test in failed_tests if test in known_red)
+        if failed_tests:
             verdict.reports.append(result.output)
     return Verdict(passed, verdict.failed, verdict.known_red, verdict.reports)
 
--- a/standins/shapes.py
+++ b/standins/shapes.py
@@ -85,9 +85,11 @@
         """Return the shape with its addresses in a block of addresses."""
         return replace(
             self,
-            instances=tuple(_moved(plan, block) for plan in self.instances),
+            instances=tuple(_move_to_block(plan, block) for plan in self.instances),
             services=tuple(
-                replace(s, targets=tuple(_moved(plan, block) for plan in s.targets))
+                replace(
+                    s, targets=tuple(_move_to_block(plan, block) for plan in s.targets)
+                )
                 for s in self.services
             ),
         )
@@ -100,7 +102,7 @@
 _Plan = TypeVar("_Plan", InstancePlan, TargetPlan)
 
 
-def _moved(plan: _Plan, block: int) -> _Plan:
+def _move_to_block(plan: _Plan, block: int) -> _Plan:
     return replace(plan, host=host_in_block(plan.host, block))
 
 
--- a/standins/streamprogress.py
+++ b/standins/streamprogress.py
@@ -30,15 +30,15 @@
         self._echo = echo
         self._last_s = now_s
 
-    def take(self, event_id: str, data: str, now_s: float) -> None:
+    def record_event(self, event_id: str, data: str, now_s: float) -> None:
         """Take the next event."""
         self.events += 1
         in_order = event_id == str(self.events)
         if not in_order or not verify_event(data, self._echo, self.events):
             self.wrong += 1
-        self.note_gap(now_s)
+        self.record_gap(now_s)
 
-    def note_gap(self, now_s: float) -> None:
+    def record_gap(self, now_s: float) -> None:
         """Remember the time since the last event if no other was longer."""
         from_s, until_s = self.longest_gap_s
         if now_s - self._last_s > until_s - from_s:
--- a/standins/summary.py
+++ b/standins/summary.py
@@ -3,16 +3,16 @@
 import time
 from dataclasses import dataclass, field
 
-from standins.checker import Disturbance, Promise, Report, Violation
+from standins.checker import Promise, Report, UnplannedFailure, Violation
 from standins.evidence import Evidence
 from standins.imbalance import Imbalance, measure_imbalance
 from standins.shapes import ServicePlan, Shape
 
-__all__ = ["Story", "print_summary"]
+__all__ = ["Scenario", "print_summary"]
 
 
 @dataclass
-class Story:
+class Scenario:
     """What was done.
 
     Attributes
@@ -30,23 +30,25 @@
     """
 
     started_s: float
-    disturbances: list[Disturbance] = field(default_factory=list)
+    unplanned_failures: list[UnplannedFailure] = field(default_factory=list)
     violations: list[Violation] = field(default_factory=list)
     in_force_s: list[float] = field(default_factory=list)
     drained: str = ""
 
-    def note(self, step: str) -> None:
+    def print_step(self, step: str) -> None:
         """Print a step with the time since the begin."""
         print(f"{time.monotonic() - self.started_s:5.1f} s  {step}", flush=True)
 
 
-def _imbalance(evidence: Evidence, service: ServicePlan, drained: str) -> Imbalance:
+def _measure_service(
+    evidence: Evidence, service: ServicePlan, drained: str
+) -> Imbalance:
     slots = {t.name: t.slots for t in service.targets if t.name != drained}
     return measure_imbalance(evidence, slots)
 
 
 def print_summary(
-    shape: Shape, story: Story, evidence: Evidence, report: Report
+    shape: Shape, scenario: Scenario, evidence: Evidence, report: Report
 ) -> None:
     """Print the counts of a demonstration on one screen."""
     counts = report.counts
@@ -59,25 +61,27 @@
         ("non-idempotent requests run twice", broken[Promise.ONCE]),
         ("packets that reached a wrong service", broken[Promise.SERVICE]),
         ("flows opened", counts["flows"]),
-        ("streams held, events received", _streams(counts)),
+        ("streams held, events received", _format_streams(counts)),
         ("flows broken by planned changes", broken[Promise.FLOWS]),
         ("requests cut by planned changes", broken[Promise.GRACEFUL]),
     ]
     rows += [
-        (f"imbalance of {service.name}", _imbalance_text(evidence, service, story))
+        (f"imbalance of {service.name}", _format_imbalance(evidence, service, scenario))
         for service in shape.services
     ]
-    in_force = ", ".join(f"{seconds:.2f}" for seconds in story.in_force_s)
+    in_force = ", ".join(f"{seconds:.2f}" for seconds in scenario.in_force_s)
     rows.append(("seconds until changes were in force everywhere", in_force))
     print()
     for name, value in rows:
         print(f"{name:<50} {value}")
 
 
-def _streams(counts: dict[str, int]) -> str:
+def _format_streams(counts: dict[str, int]) -> str:
     return f"{counts['streams']}, {counts['stream_events']}"
 
 
-def _imbalance_text(evidence: Evidence, service: ServicePlan, story: Story) -> str:
-    imbalance = _imbalance(evidence, service, story.drained)
+def _format_imbalance(
+    evidence: Evidence, service: ServicePlan, scenario: Scenario
+) -> str:
+    imbalance = _measure_service(evidence, service, scenario.drained)
     return f"{imbalance.median:.2f} (median of {imbalance.windows} seconds)"
--- a/standins/target.py
+++ b/standins/target.py
@@ -38,7 +38,7 @@
 _NOT_RUN = ("Endivepick-Not-Run", "true")
 _RETRY_AFTER = ("Retry-After", "1")
 _MAX_EVENTS = 1_000_000
-_PIECE_BYTES = 2**16
+_CHUNK_BYTES = 2**16
 
 
 class _Handler(WSGIHandler):
@@ -127,17 +127,17 @@
             return reply(start_response, 400, {"error": str(error)})
         return reply(start_response, 200, msgspec.structs.asdict(control))
 
-    def _is_own(self, run: Run) -> bool:
+    def _is_addressed_here(self, run: Run) -> bool:
         own = (self.state.settings.service, str(self.state.incarnation))
         return (run.service, run.incarnation) == own
 
-    def _misdirected(self, run: Run, start_response: StartResponse) -> Body:
+    def _refuse_misdirected(self, run: Run, start_response: StartResponse) -> Body:
         self.state.log("misdirected", **run.log_fields())
         return reply(start_response, 421, self.state.health())
 
     def _work(self, environ: Environ, start_response: StartResponse) -> Body:
         received_s = time.monotonic()
-        run = _run_of(environ)
+        run = _parse_run(environ)
         try:
             body = read_body(environ)
             request = msgspec.json.decode(body or b"{}", type=WorkRequest)
@@ -149,10 +149,10 @@
             self.state.log("body_lost", error=str(error), **run.log_fields())
             return reply(start_response, 400, {"error": str(error)})
         run.echo = request.echo
-        if not self._is_own(run):
-            return self._misdirected(run, start_response)
+        if not self._is_addressed_here(run):
+            return self._refuse_misdirected(run, start_response)
         connection = environ[_SOCKET_KEY]
-        with self._held(run), _cancel_when_closed(run, connection):
+        with self._register_while_running(run), _cancel_when_closed(run, connection):
             end = self.state.run(run, request, deadline_s)
         match end.event:
             case "end":
@@ -191,12 +191,12 @@
         ]
         start_response(STATUS_LINES[200], headers)
         return (
-            body[start : start + _PIECE_BYTES]
-            for start in range(0, len(body), _PIECE_BYTES)
+            body[start : start + _CHUNK_BYTES]
+            for start in range(0, len(body), _CHUNK_BYTES)
         )
 
     def _events(self, environ: Environ, start_response: StartResponse) -> Body:
-        run = _run_of(environ)
+        run = _parse_run(environ)
         query = parse_qs(environ.get("QUERY_STRING", ""))
         try:
             count = min(_MAX_EVENTS, int(query.get("count", ["10"])[0]))
@@ -205,8 +205,8 @@
         except ValueError as error:
             return reply(start_response, 400, {"error": str(error)})
         run.echo = query.get("echo", [""])[0]
-        if not self._is_own(run):
-            return self._misdirected(run, start_response)
+        if not self._is_addressed_here(run):
+            return self._refuse_misdirected(run, start_response)
         if self.state.control.shed:
             self.state.log("shed", **run.log_fields())
             headers = [_NOT_RUN, _RETRY_AFTER]
@@ -222,7 +222,10 @@
         self.state.log("stream_start", first=numbers.start, **run.log_fields())
         sent = numbers.start - 1
         try:
-            with self._held(run), _cancel_when_closed(run, connection):
+            with (
+                self._register_while_running(run),
+                _cancel_when_closed(run, connection),
+            ):
                 for number in numbers:
                     if run.cancelled.wait(interval_s):
                         return
@@ -232,15 +235,15 @@
             self.state.log("stream_end", last=sent, **run.log_fields())
 
     @contextmanager
-    def _held(self, run: Run) -> Iterator[None]:
-        self.state.hold(run)
+    def _register_while_running(self, run: Run) -> Iterator[None]:
+        self.state.register_run(run)
         try:
             yield
         finally:
-            self.state.release(run)
+            self.state.unregister_run(run)
 
 
-def _run_of(environ: Environ) -> Run:
+def _parse_run(environ: Environ) -> Run:
     return Run(
         key=environ.get("HTTP_IDEMPOTENCY_KEY", ""),
         idempotent=environ.get("HTTP_ENDIVEPICK_IDEMPOTENT") == "true",
--- a/standins/target_state.py
+++ b/standins/target_state.py
@@ -151,7 +151,7 @@
         self._waiting = 0
         self._runs: dict[str, list[Run]] = {}
         self._history: deque[tuple[float, int, int]] = deque(maxlen=_HISTORY_LENGTH)
-        self._note_load()
+        self._record_load()
 
     def log(self, event: str, **fields: Any) -> None:
         """Append a line to the log, with the identity of this target."""
@@ -172,11 +172,11 @@
         self._control_changed = gevent.event.Event()
         return self.control
 
-    def hold(self, run: Run) -> None:
+    def register_run(self, run: Run) -> None:
         """Make a run known to ``cancel``."""
         self._runs.setdefault(run.key, []).append(run)
 
-    def release(self, run: Run) -> None:
+    def unregister_run(self, run: Run) -> None:
         """Forget a run."""
         held = self._runs[run.key]
         held.remove(run)
@@ -227,13 +227,13 @@
         deadline_s : float
             Monotonic time after which it must not start.
         """
-        end = self._enter(run, deadline_s)
+        end = self._acquire_slot(run, deadline_s)
         if end is None:
-            end = self._occupy(run, request)
+            end = self._run_in_slot(run, request)
         self.log(end.event, **run.log_fields())
         return end
 
-    def _enter(self, run: Run, deadline_s: float) -> End | None:
+    def _acquire_slot(self, run: Run, deadline_s: float) -> End | None:
         if time.monotonic() >= deadline_s:
             return End("late")
         if self.control.shed:
@@ -246,13 +246,13 @@
 
     def _wait_for_slot(self, run: Run, deadline_s: float) -> End | None:
         self._waiting += 1
-        self._note_load()
+        self._record_load()
         try:
-            left_s = max(0.0, deadline_s - time.monotonic())
-            entered = self._free_slots.acquire(timeout=left_s)
+            remaining_s = max(0.0, deadline_s - time.monotonic())
+            entered = self._free_slots.acquire(timeout=remaining_s)
         finally:
             self._waiting -= 1
-            self._note_load()
+            self._record_load()
         if not entered:
             return End("late")
         if run.cancelled.is_set():
@@ -260,16 +260,16 @@
             return End("dropped")
         return None
 
-    def _occupy(self, run: Run, request: WorkRequest) -> End:
+    def _run_in_slot(self, run: Run, request: WorkRequest) -> End:
         self._in_progress += 1
-        self._note_load()
+        self._record_load()
         self.log("start", **run.log_fields())
         try:
             completed = self._work(run, request)
         finally:
             self._in_progress -= 1
             self._free_slots.release()
-            self._note_load()
+            self._record_load()
         return End("end" if completed else "cancelled")
 
     def _work(self, run: Run, request: WorkRequest) -> bool:
@@ -279,11 +279,11 @@
         factor = self.control.cold_factor if age_s < self.control.cold_s else 1.0
         return not run.cancelled.wait(request.work_ms * factor / 1000)
 
-    def _note_load(self) -> None:
+    def _record_load(self) -> None:
         self._history.append((time.monotonic(), self._in_progress, self._waiting))
 
     def _load_at(self, at_s: float) -> tuple[int, int]:
-        for noted_s, in_progress, waiting in reversed(self._history):
-            if noted_s <= at_s:
+        for recorded_s, in_progress, waiting in reversed(self._history):
+            if recorded_s <= at_s:
                 return in_progress, waiting
         return 0, 0
--- a/standins/tests/test_checker.py
+++ b/standins/tests/test_checker.py
@@ -3,7 +3,7 @@
 import unittest
 from pathlib import Path
 
-from standins.checker import Disturbance, Promise, check
+from standins.checker import Promise, UnplannedFailure, check
 from standins.evidence import read_evidence
 from standins.imbalance import measure_imbalance
 
@@ -62,8 +62,8 @@
         folder = self.enterContext(tempfile.TemporaryDirectory())
         self.logs = LogFolder(folder)
 
-    def broken(self, *disturbances):
-        report = check(self.logs.read(), disturbances)
+    def broken(self, *unplanned_failures):
+        report = check(self.logs.read(), unplanned_failures)
         return [violation.promise for violation in report.violations]
 
     def test_good_run(self):
@@ -110,13 +110,13 @@
     def test_unknown_outcome_needs_an_unplanned_failure(self):
         self.logs.request("unknown")
         self.assertEqual(self.broken(), [Promise.GRACEFUL])
-        self.assertEqual(self.broken(Disturbance(1.5, 1.5)), [])
-        self.assertEqual(self.broken(Disturbance(2.5, 2.5)), [Promise.GRACEFUL])
+        self.assertEqual(self.broken(UnplannedFailure(1.5, 1.5)), [])
+        self.assertEqual(self.broken(UnplannedFailure(2.5, 2.5)), [Promise.GRACEFUL])
 
     def test_flow_without_further_answers_is_lost(self):
         self.logs.request("unknown", echo="a")
         self.logs.request("gave_up", echo="b", sent_s=3.0, ended_s=4.0)
-        self.assertEqual(self.broken(Disturbance(1.5, 1.5)), [Promise.FLOWS])
+        self.assertEqual(self.broken(UnplannedFailure(1.5, 1.5)), [Promise.FLOWS])
 
     def test_stream_that_ends_or_stands_still(self):
         self.logs.stream(by_caller=False, error="OutcomeUnknown")
@@ -124,8 +124,8 @@
         self.logs.lines["callers"].clear()
         self.logs.stream(longest_gap_s=(2.0, 9.0))
         self.assertEqual(self.broken(), [Promise.FLOWS])
-        self.assertEqual(self.broken(Disturbance(2.5, 2.5)), [])
-        self.assertEqual(self.broken(Disturbance(8.5, 8.5)), [Promise.FLOWS])
+        self.assertEqual(self.broken(UnplannedFailure(2.5, 2.5)), [])
+        self.assertEqual(self.broken(UnplannedFailure(8.5, 8.5)), [Promise.FLOWS])
 
     def test_wrong_events_of_a_stream(self):
         self.logs.stream(wrong=1)
--- a/standins/tests/test_faultproxy.py
+++ b/standins/tests/test_faultproxy.py
@@ -50,12 +50,12 @@
         return Pair(source, target)
 
     def assert_passes(self, pair):
-        for giver, taker in (
+        for sender, receiver in (
             (pair.source, pair.target),
             (pair.target, pair.source),
         ):
-            giver.sendall(b"hello")
-            self.assertEqual(self.read(taker, 5), b"hello")
+            sender.sendall(b"hello")
+            self.assertEqual(self.read(receiver, 5), b"hello")
 
     def read(self, sock, size_bytes):
         """Read that many bytes, or fewer if the stream ends before."""
--- a/standins/tests/test_in_force.py
+++ b/standins/tests/test_in_force.py
@@ -47,19 +47,19 @@
         return InstanceVersions("a", incarnation, starting, {"notes": version})
 
     def test_replacement_that_is_ready_may_not_show_less(self):
-        watch = VersionWatch(over_restarts=True)
-        watch.take(self.shown("1", 5))
-        watch.take(self.shown("2", 4, starting=True))
+        watch = VersionWatch(across_restarts=True)
+        watch.record_versions(self.shown("1", 5))
+        watch.record_versions(self.shown("2", 4, starting=True))
         self.assertEqual(watch.reverted, [])
-        watch.take(self.shown("2", 4))
+        watch.record_versions(self.shown("2", 4))
         self.assertEqual(len(watch.reverted), 1)
 
     def test_by_default_each_incarnation_is_watched_alone(self):
         watch = VersionWatch()
-        watch.take(self.shown("1", 5))
-        watch.take(self.shown("2", 4))
+        watch.record_versions(self.shown("1", 5))
+        watch.record_versions(self.shown("2", 4))
         self.assertEqual(watch.reverted, [])
-        watch.take(self.shown("2", 3))
+        watch.record_versions(self.shown("2", 3))
         self.assertEqual(len(watch.reverted), 1)
 
 
--- a/standins/time_to_answer.py
+++ b/standins/time_to_answer.py
@@ -36,14 +36,14 @@
 """How long requests are sent under datagram faults, in seconds."""
 STEADY_S = 1.5
 """Time before and after what is done to the instance, in seconds."""
-LOST_S = 5.0
+AFTER_KILL_S = 5.0
 """The same after a kill."""
 ROUNDS = 5
 _LOAD_MAX_S = 300.0
 _END_TIMEOUT_S = 60.0
 
 Window = tuple[float, float]
-Disturb = Callable[[Cluster, str], None]
+InstanceAction = Callable[[Cluster, str], None]
 
 
 def _stop(running: Cluster, name: str) -> None:
@@ -58,7 +58,7 @@
 
 def _kill(running: Cluster, name: str) -> None:
     running.kill_instance(name, listed=True)
-    time.sleep(LOST_S)
+    time.sleep(AFTER_KILL_S)
 
 
 @dataclass(frozen=True)
@@ -84,7 +84,7 @@
     loss: float = 0.0
     duplicate: float = 0.0
     delay_ms_max: float = 0.0
-    disturb: Disturb | None = None
+    disturb: InstanceAction | None = None
 
     @property
     def faults(self) -> dict[str, float]:
@@ -134,52 +134,55 @@
     dict
         Number of requests by their end, and times in milliseconds.
     """
-    quiet, disturbed, longest = (LatencyHistogram() for _ in range(3))
+    before_times, during_times, longest_times = (LatencyHistogram() for _ in range(3))
     ends: Counter[str] = Counter()
     for _ in range(rounds if case.disturb else 1):
-        requests, window = _round(running, case, idle_flows)
+        requests, window = _run_round(running, case, idle_flows)
         before = [r for r in requests if r.ended_s < window[0]]
         during = [r for r in requests if _overlaps(r, window)]
-        _add_all(quiet, map(_took_s, before))
-        _add_all(disturbed, map(_took_s, during))
-        _add_all(longest, _longest_by_flow(during))
+        _add_all(before_times, map(_duration_s, before))
+        _add_all(during_times, map(_duration_s, during))
+        _add_all(longest_times, _find_longest_by_flow(during))
         ends.update(r.verdict or r.end for r in during)
     return {
         "case": case.name,
         "ends": dict(ends),
-        "request_ms": _figures(disturbed),
+        "request_ms": _summarize(during_times),
         **(
-            {"longest_of_flow_ms": _figures(longest), "before_ms": _figures(quiet)}
+            {
+                "longest_of_flow_ms": _summarize(longest_times),
+                "before_ms": _summarize(before_times),
+            }
             if case.disturb
             else {}
         ),
     }
 
 
-def _round(
+def _run_round(
     running: Cluster, case: Case, idle_flows: int
 ) -> tuple[list[Request], Window]:
     """Disturb once under load; returns the requests and the time of it."""
     wait_agreed(running)
     running.control_fabric(to_instances=case.faults, to_callers=case.faults)
-    before = _flows(running)
-    with _load(running, case, idle_flows) as log:
+    before = _count_flows(running)
+    with _run_load(running, case, idle_flows) as log:
         if case.disturb is None:
             begin_s = 0.0
             time.sleep(RUN_S)
         else:
             time.sleep(STEADY_S)
-            name = _holder(running, before)
+            name = _find_flow_owner(running, before)
             begin_s = time.time()
             case.disturb(running, name)
             time.sleep(STEADY_S)
         end_s = time.time()
-    _complete(running)
+    _start_missing_instances(running)
     requests = read_evidence([log], [], []).requests.values()
     return list(requests), (begin_s, end_s)
 
 
-def _complete(running: Cluster) -> None:
+def _start_missing_instances(running: Cluster) -> None:
     """Start the instances that are missing."""
     for plan in running.shape.instances:
         instance = running.instances.get(plan.name)
@@ -188,7 +191,7 @@
 
 
 @contextmanager
-def _load(running: Cluster, case: Case, idle_flows: int) -> Iterator[Path]:
+def _run_load(running: Cluster, case: Case, idle_flows: int) -> Iterator[Path]:
     """Send requests to the first service while the context is open."""
     launcher = running.launcher
     log = launcher.log_path("callers", "timed")
@@ -212,23 +215,23 @@
     caller = launcher.spawn("timed", "standins.load", [f"--settings={path}"])
     caller.wait_ready()
     wanted = FLOWS + idle_flows
-    wait_until(lambda: _opened(log) >= wanted, f"{wanted} flows")
+    wait_until(lambda: _count_opened_flows(log) >= wanted, f"{wanted} flows")
     yield log
     caller.signal(signal.SIGTERM)
     caller.wait(_END_TIMEOUT_S)
 
 
-def _flows(running: Cluster) -> dict[str, int]:
+def _count_flows(running: Cluster) -> dict[str, int]:
     return {name: one.status()["flows"] for name, one in running.instances.items()}
 
 
-def _opened(log: Path) -> int:
+def _count_opened_flows(log: Path) -> int:
     return sum(line.get("opened", False) for line in read_lines(log))
 
 
-def _holder(running: Cluster, before: dict[str, int]) -> str:
+def _find_flow_owner(running: Cluster, before: dict[str, int]) -> str:
     """Return the instance at which most flows were opened since."""
-    flows = _flows(running)
+    flows = _count_flows(running)
     return max(flows, key=lambda name: flows[name] - before[name])
 
 
@@ -236,16 +239,16 @@
     return request.ended_s >= window[0] and request.sent_s <= window[1]
 
 
-def _took_s(request: Request) -> float:
+def _duration_s(request: Request) -> float:
     return request.ended_s - request.sent_s
 
 
-def _longest_by_flow(requests: Sequence[Request]) -> Iterator[float]:
-    longest: dict[str, float] = {}
+def _find_longest_by_flow(requests: Sequence[Request]) -> Iterator[float]:
+    longest_times: dict[str, float] = {}
     for request in requests:
-        took_s = _took_s(request)
-        longest[request.flow] = max(longest.get(request.flow, 0.0), took_s)
-    yield from longest.values()
+        took_s = _duration_s(request)
+        longest_times[request.flow] = max(longest_times.get(request.flow, 0.0), took_s)
+    yield from longest_times.values()
 
 
 def _add_all(histogram: LatencyHistogram, durations_s: Iterator[float]) -> None:
@@ -253,7 +256,7 @@
         histogram.add(duration_s)
 
 
-def _figures(histogram: LatencyHistogram) -> dict[str, float]:
+def _summarize(histogram: LatencyHistogram) -> dict[str, float]:
     percentiles = {"median": 50.0, "p99": 99.0, "max": 100.0}
     return {
         name: round(1000 * histogram.percentile_s(percentile), 1)
--- a/standins/upgrade.py
+++ b/standins/upgrade.py
@@ -20,14 +20,14 @@
 
 from endivepick.records.schema import parse_service, write_service
 from standins.cases import choose_shape
-from standins.checker import Disturbance, Promise, Report, Violation, check
+from standins.checker import Promise, Report, UnplannedFailure, Violation, check
 from standins.cluster import Cluster, ClusterSettings, cluster
 from standins.demo import IN_FORCE_LIMIT_S, start_callers, stop_callers
 from standins.evidence import read_evidence
 from standins.jsonlines import read_lines
 from standins.process import wait_until
 from standins.shapes import Shape
-from standins.summary import Story
+from standins.summary import Scenario
 from standins.versions import VersionWatch, wait_in_force, watch_versions
 
 __all__ = ["main", "run_upgrade"]
@@ -44,7 +44,7 @@
     def __init__(self, running: Cluster, old: str) -> None:
         self.running = running
         self.old = old
-        self.story = Story(time.monotonic())
+        self.scenario = Scenario(time.monotonic())
         self.names = [plan.name for plan in running.shape.instances]
 
     def replace(self, name: str, build: str) -> None:
@@ -52,7 +52,7 @@
         status = self.running.stop_instance(name)
         if status != 0:
             detail = f"{name} ended its planned stop with status {status}"
-            self.story.violations.append(Violation(Promise.GRACEFUL, detail))
+            self.scenario.violations.append(Violation(Promise.GRACEFUL, detail))
         self.start(name, build)
 
     def start(self, name: str, build: str) -> None:
@@ -62,18 +62,20 @@
         self.running.start_instance(name)
         took_s = time.monotonic() - started_s
         which = "old" if build else "new"
-        self.story.note(f"{name} runs the {which} build, ready after {took_s:.1f} s")
+        self.scenario.print_step(
+            f"{name} runs the {which} build, ready after {took_s:.1f} s"
+        )
 
-    def put_in_force(self, what: str, write: Callable[[], dict[str, Any]]) -> None:
+    def change_and_wait(self, what: str, write: Callable[[], dict[str, Any]]) -> None:
         """Change a record and wait until both builds have it in force."""
         written_s = time.monotonic()
         written = write()
         wait_in_force(self.running, written["name"], written["version"])
         took_s = time.monotonic() - written_s
-        self.story.note(f"{what}: in force everywhere after {took_s:.2f} s")
+        self.scenario.print_step(f"{what}: in force everywhere after {took_s:.2f} s")
         if took_s > IN_FORCE_LIMIT_S:
             violation = Violation(Promise.IN_FORCE, f"{what} took {took_s:.1f} s")
-            self.story.violations.append(violation)
+            self.scenario.violations.append(violation)
 
     def write_schema(self, service: str, schema_version: int) -> dict[str, Any]:
         """Write the record of a service in a schema, with another time limit."""
@@ -89,12 +91,12 @@
         first, *others = self.running.shape.services
         service = others[0].name if others else first.name
         for schema_version in (1, 2):
-            self.put_in_force(
+            self.change_and_wait(
                 f"changed {service} in schema {schema_version}",
                 lambda version=schema_version: self.write_schema(service, version),
             )
         target = first.targets[0].name
-        self.put_in_force(
+        self.change_and_wait(
             f"drained {target}", lambda: self.running.drain_target(first.name, target)
         )
 
@@ -102,35 +104,35 @@
         """Kill an instance while both builds serve."""
         killed_s = time.time()
         self.running.kill_instance(name)
-        self.story.disturbances.append(Disturbance(killed_s, killed_s))
-        self.story.note(f"killed {name}")
+        self.scenario.unplanned_failures.append(UnplannedFailure(killed_s, killed_s))
+        self.scenario.print_step(f"killed {name}")
         # Part of the experiment: the others find out under load.
         time.sleep(_AFTER_KILL_S)
 
-    def play(self) -> None:
+    def run_scenario(self) -> None:
         """Go from the old build to the new one, with a step back."""
         middle = len(self.names) // 2
         for name in self.names[:middle]:
             self.replace(name, "")
-        self.story.note("both builds serve")
+        self.scenario.print_step("both builds serve")
         self.change_records()
         self.replace(self.names[0], self.old)
         self.kill(self.names[-1])
         self.start(self.names[-1], "")
         for name in [self.names[0], *self.names[middle:-1]]:
             self.replace(name, "")
-        self.change_records_back()
+        self.rewrite_records()
 
-    def change_records_back(self) -> None:
+    def rewrite_records(self) -> None:
         """Write all records again once only the new build serves."""
         for service in self.running.shape.services:
-            self.put_in_force(
+            self.change_and_wait(
                 f"wrote {service.name}",
                 lambda service=service: self.running.write_record(service),
             )
 
 
-def _faults_in_logs(running: Cluster) -> list[str]:
+def _find_logged_faults(running: Cluster) -> list[str]:
     """Return what instances and callers of either build complained of."""
     counts: Counter[str] = Counter()
     for path in running.launcher.logs("instances"):
@@ -146,7 +148,7 @@
     return [f"{what} ({number} times)" for what, number in sorted(counts.items())]
 
 
-def _print_beliefs(running: Cluster) -> None:
+def _print_peer_states(running: Cluster) -> None:
     """Print when instances suspected peers, gave them up, or heard of them again."""
     changes = [
         line
@@ -158,11 +160,11 @@
         print(f"{line['at_s']:.2f} {line['process']}: {line['peer']} {line['state']}")
 
 
-def _judge(upgrade: _Upgrade, watch: VersionWatch) -> Report:
+def _check_logs(upgrade: _Upgrade, watch: VersionWatch) -> Report:
     logs = upgrade.running.launcher.logs
     evidence = read_evidence(logs("callers"), logs("targets"), logs("platform"))
-    report = check(evidence, upgrade.story.disturbances)
-    report.violations += upgrade.story.violations
+    report = check(evidence, upgrade.scenario.unplanned_failures)
+    report.violations += upgrade.scenario.violations
     report.violations += [
         Violation(Promise.IN_FORCE, detail) for detail in watch.reverted
     ]
@@ -198,7 +200,7 @@
     settings = ClusterSettings(shape, folder=folder, seed=seed, builds=builds)
     with cluster(settings) as running, watch_versions(running) as watch:
         upgrade = _Upgrade(running, old)
-        upgrade.story.note(f"{shape.name}: all instances run the old build")
+        upgrade.scenario.print_step(f"{shape.name}: all instances run the old build")
         callers = start_callers(running, LOAD_MAX_S)
         for process in callers:
             process.wait_ready()
@@ -206,11 +208,11 @@
         wait_until(lambda: all(log.stat().st_size for log in logs), "first requests")
         # Part of the experiment: load before the first change.
         time.sleep(_STEADY_S)
-        upgrade.play()
+        upgrade.run_scenario()
         stop_callers(callers)
-        upgrade.story.note("callers have ended")
-        _print_beliefs(running)
-        return _judge(upgrade, watch), _faults_in_logs(running)
+        upgrade.scenario.print_step("callers have ended")
+        _print_peer_states(running)
+        return _check_logs(upgrade, watch), _find_logged_faults(running)
 
 
 def main(
--- a/standins/versions.py
+++ b/standins/versions.py
@@ -19,8 +19,8 @@
     "watch_versions",
 ]
 
-_PERIOD_S = 0.2
-_STARTING = ("starting", "joining")
+_READ_INTERVAL_S = 0.2
+_STARTING_STATES = ("starting", "joining")
 
 
 @dataclass(frozen=True)
@@ -41,7 +41,7 @@
     if reply.status != 200:
         return None
     body = reply.body
-    starting = body["state"] in _STARTING
+    starting = body["state"] in _STARTING_STATES
     return InstanceVersions(
         body["name"], body["incarnation"], starting, body["records"]
     )
@@ -85,12 +85,12 @@
 
     def agree() -> bool:
         views = [one.status()["peers"] for one in running.instances.values()]
-        return all(names == _usable(view) for view in views)
+        return all(names == _ready_peer_names(view) for view in views)
 
     wait_until(agree, "all instances to know each other")
 
 
-def _usable(peers: list[dict[str, Any]]) -> set[str]:
+def _ready_peer_names(peers: list[dict[str, Any]]) -> set[str]:
     return {p["name"] for p in peers if p["ready"] and p["state"] == "alive"}
 
 
@@ -102,17 +102,17 @@
     the instance before it either; that holds while somebody reachable knows.
     """
 
-    over_restarts: bool = False
+    across_restarts: bool = False
     highest: dict[tuple[str, str], int] = field(default_factory=dict)
     reverted: list[str] = field(default_factory=list)
 
-    def take(self, versions: InstanceVersions) -> None:
+    def record_versions(self, versions: InstanceVersions) -> None:
         """Compare with what this incarnation, or this instance, showed before."""
-        if self.over_restarts and versions.starting:
+        if self.across_restarts and versions.starting:
             return
-        who = versions.name if self.over_restarts else versions.incarnation
+        observer_key = versions.name if self.across_restarts else versions.incarnation
         for record, version in versions.records.items():
-            key = (who, record)
+            key = (observer_key, record)
             before = self.highest.get(key, 0)
             if version < before:
                 self.reverted.append(
@@ -123,18 +123,18 @@
 
 @contextmanager
 def watch_versions(
-    running: Cluster, over_restarts: bool = False
+    running: Cluster, across_restarts: bool = False
 ) -> Iterator[VersionWatch]:
     """Read the versions of all instances again and again in a thread."""
-    watch = VersionWatch(over_restarts=over_restarts)
+    watch = VersionWatch(across_restarts=across_restarts)
     stopped = threading.Event()
 
     def run() -> None:
-        while not stopped.wait(_PERIOD_S):
+        while not stopped.wait(_READ_INTERVAL_S):
             for instance in list(running.instances.values()):
                 versions = _read_versions(instance.http_address)
                 if versions is not None:
-                    watch.take(versions)
+                    watch.record_versions(versions)
 
     thread = threading.Thread(target=run, daemon=True)
     thread.start()
