--- a/standins/_callrates.py
+++ b/standins/_callrates.py
@@ -1,4 +1,4 @@
-"""Rate limits and counts of calls."""
+"""Rate limiting and counting of calls to the platform."""
 
 import collections
 from typing import Any
@@ -9,9 +9,9 @@
 
 
 class RateLimit:
-    """Token bucket that holds at most one second's worth of calls.
+    """Token bucket whose burst size is one second of its rate.
 
-    It is full at the start and after each change of the rate.
+    The bucket is full at the start and after each change of the rate.
     """
 
     def __init__(self) -> None:
@@ -20,7 +20,7 @@
         self._refilled_at_s = 0.0
 
     def take(self, rate_per_s: float, now_s: float) -> bool:
-        """Take one token if there is one."""
+        """Take one token; returns False if the bucket is empty."""
         if rate_per_s != self._rate_per_s:
             self._rate_per_s = rate_per_s
             self._tokens = rate_per_s
@@ -35,7 +35,7 @@
 
 
 class CallCounter:
-    """Calls of one source: totals and calls in each whole second."""
+    """Counts the calls of one source in total and per second."""
 
     def __init__(self) -> None:
         self.totals: collections.Counter[str] = collections.Counter()
@@ -45,7 +45,7 @@
         )
 
     def add(self, call_class: str, now_s: float) -> None:
-        """Count one call of class `what`."""
+        """Count one call of class `call_class`."""
         self.totals[call_class] += 1
         second = int(now_s)
         if not self._seconds or self._seconds[-1][0] != second:
@@ -54,7 +54,7 @@
         self.peak_per_s = max(self.peak_per_s, self._seconds[-1][1])
 
     def to_json(self, now_s: float) -> dict[str, Any]:
-        """Return totals, the highest second and the mean of the last ten."""
+        """Return totals, the peak rate and the mean rate of the last 10 seconds."""
         since = int(now_s) - _RATE_WINDOW_S
         recent = sum(n for s, n in self._seconds if since <= s < int(now_s))
         return {
--- a/standins/_delayqueue.py
+++ b/standins/_delayqueue.py
@@ -1,4 +1,4 @@
-"""Datagrams that are sent later, and so out of order."""
+"""Queue of datagrams with individual delays, which reorders them."""
 
 import heapq
 import itertools
@@ -14,7 +14,7 @@
 
 
 class DelayQueue:
-    """Sends datagrams at their due times; one task serves all of them."""
+    """Sends datagrams at their due times from a single task."""
 
     def __init__(self, send: Callable[[socket.socket, bytes, Address], None]) -> None:
         self._send = send
@@ -32,7 +32,7 @@
             self._sooner.set()
 
     def run(self) -> None:
-        """Serve the queue; never returns."""
+        """Send datagrams as they become due; never returns."""
         while True:
             self._send_due()
             wait_s = self._heap[0][0] - time.monotonic() if self._heap else None
--- a/standins/_fabricsettings.py
+++ b/standins/_fabricsettings.py
@@ -1,4 +1,4 @@
-"""Settings and switches of the fabric stand-in."""
+"""Settings and control document of the fabric stand-in."""
 
 from standins.control import AddressText, BorderModel, ProgramSettings
 
@@ -6,7 +6,7 @@
 
 
 class DirectionFaults(BorderModel):
-    """Faults of one direction; shares are between 0 and 1."""
+    """Faults of one direction; `loss` and `duplicate` are probabilities."""
 
     loss: float = 0.0
     duplicate: float = 0.0
@@ -14,12 +14,12 @@
     delay_ms_max: float = 0.0
 
     def has_no_effect(self) -> bool:
-        """Tell whether datagrams pass untouched."""
+        """Return whether datagrams pass unchanged and without delay."""
         return not (self.loss or self.duplicate or self.delay_ms_max)
 
 
 class FabricInstance(BorderModel):
-    """One instance that datagrams go to; further fields are ignored."""
+    """Instance that receives datagrams; unknown fields are ignored."""
 
     model_config = {"extra": "ignore"}
 
@@ -30,20 +30,21 @@
 
 
 class FabricControl(BorderModel):
-    """Switches of the fabric stand-in.
+    """Control document of the fabric stand-in.
 
     Attributes
     ----------
     to_instances, to_callers : DirectionFaults
         Faults of each direction.
     cut_zones, cut_instances : list of str
-        Instances that get and give nothing; datagrams sprayed to them are lost.
+        Zones and instances that neither receive nor send; datagrams sprayed to
+        them are lost.
     avoid_cut : bool
-        Spray only over instances that are not cut.
+        Spray only over instances that are not cut off.
     only_instances : list of str or None
-        Spray only over these; answers of all instances pass.
+        Spray only over these instances; answers of all instances pass.
     instances : list or None
-        Fixed list in place of the platform's.
+        Fixed list that replaces the list of the platform.
     """
 
     to_instances: DirectionFaults = DirectionFaults()
--- a/standins/_inforcecases.py
+++ b/standins/_inforcecases.py
@@ -1,4 +1,4 @@
-"""Faults under which `standins.in_force` changes records."""
+"""Fault cases under which `standins.in_force` changes records."""
 
 import random
 import time
@@ -17,18 +17,19 @@
 __all__ = ["CASES", "Case", "Change", "CaseRun"]
 
 PAUSE_MAX_S = 0.5
-"""Longest pause between two changes, in seconds; it is drawn."""
+"""Upper bound of the random pause between two changes."""
 CUT_BOUNDS_S = (0.0, 4.0)
+"""Shortest and longest time between the start of a cut and the change."""
 OUTAGE_BOUNDS_S = (5.0, 20.0)
-"""Shortest and longest duration of an outage, in seconds."""
+"""Shortest and longest duration of an outage or a cut."""
 DELAY_MS = 100.0
 LOSS = 0.05
 LOSSY_DELAY_MS = 20.0
 SLOW_MS = 1000.0
 CHANGES_UNDER_LASTING_FAULT = 100
-"""Changes of a case whose fault lasts."""
+"""Number of changes in a case whose fault lasts for all of them."""
 CHANGES_WITH_OWN_FAULT = 20
-"""Changes of a case that brings its fault about for each of them."""
+"""Number of changes in a case that causes its fault anew for each change."""
 _OUTAGES = ("refuse", "unavailable", "hang")
 _CUTS = ("cut", "blackhole")
 _PEERS = {"route": "peer:*"}
@@ -37,7 +38,7 @@
 
 @dataclass(frozen=True)
 class Change:
-    """A change that was in force in the end.
+    """Change that came into force.
 
     Attributes
     ----------
@@ -46,9 +47,9 @@
     version : int
         Its version.
     names : tuple of str
-        Instances that had to have it.
+        Instances that had to apply it.
     since_s : float
-        Wall time from which to count; 0 counts from its acceptance.
+        Wall time from which the duration counts; 0 means the time of acceptance.
     """
 
     record: str
@@ -59,18 +60,18 @@
 
 @dataclass
 class CaseRun:
-    """One case in one installation."""
+    """State of one case in one installation."""
 
     running: Cluster
     rng: random.Random
     changes: list[Change] = field(default_factory=list)
 
     def draw_s(self, bounds_s: tuple[float, float]) -> float:
-        """Return a duration between two bounds, in seconds."""
+        """Draw a duration uniformly between two bounds."""
         return self.rng.uniform(*bounds_s)
 
     def draw_zone(self) -> str:
-        """Return one of the zones."""
+        """Draw one of the zones."""
         return self.rng.choice(self.running.shape.zones)
 
     def write(self) -> dict[str, Any]:
@@ -89,7 +90,7 @@
         names: tuple[str, ...] = (),
         since_s: float = 0.0,
     ) -> None:
-        """Wait until a change is in force, everywhere by default, and note it."""
+        """Wait until a change is in force, by default everywhere, and record it."""
         record, version = written["name"], written["version"]
         names = names or tuple(self.running.instances)
         wait_in_force(self.running, record, version, names)
@@ -104,7 +105,7 @@
 def _apply_rules(
     run: CaseRun, *actions: dict[str, Any], **match: str
 ) -> Iterator[None]:
-    """Apply rules of the fault proxy while the context is open."""
+    """Apply rules of the fault proxy until the context exits."""
     assert run.running.faults is not None
     for action in actions:
         run.running.faults.add_rule(action, **match)
@@ -124,7 +125,7 @@
 
 
 def _change_twice(run: CaseRun) -> None:
-    """Change a record again while the watches that brought the first come back."""
+    """Change a record again while watches that delivered the first change reopen."""
     with ThreadPoolExecutor() as writers:
         first = writers.submit(run.write)
         time.sleep(run.draw_s((0.0, SLOW_MS / 1000)))
@@ -143,7 +144,7 @@
 
 
 def _change_without_platform_in_zone(run: CaseRun) -> None:
-    """Change a record some time after a zone lost the platform, not its peers."""
+    """Change a record after a zone lost the platform but not its peers."""
     action = {"type": run.rng.choice(_CUTS)}
     with _apply_rules(run, action, source_zone=run.draw_zone(), **_PLATFORM):
         time.sleep(run.draw_s(CUT_BOUNDS_S))
@@ -151,7 +152,7 @@
 
 
 def _change_after_outage(run: CaseRun) -> None:
-    """Change a record as soon as the platform is back after an outage."""
+    """Change a record immediately after the end of a platform outage."""
     run.running.platform.control(outage=run.rng.choice(_OUTAGES))
     time.sleep(run.draw_s(OUTAGE_BOUNDS_S))
     run.running.platform.control(outage=None)
@@ -159,7 +160,10 @@
 
 
 def _change_while_platform_unreachable(run: CaseRun) -> None:
-    """Change a record while no instance reaches the platform; count from the heal."""
+    """Change a record while no instance reaches the platform.
+
+    The duration counts from the time at which the links are restored.
+    """
     with _apply_rules(run, {"type": run.rng.choice(_CUTS)}, **_PLATFORM):
         written = run.write()
         time.sleep(run.draw_s(OUTAGE_BOUNDS_S))
@@ -175,7 +179,10 @@
 
 
 def _change_after_killing_watchers(run: CaseRun) -> None:
-    """Kill all watchers of a zone that has other instances; they stay listed."""
+    """Change a record after all watchers of a zone were killed.
+
+    The zone has other instances, and the killed ones stay in the instance list.
+    """
     # The first zone has the most instances.
     killed = _zone_watchers(run, run.running.shape.zones[0])
     for name in killed:
@@ -186,7 +193,7 @@
 
 
 def _change_during_planned_stop(run: CaseRun) -> None:
-    """Change a record while the status writer of a zone stops as planned."""
+    """Change a record during the planned stop of a zone's status writer."""
     name = _zone_watchers(run, run.draw_zone())[0]
     others = tuple(other for other in run.running.instances if other != name)
     run.running.begin_stop(name)
@@ -196,7 +203,10 @@
 
 
 def _change_while_zone_cut(run: CaseRun) -> None:
-    """Change a record while a zone is cut from everything; count from the heal."""
+    """Change a record while a zone is cut off from all others and the platform.
+
+    The duration counts from the time at which the links are restored.
+    """
     action = run.rng.choice(_CUTS)
     run.running.cut_zone(run.draw_zone(), platform=True, action=action)
     written = run.write()
@@ -207,20 +217,21 @@
 
 @dataclass(frozen=True)
 class Case:
-    """A fault, and how a change is made under it.
+    """Fault case and the way in which changes are made under it.
 
     Attributes
     ----------
     name : str
         Name on the command line.
     changes : int
-        How often ``once`` is called.
-    once : callable
-        Makes one change, or two, and waits for them.
-    around : callable
-        Returns the fault that lasts for all changes.
-    settled : bool
-        Let all instances know each other before each change.
+        Number of calls of ``make_change``.
+    make_change : callable
+        Makes one or two changes and waits until they are in force.
+    fault_context : callable
+        Returns a context manager of a fault that lasts for all changes.
+    requires_ready_peers : bool
+        Whether to wait before each change until all instances know that all
+        others are ready.
     """
 
     name: str
@@ -229,7 +240,7 @@
     fault_context: Callable[[CaseRun], AbstractContextManager[None]] = lambda _: (
         nullcontext()
     )
-    wait_agreement: bool = False
+    requires_ready_peers: bool = False
 
 
 CASES = (
@@ -248,13 +259,13 @@
         "replacement",
         CHANGES_WITH_OWN_FAULT,
         _change_during_planned_stop,
-        wait_agreement=True,
+        requires_ready_peers=True,
     ),
     Case(
         "watchers-killed",
         CHANGES_WITH_OWN_FAULT,
         _change_after_killing_watchers,
-        wait_agreement=True,
+        requires_ready_peers=True,
     ),
     Case("platform-back", CHANGES_WITH_OWN_FAULT, _change_after_outage),
     Case(
@@ -266,6 +277,6 @@
         "zone-healed",
         CHANGES_WITH_OWN_FAULT,
         _change_while_zone_cut,
-        wait_agreement=True,
+        requires_ready_peers=True,
     ),
 )
--- a/standins/_objectstore.py
+++ b/standins/_objectstore.py
@@ -1,4 +1,4 @@
-"""Objects with store-wide revisions, and what they were some revisions ago."""
+"""Object store with store-wide revisions and a bounded change history."""
 
 import collections
 from dataclasses import dataclass
@@ -19,13 +19,13 @@
     body: Any
 
     def to_json(self) -> dict[str, Any]:
-        """Return the object as the API shows it."""
+        """Return the object in the format of the API."""
         return dict(self.__dict__)
 
 
 @dataclass(frozen=True)
 class StoreEvent:
-    """One change of the store and the object that it replaced."""
+    """Change of the store, with the object that it replaced."""
 
     type: Literal["put", "delete"]
     object: StoredObject
@@ -33,7 +33,7 @@
 
 
 class VersionConflictError(Exception):
-    """The condition of a write does not hold; `current` is what stands."""
+    """Condition of a write does not hold; `current` is the stored object."""
 
     def __init__(self, current: StoredObject | None) -> None:
         super().__init__("The object has another version; read it again.")
@@ -45,7 +45,7 @@
 
 
 class ObjectStore:
-    """Objects with store-wide revisions and a history of changes."""
+    """Stores objects with store-wide revisions and a history of changes."""
 
     def __init__(self) -> None:
         self.revision = 0
@@ -54,7 +54,7 @@
         self._history: collections.deque[StoreEvent] = collections.deque()
 
     def put(self, key: Key, body: Any, if_version: int | None) -> StoredObject:
-        """Write an object; VersionConflictError if `if_version` does not hold."""
+        """Write an object; raises VersionConflictError if `if_version` differs."""
         previous = self._check_version(key, if_version)
         self.revision += 1
         stored = StoredObject(*key, self.revision, body)
@@ -63,7 +63,7 @@
         return stored
 
     def delete(self, key: Key, if_version: int | None) -> StoredObject | None:
-        """Delete an object; returns its tombstone, or None if it is absent."""
+        """Delete an object; returns its tombstone, or None if it does not exist."""
         previous = self._check_version(key, if_version)
         if previous is None:
             return None
@@ -74,7 +74,7 @@
         return tombstone
 
     def snapshot(self, revisions_ago: int) -> tuple[int, dict[Key, StoredObject]]:
-        """Return the revision and the objects as they were `back` revisions ago."""
+        """Return the revision and the objects of an earlier revision."""
         if revisions_ago <= 0:
             return self.revision, self._objects
         objects = dict(self._objects)
@@ -89,7 +89,7 @@
         return revision, objects
 
     def events_after(self, revision: int, kinds: set[str]) -> list[StoreEvent] | None:
-        """Return later events of these kinds; None if the history is too short."""
+        """Return later events of `kinds`, or None if the history is too short."""
         if revision < self.revision - len(self._history):
             return None
         count = max(0, self.revision - revision)
@@ -97,12 +97,12 @@
         return [event for event in recent if event.object.kind in kinds]
 
     def trim_history(self, limit: int) -> None:
-        """Forget all but the last `limit` events."""
+        """Discard all but the last `limit` events."""
         while len(self._history) > limit:
             self._history.popleft()
 
     def wake_watches(self) -> None:
-        """Let all waiting watches look again."""
+        """Wake all waiting watches so that they check for events."""
         waiting, self.changed = self.changed, Event()
         waiting.set()
 
--- a/standins/_platformsettings.py
+++ b/standins/_platformsettings.py
@@ -1,4 +1,4 @@
-"""Settings and switches of the platform stand-in."""
+"""Settings and control document of the platform stand-in."""
 
 from typing import Any, Literal
 
@@ -10,29 +10,31 @@
 
 
 class PlatformControl(BorderModel):
-    """Switches of the platform stand-in.
+    """Control document of the platform stand-in.
 
     Attributes
     ----------
     outage : str or None
         ``"refuse"`` closes each connection without an answer and without an
         effect, ``"unavailable"`` answers 503, ``"hang"`` holds every call until
-        the switch changes and handles it then.
+        this field changes and handles it then.
     slow_ms : float
-        Added before each call is handled.
+        Delay before each call is handled.
     lose_answers : int
-        That many of the next writes take effect but get no answer; the number
-        counts down.
+        Number of next writes that take effect but get no answer; each of them
+        decrements it.
     lose_answers_kind : str or None
-        Restrict `lose_answers` to one kind of object.
+        Kind of object to which `lose_answers` applies; None for all kinds.
     stale_reads : int
-        Gets and lists answer from the store as it was that many revisions ago.
+        Number of revisions by which the answers of gets and lists are old.
     writes_per_s, reads_per_s : float
-        Rates above which calls get 429; a waiting watch is one read.
+        Rates above which calls are answered with 429; a waiting watch counts as
+        one read.
     instances_lag_s : float
-        Age of the instance list that callers see.
+        Age of the instance list that is served.
     history_limit : int
-        Revisions kept for watches; watches from before get 410.
+        Number of revisions kept for watches; a watch from an earlier revision is
+        answered with 410.
     """
 
     outage: Literal["refuse", "unavailable", "hang"] | None = None
@@ -47,7 +49,7 @@
 
 
 class InstanceEntry(BorderModel):
-    """One instance as the owner of the machines knows it."""
+    """Entry of the instance list as the infrastructure reports it."""
 
     name: str
     zone: str
@@ -57,7 +59,7 @@
 
 
 class PutRequest(BorderModel):
-    """Body of a PUT of an object; `if_version` 0 means: must not exist."""
+    """Body of a PUT of an object; `if_version` 0 requires that it does not exist."""
 
     body: Any
     if_version: pydantic.StrictInt | None = None
--- a/standins/_proxyconnection.py
+++ b/standins/_proxyconnection.py
@@ -1,4 +1,4 @@
-"""One proxied connection and the faults that apply to it."""
+"""Proxied connection and the faults that apply to it."""
 
 import collections
 import errno
@@ -40,23 +40,23 @@
 
 @dataclass(frozen=True)
 class Chunk:
-    """Bytes on their way; an empty chunk is the end of the stream."""
+    """Bytes in transit; an empty chunk marks the end of the stream."""
 
     due_s: float
     data: bytes
 
 
 class Connection:
-    """One proxied connection: two pumps and the rules that apply to them.
+    """Proxied connection: copies both directions and applies the rules.
 
     Parameters
     ----------
     client : gevent socket
         Accepted connection of the source.
     source : Source
-        Who connected.
+        Source that connected.
     route : Route
-        Where it connected to.
+        Route that it connected to.
     """
 
     def __init__(self, client: GeventSocket, source: Source, route: Route) -> None:
@@ -74,7 +74,7 @@
         self._random = random.Random(f"{source.name}:{route.name}")
 
     def apply(self, rules: list[Rule]) -> None:
-        """Apply these rules from now on."""
+        """Replace the rules that apply to this connection."""
         self._actions = [
             rule.action for rule in rules if rule.matches(self.source, self.route)
         ]
@@ -85,7 +85,7 @@
         waiting.set()
 
     def run(self) -> None:
-        """Connect to the target and pump until one side is gone."""
+        """Connect to the target and copy both directions until one side closes."""
         self._wait_while_held("to_target")
         if self.closed_by:
             return
@@ -106,7 +106,7 @@
         self.close("ended")
 
     def close(self, cause: str, reset: bool = False) -> None:
-        """Close both sides, with a reset if asked; later calls do nothing."""
+        """Close both sides, optionally with a reset; later calls do nothing."""
         if self.closed_by:
             return
         self.closed_by = cause
@@ -122,7 +122,7 @@
         sock.bind((self._client.getpeername()[0], 0))
         for each in (sock, self._client):
             each.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-        # Known at once, so that a cut closes it also while it connects.
+        # Set before connecting, so that a cut can close a socket that is connecting.
         self._target = sock
         sock.settimeout(_CONNECT_TIMEOUT_S)
         sock.connect(parse_address(self.route.forward))
@@ -174,7 +174,7 @@
         )
 
     def _deliver(self, direction: Direction, writer: GeventSocket, data: bytes) -> bool:
-        """Hand on one chunk; returns False at the end of the stream."""
+        """Forward one chunk; returns False at the end of the stream."""
         if not data:
             writer.shutdown(socket.SHUT_WR)
             return False
@@ -196,13 +196,13 @@
         return (a for a in self._actions if isinstance(a, CloseAfterBytes))
 
     def _reset_lifted_limits(self) -> None:
-        """Let a limit that is lifted and set again count from zero."""
+        """Reset the count of lifted limits, which start at zero if set again."""
         in_force = {limit.key() for limit in self._limits()}
         for key in set(self._counted_bytes) - in_force:
             del self._counted_bytes[key]
 
     def _allowed_bytes(self, direction: Direction, size_bytes: int) -> int:
-        """Count the bytes against the limits; returns how many may pass."""
+        """Count the bytes against the limits; returns the number that may pass."""
         counting = [limit for limit in self._limits() if limit.counts(direction)]
         remaining_bytes = [
             limit.limit_bytes - self._counted_bytes[limit.key()] for limit in counting
@@ -220,7 +220,7 @@
 
 
 def _close_socket(sock: GeventSocket, reset: bool) -> None:
-    """Close at once; a reset also throws away what was not delivered yet."""
+    """Close immediately; a reset also discards undelivered data."""
     try:
         if reset:
             sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, _RESET_ON_CLOSE)
--- a/standins/_proxyrules.py
+++ b/standins/_proxyrules.py
@@ -28,31 +28,34 @@
 
 
 class Cut(BorderModel):
-    """Reset existing connections and new ones."""
+    """Reset existing and new connections."""
 
     type: Literal["cut"]
 
 
 class Blackhole(BorderModel):
-    """Keep connections open and hold back everything until the rule is lifted."""
+    """Keep connections open and hold all data until the rule is lifted."""
 
     type: Literal["blackhole"]
     direction: Literal["both", "to_target", "to_source"] = "both"
 
     def holds(self, direction: Direction) -> bool:
-        """Tell whether bytes of this direction are held back."""
+        """Return whether bytes of this direction are held."""
         return self.direction in ("both", direction)
 
 
 class Delay(BorderModel):
-    """Deliver everything that much later, each way; delays of rules add up."""
+    """Delay all data in both directions; delays of several rules add up."""
 
     type: Literal["delay"]
     delay_ms: float
 
 
 class Loss(BorderModel):
-    """Lose this share of the chunks, each way; TCP repeats them later, in order."""
+    """Delay a share of the chunks in both directions, as loss does under TCP.
+
+    TCP retransmits lost segments and delivers the data in order.
+    """
 
     type: Literal["loss"]
     share: float
@@ -60,24 +63,24 @@
 
 
 class DropAnswers(BorderModel):
-    """Swallow the next bytes from the target and close the connection."""
+    """Discard the next bytes from the target and close the connection."""
 
     type: Literal["drop_answers"]
 
 
 class CloseAfterBytes(BorderModel):
-    """Close a connection once it passed that many bytes under this rule."""
+    """Close a connection after it forwarded `limit_bytes` under this rule."""
 
     type: Literal["close_after_bytes"]
     limit_bytes: int
     direction: Literal["both", "to_target", "to_source"] = "both"
 
     def counts(self, direction: Direction) -> bool:
-        """Tell whether bytes of this direction count."""
+        """Return whether bytes of this direction count."""
         return self.direction in ("both", direction)
 
     def key(self) -> str:
-        """Identify the limit; it is the same after other rules changed."""
+        """Return a key that stays the same when other rules change."""
         return self.model_dump_json()
 
 
@@ -88,16 +91,16 @@
 
 
 class Rule(BorderModel):
-    """A fault of the connections that match all four globs.
+    """Fault of the connections that match all four globs.
 
     Attributes
     ----------
     source, source_zone : str
-        Globs over name and zone of the source; an unknown source has empty ones.
+        Globs for name and zone of the source; both are empty for unknown sources.
     route, route_zone : str
-        Globs over name and zone of the route.
+        Globs for name and zone of the route.
     action : Action
-        What happens to them.
+        Fault that is applied.
     """
 
     source: str = "*"
@@ -107,7 +110,7 @@
     action: Action
 
     def matches(self, source: "Source", route: "Route") -> bool:
-        """Tell whether the rule covers connections of this source and route."""
+        """Return whether the rule applies to connections of a source and route."""
         pairs = (
             (source.name, self.source),
             (source.zone, self.source_zone),
@@ -118,7 +121,7 @@
 
 
 class Source(BorderModel):
-    """Who connects from an address or network, e.g. ``127.1.0.0/16``."""
+    """Name and zone of clients in a network, e.g. ``127.1.0.0/16``."""
 
     prefix: pydantic.IPvAnyNetwork
     name: str
@@ -126,7 +129,7 @@
 
 
 class Route(BorderModel):
-    """A listening address and the address that it stands for."""
+    """Listening address and the address that it forwards to."""
 
     name: str
     zone: str = ""
@@ -135,7 +138,7 @@
 
 
 class ProxyControl(BorderModel):
-    """Rules and sources; both lists are replaced whole."""
+    """Rules and sources; an update replaces a list as a whole."""
 
     rules: list[Rule] = []
     sources: list[Source] = []
@@ -145,7 +148,7 @@
 
 
 def find_source(host: str, sources: list[Source]) -> Source:
-    """Return the source with the longest prefix that covers the address."""
+    """Return the source with the longest prefix that contains the address."""
     address = ipaddress.ip_address(host)
     covering = [source for source in sources if address in source.prefix]
     longest_first = sorted(covering, key=lambda source: -source.prefix.prefixlen)
--- a/standins/addressblock.py
+++ b/standins/addressblock.py
@@ -1,8 +1,8 @@
 """Blocks of loopback addresses, each used by one installation at a time.
 
-Installations run side by side on one machine.  At common addresses the system
-could give a port that a killed process of one installation had to a process of
-another one, while peers of the first still speak to it.
+Installations run in parallel on one machine.  If they shared addresses, the
+system could assign the port of a killed process of one installation to a process
+of another, while peers in the first installation still send to that port.
 """
 
 import socket
@@ -18,11 +18,11 @@
 
 
 class AddressBlockError(Exception):
-    """All blocks are in use; wait until other installations have ended."""
+    """All address blocks are in use until another installation ends."""
 
 
 def host_in_block(host: str, block: int) -> str:
-    """Return where a host of the first block stands in another one.
+    """Translate an address of the first block to another block.
 
     Parameters
     ----------
@@ -42,7 +42,7 @@
 
 @contextmanager
 def address_block(count: int = BLOCK_COUNT) -> Iterator[int]:
-    """Hold a block that no other process holds; yields its number.
+    """Reserve a block that no other process uses; yields its number.
 
     Parameters
     ----------
@@ -52,14 +52,17 @@
     Raises
     ------
     AddressBlockError
-        If all are held.
+        If all blocks are in use.
     """
     with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as lock:
         yield _lock_free_block(lock, count)
 
 
 def _lock_free_block(lock: socket.socket, count: int) -> int:
-    """Bind the lock in the first free block: the system lets only one do so."""
+    """Bind the lock socket in the first free block.
+
+    The system allows only one socket to bind the address, which makes it a lock.
+    """
     for block in range(count):
         try:
             lock.bind((host_in_block("127.1.255.254", block), _LOCK_PORT))
--- a/standins/cases.py
+++ b/standins/cases.py
@@ -1,4 +1,4 @@
-"""Cases and shapes of measuring tools, by their names on the command line."""
+"""Selection of measurement cases and shapes by their command-line names."""
 
 import sys
 from collections.abc import Sequence
@@ -10,7 +10,7 @@
 
 
 class Named(Protocol):
-    """Something with a name."""
+    """Object with a name."""
 
     @property
     def name(self) -> str:
@@ -21,19 +21,19 @@
 
 
 def choose_shape(name: str) -> Shape:
-    """Return a shape; end the program if there is none of this name."""
+    """Return the shape of a name; exits the program if the name is unknown."""
     if name not in SHAPES:
         sys.exit(f"There is no shape {name!r}. Use one of: {', '.join(SHAPES)}.")
     return SHAPES[name]
 
 
 def choose_cases(names: str | Sequence[str], cases: Sequence[_Case]) -> list[_Case]:
-    """Return the cases of these names, all of them for none.
+    """Return the cases with these names, or all cases if no name is given.
 
     Parameters
     ----------
     names : str or sequence of str
-        Names, separated by commas; the command line splits a list by itself.
+        Names separated by commas; the command line may already split them.
     cases : sequence
         All cases.
     """
--- a/standins/checker.py
+++ b/standins/checker.py
@@ -1,6 +1,6 @@
-"""Independent checker: which promises do the logs show broken?
+"""Independent checker that finds broken promises in the logs.
 
-It reads logs of callers, targets and platform and nothing of the instances.
+It reads only the logs of callers, targets and platform, not those of instances.
 """
 
 from collections import Counter, defaultdict
@@ -13,15 +13,15 @@
 __all__ = ["UnplannedFailure", "Promise", "Report", "Violation", "check"]
 
 LEAVING_GRACE_S = 3.0
-"""Time after which a leaving target gets no new work."""
+"""Time after which a leaving target must not get new work."""
 RECOVERY_S = 10.0
-"""Time after an unplanned failure in which requests may still end badly."""
+"""Time after an unplanned failure in which requests may still fail."""
 STALL_LIMIT_S = 5.0
-"""Longest time without an event of a stream whose interval is far shorter."""
+"""Longest allowed gap between events; stream intervals are far shorter."""
 
 
 class Promise(Enum):
-    """What must hold; the values name broken promises in reports."""
+    """Guarantees of the system; the values name them in reports."""
 
     FLOWS = "established flows survive planned changes"
     SERVICE = "no request reaches another service"
@@ -35,7 +35,7 @@
 
 @dataclass(frozen=True)
 class Violation:
-    """A promise that the logs show broken."""
+    """Broken promise found in the logs."""
 
     promise: Promise
     detail: str
@@ -46,17 +46,17 @@
 
 @dataclass(frozen=True)
 class UnplannedFailure:
-    """An unplanned failure that a test brought about; it may outlast the logs."""
+    """Period of an injected failure; it may end after the logs do."""
 
     from_s: float
     until_s: float
 
     def covers(self, sent_s: float, ended_s: float) -> bool:
-        """Whether something that ran in this span may have suffered from it."""
+        """Return whether the failure may have affected work in this period."""
         return ended_s >= self.from_s and sent_s <= self.until_s + RECOVERY_S
 
     def overlap_s(self, from_s: float, until_s: float) -> float:
-        """Return how much of a span lies in the failure and the recovery."""
+        """Return how long a period overlaps with the failure and the recovery."""
         begin_s = max(from_s, self.from_s)
         end_s = min(until_s, self.until_s + RECOVERY_S)
         return max(0.0, end_s - begin_s)
@@ -64,7 +64,7 @@
 
 @dataclass
 class Report:
-    """Counts and violations."""
+    """Counts and violations of one run."""
 
     counts: Counter[str] = field(default_factory=Counter)
     violations: list[Violation] = field(default_factory=list)
@@ -77,14 +77,14 @@
 def check(
     evidence: Evidence, unplanned_failures: Iterable[UnplannedFailure] = ()
 ) -> Report:
-    """Check all promises.
+    """Check the logs against all promises.
 
     Parameters
     ----------
     evidence : Evidence
-        What the logs say.
-    disturbances : iterable of Disturbance
-        Unplanned failures; only requests and streams under way during one may
+        Contents of the logs.
+    unplanned_failures : iterable of UnplannedFailure
+        Unplanned failures; only requests and streams in progress during one may
         end with an unknown outcome.
     """
     failures = list(unplanned_failures)
@@ -210,7 +210,7 @@
 
 
 def _find_lost_flows(evidence: Evidence) -> Iterator[Violation]:
-    """Yield flows whose last requests all failed, whatever the cause."""
+    """Yield flows whose last two requests got no answer, for any cause."""
     by_flow: dict[str, list[Request]] = defaultdict(list)
     for request in evidence.requests.values():
         if request.end:
--- a/standins/cluster.py
+++ b/standins/cluster.py
@@ -1,11 +1,11 @@
 """Installations of real processes: stand-ins, targets and instances.
 
-The only scaffolding of demo, integration tests and benches::
+The harness of the demonstration, the integration tests and the benchmarks::
 
     with cluster(ClusterSettings(SMALL)) as running:
         running.drain_target("sessions", "sessions-1")
 
-Everything that was started is ended when the block is left.
+All started processes are ended on exit from the block.
 """
 
 import signal
@@ -27,7 +27,7 @@
     target_arguments,
 )
 from standins.endpoint import call_ok
-from standins.faults import PLATFORM_ZONE, FaultsHandle
+from standins.faults import PLATFORM_ZONE, FaultProxyHandle
 from standins.launcher import Launcher
 from standins.nodes import Instance, Target
 from standins.platformcontrol import ListedInstance, PlatformHandle
@@ -38,28 +38,28 @@
 
 _STOP_TIMEOUT_S = 90.0
 _CLOSED_ADDRESS = "127.0.0.1:1"
-"""Where a route leads until its instance listens; nothing does there."""
+"""Address without a listener, to which a route leads until its instance listens."""
 
 
 class Cluster:
-    """Operations on a running installation; made by `cluster`.
+    """Operations on a running installation; created by `cluster`.
 
     Attributes
     ----------
     shape : Shape
-        What runs, with the addresses that it uses.
+        Shape of the installation, with the addresses that it uses.
     launcher : Launcher
-        Starts further processes, such as callers, and names all logs.
+        Starts further processes, such as callers, and names the log files.
     platform : PlatformHandle
         Platform stand-in.
     instances : dict of str to Instance
         Running instances by name.
     targets : dict of str to Target
         Running targets by name.
-    faults : FaultsHandle or None
-        Fault proxy, if the settings ask for it.
+    faults : FaultProxyHandle or None
+        Fault proxy, if it is enabled in the settings.
     builds : dict of str to str
-        Checkout that each instance runs from its next start on.
+        Checkout whose code each instance runs after its next start.
     """
 
     def __init__(
@@ -70,14 +70,14 @@
         self.launcher = launcher
         self.instances: dict[str, Instance] = {}
         self.targets: dict[str, Target] = {}
-        self.faults: FaultsHandle | None = None
+        self.faults: FaultProxyHandle | None = None
         self.builds = dict(settings.builds)
         self._leaving: set[str] = set()
         self._peer_addresses: dict[str, str] = {}
         self._last_ready: dict[str, dict[str, Any]] = {}
 
     def start(self) -> None:
-        """Start everything and wait until all instances are ready."""
+        """Start all processes and wait until all instances are ready."""
         platform = self.launcher.spawn_standin("platform", {})
         targets = [
             self._spawn_target(p) for s in self.shape.services for p in s.targets
@@ -97,7 +97,7 @@
         if self.settings.faults:
             proxy = self.launcher.spawn_standin("faultproxy", {})
             proxy.wait_ready()
-            self.faults = FaultsHandle(proxy, self.shape)
+            self.faults = FaultProxyHandle(proxy, self.shape)
             for plan in self.shape.instances:
                 self._set_peer_route(plan, _CLOSED_ADDRESS)
         self.fabric.wait_ready()
@@ -107,7 +107,7 @@
         )
 
     def _add_route(self, name: str, zone: str, address: str) -> str:
-        """Return the address by which instances reach ``address``."""
+        """Return the address at which instances reach ``address``."""
         if self.faults is None:
             return address
         return self.faults.add_route(name, zone, address)
@@ -115,7 +115,7 @@
     # Network.
 
     def control_fabric(self, **change: Any) -> None:
-        """Switch faults of the fabric; see ``standins.fabric.FabricControl``."""
+        """Change the faults of the fabric; see ``standins.fabric.FabricControl``."""
         address = self.fabric.ready["addresses"]["control"]
         call_ok(address, "PUT", "/control", change)
 
@@ -126,18 +126,18 @@
         callers: bool = False,
         action: str = "cut",
     ) -> None:
-        """Cut a zone off from the others.
+        """Cut a zone off from the other zones.
 
         Parameters
         ----------
         zone : str
-            The zone.
+            Name of the zone.
         platform : bool
-            Cut it off from the platform, too.
+            Also cut it off from the platform.
         callers : bool
-            Cut it off from callers, too.
+            Also cut it off from callers.
         action : str
-            ``"cut"`` resets connections, ``"blackhole"`` holds everything back.
+            ``"cut"`` resets connections, ``"blackhole"`` holds all data.
         """
         if self.faults is None:
             raise RuntimeError("start the cluster with faults=True to cut zones")
@@ -146,7 +146,7 @@
             self.control_fabric(cut_zones=[zone])
 
     def heal(self) -> None:
-        """Take back all cuts."""
+        """Remove all cuts and rules."""
         if self.faults is not None:
             self.faults.heal()
         self.control_fabric(cut_zones=[], cut_instances=[])
@@ -155,24 +155,24 @@
 
     @property
     def leaving(self) -> set[str]:
-        """Instances whose planned stop has begun and was not waited for."""
+        """Instances whose planned stop has begun and not yet been waited for."""
         return set(self._leaving)
 
     @property
     def fabric_address(self) -> str:
-        """Address that callers send to."""
+        """Address of the fabric for callers."""
         return str(self.fabric.ready["addresses"]["callers"][0])
 
     def start_instances(self, names: Iterable[str], same_ports: bool = False) -> None:
-        """Start instances of the shape at once and wait until all are ready.
+        """Start instances of the shape in parallel and wait until all are ready.
 
         Parameters
         ----------
         names : iterable of str
             Names of the instances.
         same_ports : bool
-            Bind the addresses of their last run, so that whoever knew them finds
-            them without the platform's list.
+            Bind the addresses of their previous run, so that peers reach them
+            without the instance list of the platform.
         """
         wanted = set(names)
         plans = [plan for plan in self.shape.instances if plan.name in wanted]
@@ -192,7 +192,7 @@
         return self.instances[name]
 
     def wait_instance_ready(self, name: str) -> None:
-        """Wait until an instance says that it is ready."""
+        """Wait until an instance reports that it is ready."""
         instance = self.instances[name]
         wait_until(lambda: instance.is_ready, f"{name} to be ready")
 
@@ -208,27 +208,27 @@
         self.instances[name].process.signal(signal.SIGTERM)
 
     def finish_stop(self, name: str) -> int:
-        """Wait for the end of a planned stop; returns the exit status."""
+        """Wait until a planned stop has ended; returns the exit status."""
         status = self.instances[name].process.wait(_STOP_TIMEOUT_S)
         self.unlist_instance(name)
         return status
 
     def kill_instance(self, name: str, listed: bool = False) -> None:
-        """Kill an instance; ``listed`` leaves it in the platform's list."""
+        """Kill an instance; ``listed`` keeps it in the instance list."""
         self.instances[name].process.kill()
         if not listed:
             self.unlist_instance(name)
 
     def freeze_instance(self, name: str) -> None:
-        """Pause an instance."""
+        """Pause an instance with SIGSTOP."""
         self.instances[name].process.signal(signal.SIGSTOP)
 
     def thaw_instance(self, name: str) -> None:
-        """Let a paused instance go on."""
+        """Resume a paused instance with SIGCONT."""
         self.instances[name].process.signal(signal.SIGCONT)
 
     def unlist_instance(self, name: str) -> None:
-        """Take an instance that has ended off the platform's list."""
+        """Remove an instance that has ended from the instance list."""
         del self.instances[name]
         self._leaving.discard(name)
         self._publish_instance_list()
@@ -263,13 +263,13 @@
         return InstanceAddresses(
             data=last.get("data_address", ""),
             peer=last.get("peer_address", ""),
-            # Its peers have to be told the proxy's address from the first message on.
+            # Peers need the address of the proxy from the first message on.
             advertised=self._peer_addresses[plan.name] if self.faults else "",
             seeds=tuple(seeds),
         )
 
     def _set_peer_route(self, plan: InstancePlan, address: str) -> str:
-        """Return where peers connect to so that they reach ``address``."""
+        """Set the route of an instance; returns the address that peers connect to."""
         route = self._add_route(f"peer:{plan.name}", plan.zone, address)
         self._peer_addresses[plan.name] = route
         return route
@@ -288,12 +288,12 @@
     # Targets and records.
 
     def start_target(self, plan: TargetPlan) -> Target:
-        """Start a target; the record does not change."""
+        """Start a target; the service record does not change."""
         self._register_targets([self._spawn_target(plan)])
         return self.targets[plan.name]
 
     def kill_target(self, name: str) -> None:
-        """Kill a target; the record does not change."""
+        """Kill a target; the service record does not change."""
         self.targets[name].process.kill()
 
     def service_targets(self, service: str) -> list[Target]:
@@ -302,13 +302,13 @@
         return sorted(found, key=lambda target: target.plan.name)
 
     def write_record(self, service: ServicePlan) -> dict[str, Any]:
-        """Write the record of a service from the running targets."""
+        """Write the record of a service with its running targets."""
         targets = self.service_targets(service.name)
         body = record_body(self.settings, service, targets)
         return self.platform.put("service", service.name, body)
 
     def drain_target(self, service: str, target: str) -> dict[str, Any]:
-        """Mark a target as draining in its record; returns the object."""
+        """Mark a target as draining in the service record; returns the object."""
 
         def change(body: dict[str, Any]) -> None:
             entry = next(e for e in body["targets"] if e["name"] == target)
@@ -332,12 +332,12 @@
 
 @contextmanager
 def cluster(settings: ClusterSettings) -> Iterator[Cluster]:
-    """Start an installation and end it when the block is left.
+    """Start an installation and end it on exit from the block.
 
     Parameters
     ----------
     settings : ClusterSettings
-        What to start.
+        Settings of the installation.
     """
     with ExitStack() as stack:
         folder = settings.folder
@@ -345,7 +345,7 @@
             folder = stack.enter_context(tempfile.TemporaryDirectory(prefix="cluster-"))
         launcher = Launcher(Path(folder))
         block = stack.enter_context(address_block())
-        # Held until all processes have ended.
+        # The address block stays reserved until all processes have ended.
         stack.callback(launcher.end)
         running = Cluster(settings, launcher, block)
         running.start()
--- a/standins/clustersettings.py
+++ b/standins/clustersettings.py
@@ -1,4 +1,4 @@
-"""What a cluster starts, and the settings and records that follow from it."""
+"""Settings of a cluster and the files and records derived from them."""
 
 import secrets
 import uuid
@@ -28,17 +28,17 @@
 
 @dataclass(frozen=True)
 class ClusterSettings:
-    """What to start.
+    """Settings of an installation.
 
     Attributes
     ----------
     shape : Shape
         Zones, instances and targets.
     faults : bool
-        Lead all links between instances, to targets and to the platform through
-        the fault proxy, so that zones can be cut.
+        Route all links between instances, to targets and to the platform through
+        the fault proxy, so that zones can be cut off.
     folder : str
-        Where logs and settings files go; empty: a temporary directory.
+        Folder for logs and settings files; empty for a temporary directory.
     instance_settings : dict
         Merged into the settings file of each instance, group by group.
     record_settings : dict
@@ -48,11 +48,12 @@
     seed : int
         Seed of fabric and fault proxy.
     peer_secret_hex, key_secret_hex : str
-        Secret of the instances and of the first key for tokens; drawn anew by
-        default, since installations that share one would talk to each other.
+        Secret of the instances and of the first key for tokens; random by
+        default, since installations with the same secret would accept each
+        other's messages.
     builds : dict of str to str
-        Checkouts whose code instances and callers run, by their names; the others
-        run this one.
+        Checkouts whose code instances and callers run, by name; the others run
+        the code of this checkout.
     """
 
     shape: Shape
@@ -69,7 +70,7 @@
 
 @dataclass(frozen=True)
 class Endpoints:
-    """Addresses that every instance needs."""
+    """Addresses that all instances use."""
 
     platform: str
     fabric_return: str
@@ -77,16 +78,16 @@
 
 @dataclass(frozen=True)
 class InstanceAddresses:
-    """Addresses of one instance; empty ones are left to the system.
+    """Addresses of one instance; the system chooses empty ones.
 
     Attributes
     ----------
     data, peer : str
-        Addresses to bind, those of its last run.
+        Addresses to bind, taken from its previous run.
     advertised : str
-        Where peers connect to, if they go through the fault proxy.
+        Address that peers connect to, if it is that of the fault proxy.
     seeds : tuple of str
-        Peer addresses of the other instances, as far as they are known.
+        Known peer addresses of the other instances.
     """
 
     data: str = ""
@@ -102,7 +103,7 @@
     log: Path,
     addresses: "InstanceAddresses",
 ) -> dict[str, dict[str, Any]]:
-    """Return the settings file of an instance."""
+    """Return the contents of the settings file of an instance."""
     groups: dict[str, dict[str, Any]] = {
         "instance": {"name": plan.name, "zone": plan.zone},
         "listen": {
@@ -125,7 +126,7 @@
 def target_arguments(
     settings: ClusterSettings, plan: TargetPlan, log: Path
 ) -> list[str]:
-    """Return the command line of a target."""
+    """Return the command-line arguments of a target."""
     flags = {
         "service": plan.service,
         "target": plan.name,
--- a/standins/combined.py
+++ b/standins/combined.py
@@ -1,9 +1,9 @@
-"""Randomized run: failures one by one, twice and together, under load.
+"""Randomized run with single, repeated and combined failures under load.
 
 ``python -m standins.combined --shape=small --seed=7 --run_s=30`` draws failures
 from a seed, which it prints first, so that a run can be repeated.  The checker
-then reads only the logs of callers, targets and platform.  Promises that hold
-under any failure are judged; broken flows are not, since nothing here is planned.
+then reads only the logs of callers, targets and platform.  It checks the promises
+that hold under any failure; flows may break, since the failures are unplanned.
 """
 
 import random
@@ -35,9 +35,9 @@
     Promise.IN_FORCE,
 )
 PAUSE_BOUNDS_S = (0.2, 1.0)
-"""Shortest and longest time between two failures, in seconds."""
+"""Shortest and longest time between two failures."""
 DURATION_BOUNDS_S = (0.5, 4.0)
-"""Shortest and longest duration of a failure, in seconds."""
+"""Shortest and longest duration of a failure."""
 MAX_ACTIVE_FAILURES = 3
 MIN_LIVE_INSTANCES = 2
 RACING_WRITERS = 4
@@ -45,7 +45,7 @@
 
 @dataclass
 class _Failure:
-    """A failure under way, and how it ends."""
+    """Active failure with the function that ends it."""
 
     kind: str
     subject: str
@@ -170,7 +170,7 @@
 
 
 def _race_writers(run: _Run) -> tuple[str, Callable[[], None]] | None:
-    """Let several writers change one record at once."""
+    """Let several writers change one record concurrently."""
     if run.is_active("outage"):
         return None
     service = run.rng.choice(run.running.shape.services).name
@@ -205,7 +205,7 @@
     "race": _race_writers,
 }
 _NEED_PLATFORM = frozenset({"kill", "replace", "restart_target"})
-"""Their end starts a process or writes a record, which waits for the platform."""
+"""Failures whose end starts a process or writes a record and needs the platform."""
 
 
 def _begin_failure(run: _Run) -> None:
@@ -221,7 +221,10 @@
 
 
 def _end_due_failures(run: _Run, end_all: bool = False) -> None:
-    """End failures whose time is over; what needs the platform waits for it."""
+    """End failures that are due.
+
+    Failures whose end needs the platform stay active while it may be unreachable.
+    """
     due = [
         failure
         for failure in run.active
@@ -245,7 +248,7 @@
         _end_due_failures(run)
         if len(run.active) < MAX_ACTIVE_FAILURES:
             _begin_failure(run)
-        # Part of the experiment: the time between two failures.
+        # The random time between two failures is part of the experiment.
         time.sleep(run.rng.uniform(*PAUSE_BOUNDS_S))
     _end_due_failures(run, end_all=True)
     for name in run.running.instances:
@@ -255,14 +258,16 @@
 
 
 def _check_in_force(run: _Run) -> None:
-    """Wait until each record's newest version is in force everywhere."""
+    """Wait until the newest version of each record is in force on all instances."""
     for service in run.running.shape.services:
         stored = run.running.platform.get("service", service.name)
         assert stored is not None
         wait_in_force(run.running, service.name, stored["version"])
         accepted = [w[service.name] for w in run.written if service.name in w]
         if accepted and max(accepted) > stored["version"]:
-            raise AssertionError(f"{service.name} went back in the platform")
+            raise AssertionError(
+                f"{service.name} has an older version in the platform than accepted"
+            )
 
 
 @contextmanager
@@ -277,7 +282,7 @@
 def run_combined(
     shape: Shape, seed: int, run_s: float, folder: str = ""
 ) -> tuple[Report, dict[str, int]]:
-    """Run drawn failures under load and judge the logs.
+    """Run random failures under load and check the logs.
 
     Parameters
     ----------
@@ -286,14 +291,14 @@
     seed : int
         Seed of failures, load and fabric.
     run_s : float
-        How long failures begin, in seconds.
+        Time in which failures begin.
     folder : str
-        Where logs go; empty: a temporary directory.
+        Folder for logs; empty for a temporary directory.
 
     Returns
     -------
     Report, dict
-        Counts and broken promises, and how often each kind of failure began.
+        Counts and broken promises, and the number of failures of each kind.
     """
     print(f"seed {seed}, shape {shape.name}, {run_s:g} s of failures", flush=True)
     with _start_run(shape, seed, folder) as (run, watch):
@@ -311,16 +316,16 @@
 
 
 def main(shape: str = "small", seed: int = 0, run_s: float = 30.0) -> None:
-    """Run drawn failures; exit status 1 if a promise was broken.
+    """Run random failures; the exit status is 1 if a promise was broken.
 
     Parameters
     ----------
     shape : str
         ``harada``, ``leave-desk`` or ``small``.
     seed : int
-        Seed; 0 draws one, which is printed.
+        Seed; 0 draws a random one, which is printed.
     run_s : float
-        How long failures begin, in seconds; at most 600.
+        Time in which failures begin, in seconds; at most 600.
     """
     drawn = seed or random.SystemRandom().randrange(1, 1_000_000)
     report, counts = run_combined(choose_shape(shape), drawn, min(run_s, 600.0))
--- a/standins/control.py
+++ b/standins/control.py
@@ -1,6 +1,6 @@
-"""What the stand-in programs share: settings, control endpoint, JSON server.
+"""Shared parts of the stand-in programs: settings, control endpoint, JSON server.
 
-Every stand-in is a process of its own, which prints one line of JSON
+Every stand-in runs as a separate process, which prints one line of JSON
 (``{"ready": true, "addresses": {...}}``) when it listens.  Its control endpoint
 answers ``GET /control``, ``PUT /control`` (JSON merge patch, RFC 7396; ``null``
 sets a field back to its default) and ``GET /stats``.
@@ -81,22 +81,22 @@
     host, port = parse_address(text)
     ipaddress.IPv4Address(host)
     if not 0 <= port <= _MAX_PORT:
-        raise ValueError(f"{text}: a port is at most {_MAX_PORT}")
+        raise ValueError(f"{text}: the port must be between 0 and {_MAX_PORT}")
     return text
 
 
 AddressText = Annotated[str, pydantic.AfterValidator(_check_address)]
-"""Address as ``"host:port"`` with the host as IPv4 number."""
+"""Address as ``"host:port"`` with an IPv4 address as host."""
 
 
 class BorderModel(pydantic.BaseModel):
-    """Base of settings and control documents; unknown fields are refused."""
+    """Base class of settings and control documents; rejects unknown fields."""
 
     model_config = pydantic.ConfigDict(extra="forbid")
 
 
 class ProgramSettings(BorderModel):
-    """Settings that every stand-in has.
+    """Settings common to all stand-ins.
 
     Attributes
     ----------
@@ -105,7 +105,7 @@
     log_path : str or None
         Log of JSON lines for the checker.
     max_life_s : float
-        The program ends after that long even if its harness is gone.
+        Time after which the program ends, so that it cannot outlive its harness.
     """
 
     control_listen: AddressText = "127.0.0.1:0"
@@ -114,14 +114,14 @@
 
 
 class Answer:
-    """One HTTP answer with a JSON body.
+    """HTTP response with a JSON body.
 
     Parameters
     ----------
     status : int
         HTTP status code.
     body : object
-        Anything that the json module can encode.
+        Object that the json module can encode.
     headers : list of tuple, optional
         Further header fields.
     """
@@ -169,14 +169,15 @@
 
 
 class EventLog:
-    """JSON lines for the checker of the tests; each line has ``at_s``.
+    """Log of JSON lines for the checker; each line has a time ``at_s``.
 
-    Each line is one system call, so that a killed process leaves whole lines.
+    Each line is written by one system call, so that a killed process leaves
+    only complete lines.
 
     Parameters
     ----------
     path : str or None
-        File to append to; None or an empty path drops the lines.
+        File to append to; None or an empty path discards the lines.
     """
 
     def __init__(self, path: str | None) -> None:
@@ -190,16 +191,16 @@
 
 
 class Control(Generic[ControlT]):
-    """The control document of a stand-in and its HTTP endpoint.
+    """Control document of a stand-in and its HTTP endpoint.
 
     Parameters
     ----------
     document : BorderModel
-        Document at start; `current` holds the present one.
+        Initial document; `current` is the document in force.
     log : EventLog
-        Gets a line for each change.
+        Log that gets a line for each change.
     stats : callable
-        Returns the body of ``GET /stats``.
+        Function that returns the body of ``GET /stats``.
     """
 
     def __init__(
@@ -217,7 +218,7 @@
         self._listeners.append(listener)
 
     def add_route(self, method: str, path: str, handler: Callable[[Any], Any]) -> None:
-        """Serve one more path; `handler` maps the JSON body to the answer."""
+        """Serve an additional path; `handler` maps the JSON body to the response."""
         self._extra_routes[(method, path)] = handler
 
     def answer(self, environ: dict[str, Any]) -> Answer:
@@ -254,7 +255,7 @@
 
 
 class BodyLostError(ValueError):
-    """The connection ended within the body of a request."""
+    """Connection that ended before the body of a request was complete."""
 
 
 def read_json(environ: dict[str, Any]) -> Any:
@@ -263,9 +264,9 @@
     Raises
     ------
     BodyLostError
-        If the connection ended within it.
+        If the connection ended before the body was complete.
     ValueError
-        If it is no JSON.
+        If the body is not valid JSON.
     """
     try:
         body = environ["wsgi.input"].read()
@@ -275,10 +276,10 @@
 
 
 def json_server(listen: str, answer: Callable[[dict[str, Any]], Answer]) -> WSGIServer:
-    """Start an HTTP server whose answers are JSON.
+    """Start an HTTP server with JSON responses.
 
     `answer` may raise ConnectionResetError (with its errno) to close the
-    connection without an answer.
+    connection without a response.
     """
 
     def application(environ: dict[str, Any], start_response: Any) -> list[bytes]:
@@ -301,7 +302,8 @@
     )
     server.stop_timeout = 0
     server.start()
-    # Accepted sockets inherit it.  The server sends head and body apart; without
-    # it the body waits for the client's delayed acknowledgement, about 40 ms.
+    # Accepted sockets inherit the option.  The server sends head and body in two
+    # writes; without TCP_NODELAY the body waits about 40 ms for the delayed
+    # acknowledgement of the client.
     server.socket.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
     return server
--- a/standins/demo.py
+++ b/standins/demo.py
@@ -1,8 +1,8 @@
-"""Demonstration: one shape under load while instances and targets change.
+"""Demonstration of one shape under load while instances and targets change.
 
 ``python -m standins.demo --shape=harada`` starts all processes, replaces an
 instance as planned, drains a target, changes a record, kills an instance, and
-prints one screen.  The counts come from the logs of targets and callers.  The
+prints a summary.  The counts come from the logs of targets and callers.  The
 exit status is 1 if a promise was broken.
 """
 
@@ -27,7 +27,7 @@
 
 CALLER_PROCESSES = 3
 IN_FORCE_LIMIT_S = 5.0
-"""Time in which an accepted configuration has to be in force everywhere."""
+"""Time in which an accepted configuration must be in force on all instances."""
 _LOAD_SHARE = 0.6
 _WORK_MS = 60.0
 _THINK_MS = 60.0
@@ -41,14 +41,14 @@
 
 
 def _flows_per_caller(service: ServicePlan) -> int:
-    """Return how many flows keep the service at about the wanted load."""
+    """Return the number of flows per caller for the intended load."""
     slots = sum(target.slots for target in service.targets)
     busy_share = _WORK_MS / (_WORK_MS + _THINK_MS)
     return max(1, round(_LOAD_SHARE * slots / busy_share / CALLER_PROCESSES))
 
 
 def start_callers(running: Cluster, run_s: float = _LOAD_MAX_S) -> list[ChildProcess]:
-    """Start caller processes that use every service, for ``run_s`` at most."""
+    """Start caller processes that use all services for at most ``run_s``."""
     callers = []
     for number in range(1, CALLER_PROCESSES + 1):
         name = f"caller-{number}"
@@ -80,14 +80,14 @@
 
 
 def _trace_path(running: Cluster, name: str) -> str | None:
-    """Return the file for a caller's part of the time line, if logs are kept."""
+    """Return the trace file of a caller for the time line, if logs are kept."""
     if not running.settings.folder:
         return None
     return str(running.launcher.log_path("traces", name))
 
 
 def stop_callers(callers: list[ChildProcess]) -> None:
-    """Let callers end what is under way, and wait for them."""
+    """Stop callers after their requests in progress, and wait for their exit."""
     for process in callers:
         process.signal(signal.SIGTERM)
     for process in callers:
@@ -95,7 +95,7 @@
 
 
 def _busiest_instance(running: Cluster) -> str:
-    """Return the instance with most flows, whose loss matters most."""
+    """Return the instance with the most flows, whose loss affects the most callers."""
     flows = {name: one.status()["flows"] for name, one in running.instances.items()}
     return max(flows, key=lambda name: flows[name])
 
@@ -115,7 +115,7 @@
 def _change_and_wait(
     running: Cluster, scenario: Scenario, what: str, write: Callable[[], dict[str, Any]]
 ) -> None:
-    """Write a record and measure how long until it is in force everywhere."""
+    """Write a record and measure the time until it is in force on all instances."""
     written_s = time.monotonic()
     written = write()
     wait_in_force(running, written["name"], written["version"])
@@ -162,14 +162,14 @@
 
 
 def _run_scenario(running: Cluster, scenario: Scenario) -> None:
-    """Change the installation while callers use it."""
+    """Change the installation under load."""
     callers = start_callers(running)
     for process in callers:
         process.wait_ready()
     logs = running.launcher.logs("callers")
     wait_until(lambda: all(log.stat().st_size for log in logs), "first requests")
     scenario.print_step(f"{len(callers)} callers send requests")
-    # The following pauses give the load time between two changes.
+    # Load runs between the changes.
     time.sleep(_STEADY_S)
     _replace_instance(running, scenario)
     _drain_target(running, scenario)
@@ -204,7 +204,7 @@
     seed : int
         Seed of load and fabric.
     folder : str
-        Where logs go; empty: a temporary directory.
+        Folder for logs; empty for a temporary directory.
 
     Returns
     -------
@@ -212,7 +212,7 @@
         Counts and broken promises.
     """
     scenario = Scenario(time.monotonic())
-    # Whoever keeps the logs wants the time line, which needs the requests.
+    # The time line needs the requests in the logs, which have level debug.
     logged = {"log": {"level": "debug"}} if folder else {}
     settings = ClusterSettings(
         shape, folder=folder, seed=seed, instance_settings=logged
@@ -230,7 +230,7 @@
 
 
 def main(shape: str = "harada", seed: int = 1, folder: str = "") -> None:
-    """Run the demonstration; exit status 1 if a promise was broken.
+    """Run the demonstration; the exit status is 1 if a promise was broken.
 
     Parameters
     ----------
@@ -239,7 +239,7 @@
     seed : int
         Seed of load and fabric.
     folder : str
-        Where logs go, with all that the time line needs; empty: a temporary
+        Folder for logs, including those for the time line; empty for a temporary
         directory.
     """
     chosen = choose_shape(shape)
--- a/standins/endpoint.py
+++ b/standins/endpoint.py
@@ -1,4 +1,4 @@
-"""Calls of HTTP endpoints that take and give JSON."""
+"""Calls of HTTP endpoints with JSON bodies."""
 
 import http.client
 import json
@@ -13,12 +13,12 @@
 
 
 class EndpointError(Exception):
-    """An endpoint refused a call; the message holds its answer."""
+    """Call that an endpoint refused; the message contains the response."""
 
 
 @dataclass(frozen=True)
 class Reply:
-    """Answer to a call; ``body`` is None if it is no JSON."""
+    """Response to a call; ``body`` is None if it is not valid JSON."""
 
     status: int
     body: Any
@@ -30,7 +30,7 @@
     Raises
     ------
     OSError, http.client.HTTPException
-        If no answer came.
+        If no response was received.
     """
     connection = http.client.HTTPConnection(*parse_address(address), timeout=_TIMEOUT_S)
     try:
@@ -47,7 +47,7 @@
 
 
 def call_ok(address: str, method: str, path: str, body: Any = None) -> Any:
-    """Make one call and return the body of its answer.
+    """Make one call and return the body of the response.
 
     Raises
     ------
--- a/standins/evidence.py
+++ b/standins/evidence.py
@@ -1,4 +1,4 @@
-"""What the logs of callers, targets and platform say, as data classes."""
+"""Data classes with the contents of the logs of callers, targets and platform."""
 
 from collections import defaultdict
 from collections.abc import Iterable, Iterator
@@ -15,15 +15,17 @@
 
 @dataclass
 class Request:
-    """One request of a caller.
+    """Request of a caller.
 
     Attributes
     ----------
     end : str
-        ``"answer"``, ``"status"`` (another status than 200), ``"not_run"``,
-        ``"unknown"``, ``"gave_up"``, or empty if the caller's log has no end.
+        ``"answer"``, ``"status"`` (a status other than 200), ``"not_run"``,
+        ``"unknown"``, ``"gave_up"``, or empty if the log of the caller contains no
+        end of the request.
     verdict : str
-        ``"whole"``, ``"torn"`` or ``"crossed"`` if the end is an answer.
+        ``"whole"``, ``"torn"`` (corrupt) or ``"crossed"`` (answer to another
+        request) if the end is an answer.
     """
 
     echo: str
@@ -38,24 +40,24 @@
 
     @property
     def is_answered(self) -> bool:
-        """Whether an answer of a target came back."""
+        """Whether the caller received an answer of a target."""
         return self.end in _ANSWER_ENDS
 
 
 @dataclass
 class Stream:
-    """One event stream of a caller.
+    """Event stream of a caller.
 
     Attributes
     ----------
     events, wrong : int
-        Events that came, and those that were torn, doubled or out of order.
+        Received events, and those that were corrupt, duplicate or out of order.
     by_caller : bool
-        Whether the caller ended it.
+        Whether the caller ended the stream.
     error : str
-        Why it ended, if the caller did not end it.
+        Cause of the end, if the caller did not end the stream.
     longest_gap_s : tuple of float
-        Begin and end of the longest time without an event.
+        Start and end of the longest time without an event.
     """
 
     echo: str
@@ -72,7 +74,7 @@
 
 @dataclass
 class Run:
-    """Work that a target started."""
+    """Run of a request or stream on a target."""
 
     echo: str
     key: str
@@ -86,7 +88,7 @@
 
 @dataclass(frozen=True)
 class LeavingPeriod:
-    """A target that leaves, from the write that said so."""
+    """Period in which a target leaves, from the write that announced it."""
 
     service: str
     target: str
@@ -96,7 +98,7 @@
 
 @dataclass
 class Evidence:
-    """All of it."""
+    """Contents of all logs."""
 
     requests: dict[str, Request] = field(default_factory=dict)
     streams: list[Stream] = field(default_factory=list)
@@ -109,7 +111,7 @@
     writes: list[dict[str, Any]] = field(default_factory=list)
 
     def runs_by_echo(self) -> dict[str, list[Run]]:
-        """Return the runs of requests, streams left out, by ``echo``."""
+        """Return the runs of requests, without streams, by ``echo``."""
         found: dict[str, list[Run]] = defaultdict(list)
         for run in self.runs:
             if run.echo and not run.is_stream:
@@ -120,7 +122,7 @@
 def read_evidence(
     callers: Iterable[Path], targets: Iterable[Path], platform: Iterable[Path]
 ) -> Evidence:
-    """Read logs.
+    """Read the logs of one run.
 
     Parameters
     ----------
@@ -226,7 +228,7 @@
 def _find_leaving_periods(
     service: str, versions: list[dict[str, Any]]
 ) -> Iterator[LeavingPeriod]:
-    """Yield the spans in which a target was draining or gone from its record."""
+    """Yield periods in which a target was draining or absent from its record."""
     names: dict[str, str] = {}
     serving: set[str] = set()
     left_s: dict[str, float] = {}
@@ -242,9 +244,9 @@
 
 
 def _find_serving_targets(write: dict[str, Any], names: dict[str, str]) -> set[str]:
-    """Return the targets that may get work; ``names`` keeps names by address.
+    """Return the targets that may get work; ``names`` maps addresses to names.
 
-    Schema 1 calls a target by its address, and so does what is converted from it.
+    Schema 1 identifies a target by its address, as do records converted from it.
     """
     if write["type"] == "delete":
         return set()
--- a/standins/fabric.py
+++ b/standins/fabric.py
@@ -1,11 +1,11 @@
-"""Stand-in for the fabric that sprays caller datagrams over the instances.
+"""Stand-in for the fabric, which sprays caller datagrams over the instances.
 
 Run it with ``python -m standins.fabric --settings FILE`` or with flags of the
 same names as the fields of `FabricSettings`.  Callers send to one of the
-``callers`` addresses.  Each datagram goes to a random instance with the six-byte
-prefix (IPv4 address and port of the caller, big endian); a prefixed datagram
-that comes to the ``instances`` address goes to the caller from the address that
-the caller last used.
+``callers`` addresses.  Each datagram is sent to a random instance with a six-byte
+prefix (IPv4 address and port of the caller, big endian).  A prefixed datagram
+received at the ``instances`` address is sent to the caller from the address to
+which the caller sent last.
 """
 
 import collections
@@ -48,7 +48,7 @@
 
 
 def _udp_socket(listen: str) -> socket.socket:
-    # The plain class costs less per datagram than the patched one.
+    # The original socket class costs less per datagram than the patched one.
     plain_socket = monkey.get_original("socket", "socket")
     sock: socket.socket = plain_socket(socket.AF_INET, socket.SOCK_DGRAM)
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, _BUFFER_BYTES)
@@ -59,7 +59,7 @@
 
 
 class Fabric:
-    """Sprays datagrams of callers over instances and hands back the answers.
+    """Sprays datagrams of callers over instances and returns the answers.
 
     Parameters
     ----------
@@ -85,7 +85,7 @@
         self._update_targets()
 
     def start(self) -> None:
-        """Start the tasks."""
+        """Start the tasks of the fabric."""
         for sock in self.caller_sockets:
             gevent.spawn(self._receive, sock, self._from_caller)
         gevent.spawn(self._receive, self.instance_socket, self._from_instance)
@@ -99,7 +99,7 @@
         handle: Callable[[socket.socket, bytes, Address], None],
     ) -> None:
         while True:
-            # Waiting also after a full batch lets the other tasks have a turn.
+            # Waiting even after a full batch lets other tasks run.
             wait_read(sock.fileno())
             for _ in range(_BATCH_DATAGRAMS):
                 try:
@@ -147,7 +147,7 @@
         datagram: bytes,
         address: Address,
     ) -> None:
-        """Send the datagram once, twice, later or not at all."""
+        """Send a datagram with loss, duplication and delay as configured."""
         if faults.has_no_effect():
             self._send(sock, datagram, address)
             return
@@ -178,7 +178,7 @@
             sock.sendto(datagram, address)
             self._counts["sent"] += 1
         except OSError:
-            # A full buffer or a vanished address loses the datagram.
+            # The datagram is lost if the buffer is full or the address is gone.
             self._counts["send_failed"] += 1
 
     def _poll(self, platform: str) -> None:
@@ -205,7 +205,7 @@
         return self._polled_instances if fixed is None else fixed
 
     def _update_targets(self) -> None:
-        """Work out targets and cut addresses from the list and the control."""
+        """Compute targets and cut addresses from instance list and control document."""
         control = self.control.current
         known = self._instances()
         cut = {
@@ -248,9 +248,9 @@
     settings : str, optional
         Path of a settings file with the fields of `FabricSettings`.
     **flags
-        Fields that override the file.
+        Fields that override those of the file.
     """
-    # urllib3 waits on plain sockets; with these two patches it waits in the loop.
+    # urllib3 blocks on sockets; the patches make it wait in the event loop.
     monkey.patch_socket()
     monkey.patch_select()
     loaded = load_settings(FabricSettings, settings, flags)
--- a/standins/faultproxy.py
+++ b/standins/faultproxy.py
@@ -2,10 +2,10 @@
 
 Run it with ``python -m standins.faultproxy --settings FILE`` or with flags of
 the same names as the fields of `ProxySettings`.  The source of a connection is
-known by its client address; the connection to the target leaves from the same
-address.  ``PUT /control`` replaces the rules, which apply at once to existing
-connections too; ``PUT /control/routes`` takes a list of routes to add or change
-and answers the addresses of all routes.
+identified by its client address; the connection to the target uses the same
+source address.  ``PUT /control`` replaces the rules, which apply immediately,
+also to existing connections; ``PUT /control/routes`` takes a list of routes to
+add or change and returns the addresses of all routes.
 """
 
 import itertools
@@ -42,7 +42,7 @@
 
 
 class FaultProxy:
-    """All routes, their connections, and the rules.
+    """Proxy with its routes, connections and rules.
 
     Parameters
     ----------
@@ -76,7 +76,7 @@
         return self.addresses()
 
     def _put_route(self, route: Route) -> None:
-        """Add a route, or change where an existing one forwards new connections."""
+        """Add a route, or change the target of an existing one for new connections."""
         self._routes[route.name] = route
         if route.name not in self._servers:
             server = StreamServer(
@@ -138,7 +138,7 @@
     settings : str, optional
         Path of a settings file with the fields of `ProxySettings`.
     **flags
-        Fields that override the file.
+        Fields that override those of the file.
     """
     loaded = load_settings(ProxySettings, settings, flags)
     proxy = FaultProxy(loaded)
--- a/standins/faults.py
+++ b/standins/faults.py
@@ -1,4 +1,4 @@
-"""The harness's side of the fault proxy: routes, zone cuts and rules."""
+"""Client of the fault proxy for the harness: routes, zone cuts and rules."""
 
 from typing import Any
 
@@ -6,21 +6,22 @@
 from standins.process import ChildProcess
 from standins.shapes import Shape
 
-__all__ = ["PLATFORM_ZONE", "FaultsHandle"]
+__all__ = ["PLATFORM_ZONE", "FaultProxyHandle"]
 
 PLATFORM_ZONE = "platform"
-"""Zone of the routes that lead to the platform."""
+"""Zone of the routes to the platform."""
 
 
-class FaultsHandle:
-    """Calls of a running fault proxy.
+class FaultProxyHandle:
+    """Client of a running fault proxy.
 
     Parameters
     ----------
     process : ChildProcess
-        The proxy, ready.
+        Process of the proxy, which is ready.
     shape : Shape
-        Its instances are the sources of connections, known by their address.
+        Shape whose instances are the sources of connections, identified by their
+        addresses.
     """
 
     def __init__(self, process: ChildProcess, shape: Shape) -> None:
@@ -35,9 +36,10 @@
         call_ok(self._address, "PUT", "/control", {"sources": sources})
 
     def add_route(self, name: str, zone: str, forward: str) -> str:
-        """Lead a link through the proxy; returns the address to use for it.
+        """Add a route through the proxy; returns its listening address.
 
-        A name that exists keeps its address and leads to ``forward`` from now on.
+        An existing route keeps its address and forwards new connections to
+        ``forward``.
         """
         route = {"name": name, "zone": zone, "forward": forward}
         routes = call_ok(self._address, "PUT", "/control/routes", [route])
@@ -49,7 +51,7 @@
         self._put_rules()
 
     def cut_zone(self, zone: str, platform: bool, action: str) -> None:
-        """Cut the links between a zone and all others, both ways."""
+        """Cut the links between a zone and all others in both directions."""
         others = [other for other in self._zones if other != zone]
         if platform:
             others.append(PLATFORM_ZONE)
@@ -61,7 +63,7 @@
         self._put_rules()
 
     def heal(self) -> None:
-        """Take back all rules."""
+        """Remove all rules."""
         self._rules = []
         self._put_rules()
 
--- a/standins/imbalance.py
+++ b/standins/imbalance.py
@@ -1,4 +1,4 @@
-"""Imbalance of a service's targets, from the logs of callers and targets."""
+"""Load imbalance of the targets of a service, from callers' and targets' logs."""
 
 import statistics
 from collections import defaultdict
@@ -14,14 +14,14 @@
 
 @dataclass(frozen=True)
 class Imbalance:
-    """Peak over mean of requests in progress plus waiting, per slot.
+    """Ratio of peak to mean of requests in progress and waiting per slot.
 
     Attributes
     ----------
     median, maximum : float
-        Over the windows in which there was work; 1 is even, 0 means no window.
+        Over the windows with work; 1 means balanced, 0 means no such window.
     windows : int
-        Windows with work.
+        Number of windows with work.
     """
 
     median: float
@@ -32,15 +32,15 @@
 def measure_imbalance(evidence: Evidence, slots: Mapping[str, int]) -> Imbalance:
     """Measure the imbalance of one service.
 
-    A request counts from its sending to its end, for the target that ran it;
-    thus it includes the wait for a slot, wherever that took place.
+    A request counts from sending to its end for the target that ran it, which
+    includes the wait for a slot at any place.
 
     Parameters
     ----------
     evidence : Evidence
-        What the logs say.
+        Contents of the logs.
     slots : mapping of str to int
-        Slots of each target of the service that served all the time.
+        Slots of each target of the service that served during the whole run.
     """
     busy_s: dict[int, dict[str, float]] = defaultdict(lambda: defaultdict(float))
     for echo, runs in evidence.runs_by_echo().items():
--- a/standins/in_force.py
+++ b/standins/in_force.py
@@ -1,9 +1,9 @@
-"""Measures how long accepted changes take until they are in force everywhere.
+"""Measures the time until accepted changes are in force on all instances.
 
 ``python -m standins.in_force --shape=harada --seed=1`` starts all processes of a
-shape, changes records without a fault and under several, and prints one JSON line
-for each case.  The times come from the logs of platform and instances.  The exit
-status is 1 if an instance showed a version below one that it had shown before.
+shape, changes records without faults and under several faults, and prints one
+JSON line for each case.  The times come from the logs of platform and instances.
+The exit status is 1 if the version of a record decreased in an instance.
 """
 
 import json
@@ -28,7 +28,7 @@
 
 
 class InForceTimes:
-    """When versions were accepted and put in force, from the logs.
+    """Times at which versions were accepted and came into force, from the logs.
 
     Parameters
     ----------
@@ -54,7 +54,7 @@
                 self._applied.setdefault(key, []).append(applied)
 
     def took_s(self, change: Change) -> float:
-        """Return how long a change took until the last instance had it."""
+        """Return the time until the last instance applied a change."""
         since_s = change.since_s or self._accepted[change.version]
         last_s = max(self._first_applied_s(name, change) for name in change.names)
         return max(0.0, last_s - since_s)
@@ -67,23 +67,23 @@
 def measure_case(
     running: Cluster, case: Case, seed: int, changes: int = 0
 ) -> dict[str, Any]:
-    """Make the changes of one case.
+    """Make the changes of one case and measure them.
 
     Parameters
     ----------
     running : Cluster
-        The installation.
+        Running installation.
     case : Case
-        The fault.
+        Fault case.
     seed : int
-        Seed of what is drawn.
+        Seed of random choices.
     changes : int
-        How many changes; 0 for as many as the case says.
+        Number of changes; 0 for the number of the case.
 
     Returns
     -------
     dict
-        Times in seconds, and versions that went back.
+        Times in seconds, and decreases of versions.
     """
     run = CaseRun(running, random.Random(f"{seed}:{case.name}"))
     wait_agreed(running)
@@ -92,7 +92,7 @@
         case.fault_context(run),
     ):
         for _ in range(changes or case.changes):
-            if case.wait_agreement:
+            if case.requires_ready_peers:
                 wait_agreed(running)
             time.sleep(run.draw_s((0.0, PAUSE_MAX_S)))
             case.make_change(run)
@@ -132,11 +132,11 @@
     shape : str
         ``harada``, ``leave-desk`` or ``small``.
     seed : int
-        Seed of what is drawn.
+        Seed of random choices.
     cases : str
-        Names of cases, separated by commas; empty for all.
+        Names of cases separated by commas; empty for all.
     changes : int
-        Changes of each case; 0 for as many as the case says.
+        Number of changes of each case; 0 for the number of the case.
     """
     reverted = False
     for case in choose_cases(cases, CASES):
--- a/standins/jsonlines.py
+++ b/standins/jsonlines.py
@@ -9,12 +9,12 @@
 
 
 def read_lines(path: str | Path) -> Iterator[dict[str, Any]]:
-    """Yield the objects of a log; a torn last line is left out."""
+    """Yield the objects of a log; skips an incomplete last line."""
     if not Path(path).exists():
         return
     with open(path, encoding="utf-8") as lines:
         for line in lines:
             if not line.endswith("\n"):
-                # What is written meanwhile would come as a line of its own.
+                # Reading on would return the rest of the line as a separate line.
                 return
             yield json.loads(line)
--- a/standins/load.py
+++ b/standins/load.py
@@ -1,11 +1,11 @@
-"""Caller process: opens flows, sends requests and logs how each ended.
+"""Caller process that opens flows, sends requests and logs their results.
 
 Run it with ``python -m standins.load --settings FILE``.  It ends at SIGTERM or
-after ``run_s``, in both cases once the requests under way have ended.
+after ``run_s``, in both cases after the requests in progress have ended.
 
 Events of its log are ``open``, ``sent``, ``ended``, ``stream_sent`` and
-``stream_ended``.  ``echo`` names a request; the target's log carries it as well.
-With ``trace_path``, the caller library writes its own log for the time line there.
+``stream_ended``.  ``echo`` identifies a request, also in the log of the target.
+If ``trace_path`` is set, the caller library writes its log for the time line there.
 """
 
 import json
@@ -50,29 +50,30 @@
 
 
 class Workload(BorderModel):
-    """Flows of one kind.
+    """Flows with the same load.
 
     Attributes
     ----------
     service : str
-        Service that they are opened to.
+        Service to which the flows are opened.
     flows : int
-        How many are held at once.
+        Number of concurrent flows.
     work_ms, think_ms : float
         Mean duration of a request at the target and of the pause after it, both
-        distributed exponentially; 0 for none.
+        exponentially distributed; 0 for none.
     answer_bytes : int
         Size of answers.
     idempotent_share : float
         Share of idempotent requests.
     deadline_s : float
-        How long each request waits.
+        Deadline of each request.
     requests_per_flow : int
-        After that many a flow is closed and another opened; 0: never.
+        Number of requests after which a flow is replaced by a new one; 0 for
+        unlimited.
     stream_interval_ms : float
-        Above 0, each flow also holds an event stream with that interval.
+        Interval of an event stream that each flow also holds; 0 for none.
     stream_events : int
-        Length of the stream; it is read until the load ends.
+        Number of events of the stream, which is read until the load ends.
     """
 
     service: str
@@ -95,17 +96,17 @@
     name : str
         Name of the caller.
     fabric_address : str
-        Address that it sends to.
+        Address of the fabric.
     log_path : str or None
-        File for its events.
+        Log file of this program.
     trace_path : str or None
-        File for the events of the caller library; None for none.
+        Log file of the caller library; None for no log.
     workloads : list of Workload
-        What it sends.
+        Workloads to run concurrently.
     seed : int
         Seed of the load.
     run_s : float
-        When it ends by itself, in seconds.
+        Time after which the program ends.
     """
 
     name: str
@@ -119,7 +120,7 @@
 
 @dataclass(frozen=True)
 class _PlannedRequest:
-    """One request that is to be sent."""
+    """Request to be sent."""
 
     echo: str
     idempotent: bool
@@ -127,7 +128,7 @@
 
 
 class _FlowLoad:
-    """Requests of one flow after another."""
+    """Sends requests on one flow after another."""
 
     def __init__(
         self, name: str, workload: Workload, caller: Caller, log: EventLog, seed: str
@@ -180,7 +181,7 @@
         streams.join()
 
     def _request(self, flow: Flow, echo: str) -> float:
-        """Send one request; returns how long to pause after it."""
+        """Send one request; returns the pause after it in seconds."""
         work = self._draw_request(echo)
         fields = {
             "service": flow.service,
@@ -263,7 +264,7 @@
 
 
 def _describe(result: Result[Answer, RequestError], echo: str) -> dict[str, Any]:
-    """Return how a request ended, as fields of the log."""
+    """Return the result of a request as log fields."""
     match result:
         case Success(answer) if answer.status == _OK:
             return {"end": "answer", "verdict": verify_answer(answer.body, echo)}
@@ -282,7 +283,7 @@
 
 @contextmanager
 def _trace(settings: LoadSettings) -> Iterator[None]:
-    """Let the caller library write its log, if the settings name a file for it."""
+    """Enable the log of the caller library if the settings contain its path."""
     if settings.trace_path is None:
         yield
         return
@@ -292,7 +293,7 @@
 
 @contextmanager
 def _stop_event(run_s: float) -> Iterator[Event]:
-    """Yield an event that SIGTERM, SIGINT or the end of ``run_s`` sets."""
+    """Yield an event that is set by SIGTERM, SIGINT or after ``run_s``."""
     stopped = Event()
     handlers = [
         gevent.signal_handler(number, stopped.set)
@@ -308,7 +309,7 @@
 
 
 def main(settings: str) -> None:
-    """Run the load of a settings file.
+    """Run the load described by a settings file.
 
     Parameters
     ----------
--- a/standins/nodes.py
+++ b/standins/nodes.py
@@ -1,4 +1,4 @@
-"""Running members of an installation: instances and targets."""
+"""Handles of the running instances and targets of an installation."""
 
 from dataclasses import dataclass
 from pathlib import Path
@@ -14,7 +14,7 @@
 
 @dataclass(frozen=True)
 class Instance:
-    """One running instance; addresses as others reach it."""
+    """Running instance; ``listed`` has the addresses at which others reach it."""
 
     plan: InstancePlan
     process: ChildProcess
@@ -28,21 +28,21 @@
 
     @property
     def is_ready(self) -> bool:
-        """Whether it says that it is ready."""
+        """Whether the instance reports that it is ready."""
         try:
             return call(self.http_address, "GET", "/readyz").status == 200
         except OSError:
             return False
 
     def status(self) -> dict[str, Any]:
-        """Return what it shows of itself to operators."""
+        """Return the status that the instance reports to operators."""
         status: dict[str, Any] = call_ok(self.http_address, "GET", "/status")
         return status
 
 
 @dataclass(frozen=True)
 class Target:
-    """One running target; ``address`` as instances reach it."""
+    """Running target; ``address`` is where instances reach it."""
 
     plan: TargetPlan
     process: ChildProcess
@@ -50,16 +50,16 @@
     log: Path
 
     def control(self, **change: Any) -> None:
-        """Switch faults; see `standins.target_state.Control`."""
+        """Change the faults of the target; see `standins.target_state.Control`."""
         call_ok(self.process.ready["address"], "PUT", "/control", change)
 
     def load(self) -> dict[str, Any]:
-        """Return what it reports as its load."""
+        """Return the load that the target reports."""
         load: dict[str, Any] = call_ok(self.process.ready["address"], "GET", "/load")
         return load
 
     def record_entry(self) -> dict[str, Any]:
-        """Return its entry in the record of its service."""
+        """Return the entry of the target in the record of its service."""
         return {
             "name": self.plan.name,
             "zone": self.plan.zone,
--- a/standins/payload.py
+++ b/standins/payload.py
@@ -1,4 +1,4 @@
-"""Answers that a reader can verify: each carries a digest over itself."""
+"""Answers and events with digests, so that a reader can verify them."""
 
 import hashlib
 import json
@@ -19,12 +19,12 @@
 
 
 def make_answer(echo: str, size_bytes: int, **fields: Any) -> bytes:
-    """Return an answer: a JSON line with ``echo`` and digest, then filler.
+    """Return an answer: a JSON line with ``echo`` and digest, followed by filler.
 
     Parameters
     ----------
     echo : str
-        What the request asked to be sent back.
+        Identifier of the request, which the answer repeats.
     size_bytes : int
         Size of the filler.
     **fields : object
@@ -39,7 +39,8 @@
 def verify_answer(body: bytes, echo: str) -> str:
     """Return ``"whole"``, ``"torn"`` or ``"crossed"``.
 
-    ``"crossed"`` means that it answers another request than ``echo``.
+    ``"torn"`` means that the answer is corrupt, ``"crossed"`` that it is the answer
+    to a request other than ``echo``.
     """
     line, _, filler = body.partition(b"\n")
     try:
@@ -53,14 +54,14 @@
 
 
 def make_event(echo: str, number: int) -> bytes:
-    """Return the event of this number of a stream, with its ``id:`` line."""
+    """Return an event of a stream with its ``id:`` line."""
     data = {"echo": echo, "number": number}
     data["digest"] = _digest(echo, str(number).encode())
     return f"id: {number}\ndata: {json.dumps(data)}\n\n".encode()
 
 
 def verify_event(data: str, echo: str, number: int) -> bool:
-    """Say whether ``data`` is what event ``number`` of stream ``echo`` carries."""
+    """Return whether ``data`` is the data of event ``number`` of stream ``echo``."""
     try:
         event = json.loads(data)
     except ValueError:
--- a/standins/platform.py
+++ b/standins/platform.py
@@ -1,9 +1,9 @@
-"""Stand-in for the platform: object API, instance list and their faults.
+"""Stand-in for the platform: object API, instance list and injected faults.
 
 Run it with ``python -m standins.platform --settings FILE`` or with flags of the
-same names as the fields of `PlatformSettings`.  The API listens on ``listen``,
+same names as the fields of `PlatformSettings`.  The API listens on ``listen`` and
 the control endpoint on ``control_listen``, so that faults of the API do not
-touch the control.
+affect the control endpoint.
 """
 
 import collections
@@ -43,26 +43,27 @@
 
 
 class InstanceDirectory:
-    """The instance list, shown as it was some time ago."""
+    """History of the instance list, which is served with a lag."""
 
     def __init__(self) -> None:
         self._lists: list[tuple[float, list[dict[str, Any]]]] = []
 
     def set(self, instances: list[dict[str, Any]], now_s: float) -> None:
-        """Set what the owner of the machines knows from now on."""
-        # The first list counts as known for ever, so that a fleet starts at once.
+        """Set the current instance list."""
+        # The first list is valid for all earlier times, so that a fleet can start
+        # despite the lag.
         since_s = now_s if self._lists else float("-inf")
         self._lists.append((since_s, instances))
 
     def list_at(self, lag_s: float, now_s: float) -> list[dict[str, Any]]:
-        """Return the list as it was `lag_s` ago."""
+        """Return the instance list as it was `lag_s` before `now_s`."""
         at_s = now_s - lag_s
         known = [listed for since_s, listed in self._lists if since_s <= at_s]
         return known[-1] if known else []
 
 
 class Platform:
-    """The object API over a store, with rate limits and faults.
+    """Object API on top of a store, with rate limits and faults.
 
     Parameters
     ----------
@@ -104,14 +105,14 @@
             current = conflict.current
             return Answer(409, {"current": current.to_json() if current else None})
         except BodyLostError as error:
-            # Whoever called has ended, or lost its connection, within the call.
+            # The caller ended or lost its connection during the call.
             self.log.append("body_lost", source=source, error=str(error))
             return Answer(400, {"error": f"The body ended early: {error}."})
         except (ValueError, KeyError) as error:
             return Answer(400, {"error": f"Malformed call: {error!r}."})
 
     def _unavailable(self) -> bool:
-        """Apply an outage: wait, drop the connection, or say True for a 503."""
+        """Apply an outage: wait, drop the connection, or return True for a 503."""
         while self.control.current.outage == "hang":
             self._held_calls += 1
             self.control.changed.wait()
@@ -134,7 +135,7 @@
         return admitted
 
     def _route(self, method: str, environ: dict[str, Any], source: str) -> Answer:
-        # WSGI hands over the bytes of the path as Latin-1.
+        # WSGI passes the bytes of the path decoded as Latin-1.
         path = environ["PATH_INFO"].encode("latin-1").decode()
         query = dict(urllib.parse.parse_qsl(environ.get("QUERY_STRING", "")))
         match method, *path.strip("/").split("/", 3):
@@ -184,7 +185,7 @@
         return Answer(200, stored.to_json())
 
     def _log_write(self, what: str, stored: StoredObject, source: str) -> None:
-        """Log a write that took effect; drop the connection if the control says."""
+        """Log a write that took effect; drops the connection if its answer is lost."""
         self._store.trim_history(self.control.current.history_limit)
         lost = self._loses_answer(stored.kind)
         body = stored.body if isinstance(stored.body, dict) else {}
@@ -270,7 +271,7 @@
     settings : str, optional
         Path of a settings file with the fields of `PlatformSettings`.
     **flags
-        Fields that override the file.
+        Fields that override those of the file.
     """
     loaded = load_settings(PlatformSettings, settings, flags)
     platform = Platform(loaded)
--- a/standins/platformcontrol.py
+++ b/standins/platformcontrol.py
@@ -1,4 +1,4 @@
-"""The harness's side of the platform stand-in: records, lists and outages."""
+"""Client of the platform stand-in for the harness."""
 
 import uuid
 from collections.abc import Callable
@@ -17,7 +17,7 @@
 
 @dataclass(frozen=True)
 class ListedInstance:
-    """Entry of the platform's list of instances."""
+    """Entry of the instance list of the platform."""
 
     name: str
     zone: str
@@ -27,12 +27,12 @@
 
 
 class PlatformHandle:
-    """Calls of a running platform stand-in.
+    """Client of a running platform stand-in.
 
     Parameters
     ----------
     process : ChildProcess
-        The stand-in, ready.
+        Process of the stand-in, which is ready.
     """
 
     def __init__(self, process: ChildProcess) -> None:
@@ -48,7 +48,7 @@
         return document
 
     def stats(self) -> dict[str, Any]:
-        """Return calls counted for each source."""
+        """Return the counts of calls by source."""
         stats: dict[str, Any] = call_ok(self.control_address, "GET", "/stats")
         return stats
 
@@ -58,7 +58,7 @@
         call_ok(self.control_address, "PUT", "/control/instances", body)
 
     def get(self, kind: str, name: str) -> dict[str, Any] | None:
-        """Return an object, or None if there is none."""
+        """Return an object, or None if it does not exist."""
         reply = call(self.api, "GET", f"/v1/objects/{kind}/{name}")
         return None if reply.status == _NOT_FOUND else reply.body
 
@@ -82,14 +82,14 @@
     def change_record(
         self, service: str, change: Callable[[dict[str, Any]], Any]
     ) -> dict[str, Any]:
-        """Let ``change`` edit the body of a service's record and write it.
+        """Apply ``change`` to the body of a service's record and write the record.
 
-        A lost race is run again on the newer record.
+        A write that conflicts with another is retried with the newer record.
         """
         for _ in range(_WRITE_ATTEMPTS):
             current = self.get("service", service)
             if current is None:
-                raise LookupError(f"no record of {service}; write one first")
+                raise LookupError(f"service {service} has no record; write one first")
             body = current["body"]
             change(body)
             body["write_id"] = str(uuid.uuid4())
@@ -98,4 +98,7 @@
             if reply.status != _CONFLICT:
                 written: dict[str, Any] = reply.body
                 return written
-        raise RuntimeError(f"lost {_WRITE_ATTEMPTS} races for {service}")
+        raise RuntimeError(
+            f"record of {service} conflicted with other writes "
+            f"in {_WRITE_ATTEMPTS} attempts"
+        )
--- a/standins/process.py
+++ b/standins/process.py
@@ -1,4 +1,4 @@
-"""Real processes that print one ready line, and the side that starts them."""
+"""Starting and running of processes that report readiness in one line."""
 
 import json
 import os
@@ -28,7 +28,7 @@
 
 
 class ProcessNotReadyError(Exception):
-    """A process ended or stayed silent; read its error output for the cause."""
+    """Process that ended or printed no ready line; see its error output."""
 
 
 def run_until_stopped(ready: dict[str, Any], max_life_s: float) -> None:
@@ -42,7 +42,7 @@
 
 @contextmanager
 def exit_on_signal() -> Iterator[None]:
-    """Let SIGTERM raise, so that the clean-up ends all processes."""
+    """Make SIGTERM raise SystemExit, so that clean-up ends all processes."""
 
     def exit_process(_number: int, _frame: Any) -> None:
         sys.exit("ended by a signal")
@@ -62,31 +62,31 @@
     Raises
     ------
     TimeoutError
-        If it is not true in time; names ``what``.
+        If it is not true in time; the message contains ``what``.
     """
     end_s = time.monotonic() + timeout_s
     while not (value := condition()):
         if time.monotonic() > end_s:
-            raise TimeoutError(f"waited {timeout_s} s for: {what}")
+            raise TimeoutError(f"timed out after {timeout_s} s waiting for {what}")
         time.sleep(_POLL_INTERVAL_S)
     return value
 
 
 class ChildProcess:
-    """Process that prints one JSON line when it listens.
+    """Child process that prints one JSON line when it listens.
 
     Parameters
     ----------
     name : str
-        Name for messages.
+        Name of the process in messages.
     module : str
         Module that ``python -m`` runs.
     arguments : list of str
-        Command line.
+        Command-line arguments.
     error_path : str
-        File that takes its standard error.
+        File for its standard error output.
     code_folder : str
-        Checkout whose code it runs; empty: that of this process.
+        Checkout whose code it runs; empty for that of this process.
     """
 
     def __init__(
@@ -106,7 +106,7 @@
                 stdin=subprocess.DEVNULL,
                 stdout=subprocess.PIPE,
                 stderr=errors,
-                # The current folder comes first where Python looks for modules.
+                # Python searches the current folder for modules first.
                 cwd=code_folder or None,
             )
         self._lines: queue.Queue[bytes] = queue.Queue()
@@ -119,7 +119,7 @@
 
     @property
     def running(self) -> bool:
-        """Whether it has not ended."""
+        """Whether the process is still running."""
         return self._process.poll() is None
 
     def _read(self) -> None:
@@ -143,14 +143,14 @@
             line = b""
         if not line:
             raise ProcessNotReadyError(
-                f"{self.name} printed no ready line. Read {self.error_path}:\n"
+                f"{self.name} printed no ready line; see {self.error_path}:\n"
                 f"{self.error_tail()}"
             )
         self.ready = json.loads(line)
         return self.ready
 
     def error_tail(self, size_bytes: int = 4000) -> str:
-        """Return the last part of its standard error."""
+        """Return the end of its standard error output."""
         with open(self.error_path, "rb") as errors:
             errors.seek(0, os.SEEK_END)
             errors.seek(max(0, errors.tell() - size_bytes))
@@ -162,14 +162,16 @@
             self._process.send_signal(number)
 
     def wait(self, timeout_s: float) -> int:
-        """Wait for its end; returns the exit status, or raises `TimeoutError`."""
+        """Wait until it ends; returns the exit status or raises `TimeoutError`."""
         try:
             return self._process.wait(timeout_s)
         except subprocess.TimeoutExpired as error:
-            raise TimeoutError(f"{self.name} still runs after {timeout_s} s") from error
+            raise TimeoutError(
+                f"{self.name} is still running after {timeout_s} s"
+            ) from error
 
     def terminate(self, timeout_s: float) -> int:
-        """Ask it to end, kill it after ``timeout_s``; returns the exit status."""
+        """Send SIGTERM, kill after ``timeout_s``; returns the exit status."""
         self.signal(signal.SIGCONT)
         self.signal(signal.SIGTERM)
         try:
@@ -178,6 +180,6 @@
             return self.kill()
 
     def kill(self) -> int:
-        """End it at once; returns the exit status."""
+        """Kill the process; returns the exit status."""
         self.signal(signal.SIGKILL)
         return self._process.wait()
--- a/standins/run_tests.py
+++ b/standins/run_tests.py
@@ -1,9 +1,9 @@
-"""Runs all tests and documentation examples in a few parallel processes.
+"""Runs all tests and documentation examples in parallel processes.
 
-Each test module runs in a process of its own.  Tests named in ``KNOWN-RED.txt``
-run as well, but their failures are printed without being counted.  The last
-line of the output is ``N passed, N failed``; the exit status is 0 only if some
-test ran and none failed.
+Each test module runs in a separate process.  Tests listed in ``KNOWN-RED.txt``
+also run, but their failures are printed without being counted.  The last
+line of the output is ``N passed, N failed``; the exit status is 0 only if at
+least one test ran and none failed.
 """
 
 import json
@@ -25,7 +25,7 @@
 ROOT = Path(__file__).parent.parent
 PLATFORM = ROOT / "platform"
 PACKAGES = (ROOT / "endivepick", ROOT / "standins", PLATFORM / "adapter")
-"""Packages with tests; their modules are named from the folder that holds them."""
+"""Packages with tests; module names start at the parent folder of a package."""
 JOBS = 4
 TIMEOUT_S = 900.0
 _END_TIMEOUT_S = 30.0
@@ -34,16 +34,16 @@
 
 @dataclass(frozen=True)
 class ModuleResult:
-    """What came of one test module, or of the examples of one module.
+    """Result of one test module, or of the examples of one module.
 
     Attributes
     ----------
     unit : str
         Name of the module.
     outcome : Outcome or None
-        None if the process ended without a result.
+        Counts of the module; None if the process ended without a result.
     output : str
-        All that it printed.
+        Output of the process.
     """
 
     unit: str
@@ -53,7 +53,7 @@
 
 @dataclass(frozen=True)
 class Verdict:
-    """Counts over all modules, and what to print."""
+    """Counts of all modules and the output to print."""
 
     passed: int
     failed: list[str]
@@ -70,7 +70,7 @@
 
 
 def find_units(words: Iterable[str] = ()) -> list[str]:
-    """Return the names of all units whose name holds one of the words."""
+    """Return the names of all units whose name contains one of the words."""
     units = []
     for package in PACKAGES:
         sources = sorted(package.rglob("*.py"))
@@ -91,7 +91,7 @@
 
 
 def read_known_red(path: Path) -> dict[str, str]:
-    """Return the lines of ``KNOWN-RED.txt`` by test id; empty without a file."""
+    """Return the lines of ``KNOWN-RED.txt`` by test id; empty if there is no file."""
     if not path.exists():
         return {}
     lines = [line.strip() for line in path.read_text().splitlines()]
@@ -121,7 +121,7 @@
 
 
 def _wait(process: subprocess.Popen[bytes]) -> str:
-    """Wait for a test process; returns a remark if it had to be ended."""
+    """Wait for a test process; returns a note for the output if it timed out."""
     try:
         process.wait(TIMEOUT_S)
     except subprocess.TimeoutExpired:
@@ -136,7 +136,7 @@
 
 
 def judge(results: Iterable[ModuleResult], known_red: dict[str, str]) -> Verdict:
-    """Count passes and failures; known failures are listed, not counted."""
+    """Count passes and failures; known failures are listed but not counted."""
     verdict = Verdict(0, [], [], [])
     passed = 0
     for result in results:
@@ -164,14 +164,14 @@
 
 
 def main(*words: str, jobs: int = JOBS) -> None:
-    """Run the tests and exit with status 1 on a failure or if none ran.
+    """Run the tests; the exit status is 1 if a test failed or none ran.
 
     Parameters
     ----------
     *words : str
-        Run only modules whose name holds one of these.
+        Run only modules whose name contains one of these words.
     jobs : int
-        Modules that run at once.
+        Number of modules that run in parallel.
     """
     known_red = read_known_red(ROOT / "KNOWN-RED.txt")
     with ThreadPoolExecutor(jobs) as pool:
--- a/standins/run_unit.py
+++ b/standins/run_unit.py
@@ -1,4 +1,4 @@
-"""Runs one test module, or the examples of one module, and writes the counts."""
+"""Runs one test module, or the examples of one module, and writes its counts."""
 
 import doctest
 import importlib
@@ -13,20 +13,20 @@
 __all__ = ["EXAMPLES_PREFIX", "Outcome", "load", "run"]
 
 EXAMPLES_PREFIX = "examples:"
-"""Marks units whose documentation examples are run."""
+"""Prefix of units whose documentation examples are run."""
 
 
 @dataclass(frozen=True)
 class Outcome:
-    """Counts of one unit.
+    """Test results of one unit.
 
     Attributes
     ----------
     passed : int
-        Tests that passed.
+        Number of tests that passed.
     failed : list of str
-        Ids of the others; skipped tests and expected failures are among them,
-        since the project has neither.
+        Ids of all other tests; skipped tests and expected failures count as
+        failed, since the project has neither.
     """
 
     passed: int
@@ -42,7 +42,7 @@
 
 
 def run(suite: unittest.TestSuite) -> Outcome:
-    """Run tests, printing failures whole."""
+    """Run tests and print failures in full."""
     result = unittest.TextTestRunner(verbosity=1, stream=sys.stdout).run(suite)
     reported = [
         *result.failures,
@@ -56,12 +56,12 @@
 
 
 def _id_of(test: Any) -> str:
-    """Return the id of a test; a subtest has that of its test."""
+    """Return the id of a test; a subtest has the id of its test."""
     return str(getattr(test, "test_case", test).id())
 
 
 def _exit(_number: int, _frame: Any) -> None:
-    # An exception lets the clean-up of the test end the processes it started.
+    # The exception runs the clean-up of the test, which ends its processes.
     sys.exit("ended by a signal")
 
 
--- a/standins/shapes.py
+++ b/standins/shapes.py
@@ -1,9 +1,9 @@
-"""Shapes of installations: zones, entry instances, services and targets.
+"""Shapes of installations: zones, instances, services and targets.
 
-Addresses follow one plan on the loopback network: instance ``i`` of zone ``k``
+Addresses are assigned on the loopback network: instance ``i`` of zone ``k``
 is ``127.k.0.i``, target ``j`` of zone ``k`` is ``127.k.1.j``, all other
-stand-ins are ``127.0.0.1``.  Installations that run side by side use further
-blocks of addresses, see `standins.addressblock`.
+stand-ins are ``127.0.0.1``.  Installations that run in parallel use further
+blocks of addresses; see `standins.addressblock`.
 """
 
 from collections import Counter
@@ -26,7 +26,7 @@
 
 @dataclass(frozen=True)
 class InstancePlan:
-    """One entry instance."""
+    """Name, zone and address of an instance."""
 
     name: str
     zone: str
@@ -35,7 +35,7 @@
 
 @dataclass(frozen=True)
 class TargetPlan:
-    """One backend server."""
+    """Name, zone, address and capacity of a backend server."""
 
     service: str
     name: str
@@ -47,7 +47,7 @@
 
 @dataclass(frozen=True)
 class ServicePlan:
-    """One service with its backend servers; ``affinity`` as in its record."""
+    """Service with its backend servers; ``affinity`` as in its record."""
 
     name: str
     affinity: str
@@ -56,7 +56,7 @@
 
 @dataclass(frozen=True)
 class Shape:
-    """One installation.
+    """Shape of an installation.
 
     Attributes
     ----------
@@ -65,13 +65,13 @@
     zones : tuple of str
         Availability zones; the first has number 1 in addresses.
     instances : tuple of InstancePlan
-        Entry instances.
+        Instances.
     services : tuple of ServicePlan
         Services.
     zone_delay_ms : float
-        One way between zones.
+        One-way delay between zones.
     caller_delay_ms : float
-        One way between callers and instances.
+        One-way delay between callers and instances.
     """
 
     name: str
@@ -82,7 +82,7 @@
     caller_delay_ms: float
 
     def in_block(self, block: int) -> "Shape":
-        """Return the shape with its addresses in a block of addresses."""
+        """Return the shape with its addresses moved to another block."""
         return replace(
             self,
             instances=tuple(_move_to_block(plan, block) for plan in self.instances),
--- a/standins/streamprogress.py
+++ b/standins/streamprogress.py
@@ -1,4 +1,4 @@
-"""Checks an event stream while it is read."""
+"""Verification of an event stream while it is read."""
 
 from standins.payload import verify_event
 
@@ -6,21 +6,21 @@
 
 
 class StreamProgress:
-    """Checks that events come whole, in order, each once, and without stalls.
+    """Checks that events are complete, in order and unique, and measures gaps.
 
     Parameters
     ----------
     echo : str
-        What each event has to carry.
+        Identifier of the stream, which each event contains.
     now_s : float
-        Time at which the stream was asked for.
+        Time at which the stream was requested.
 
     Attributes
     ----------
     events, wrong : int
-        Events that came, and those that were torn, doubled or out of order.
+        Received events, and those that were corrupt, duplicate or out of order.
     longest_gap_s : tuple of float
-        Begin and end of the longest time without an event.
+        Start and end of the longest time without an event.
     """
 
     def __init__(self, echo: str, now_s: float) -> None:
@@ -31,7 +31,7 @@
         self._last_s = now_s
 
     def record_event(self, event_id: str, data: str, now_s: float) -> None:
-        """Take the next event."""
+        """Record and check the next event."""
         self.events += 1
         in_order = event_id == str(self.events)
         if not in_order or not verify_event(data, self._echo, self.events):
@@ -39,7 +39,7 @@
         self.record_gap(now_s)
 
     def record_gap(self, now_s: float) -> None:
-        """Remember the time since the last event if no other was longer."""
+        """Record the time since the last event if it is the longest gap."""
         from_s, until_s = self.longest_gap_s
         if now_s - self._last_s > until_s - from_s:
             self.longest_gap_s = (self._last_s, now_s)
--- a/standins/summary.py
+++ b/standins/summary.py
@@ -1,4 +1,4 @@
-"""What the demonstration did and found, on one screen."""
+"""Steps and results of a demonstration and their summary."""
 
 import time
 from dataclasses import dataclass, field
@@ -13,18 +13,18 @@
 
 @dataclass
 class Scenario:
-    """What was done.
+    """Steps and results of a demonstration.
 
     Attributes
     ----------
     started_s : float
-        Monotonic time of the begin.
-    disturbances : list of Disturbance
+        Monotonic time of the start.
+    unplanned_failures : list of UnplannedFailure
         Unplanned failures.
     violations : list of Violation
-        Broken promises that no log shows.
+        Broken promises that the logs do not show.
     in_force_s : list of float
-        How long each change took until it was in force everywhere.
+        Time until each change was in force on all instances.
     drained : str
         Target that was drained.
     """
@@ -36,7 +36,7 @@
     drained: str = ""
 
     def print_step(self, step: str) -> None:
-        """Print a step with the time since the begin."""
+        """Print a step with the time since the start."""
         print(f"{time.monotonic() - self.started_s:5.1f} s  {step}", flush=True)
 
 
@@ -50,7 +50,7 @@
 def print_summary(
     shape: Shape, scenario: Scenario, evidence: Evidence, report: Report
 ) -> None:
-    """Print the counts of a demonstration on one screen."""
+    """Print the counts of a demonstration."""
     counts = report.counts
     broken = {promise: len(report.broken(promise)) for promise in Promise}
     rows = [
--- a/standins/target.py
+++ b/standins/target.py
@@ -1,4 +1,4 @@
-"""Backend server stand-in: HTTP/1.1 with slots, streams and faults on request.
+"""Backend server stand-in: HTTP/1.1 with slots, streams and configurable faults.
 
 Paths are ``POST /work``, ``GET /events``, ``GET /health``, ``GET /load``,
 ``DELETE /requests/<key>`` and ``PUT /control``.
@@ -42,7 +42,7 @@
 
 
 class _Handler(WSGIHandler):
-    """Handler that shows its socket to the application."""
+    """Handler that passes its socket to the application."""
 
     def get_environ(self) -> Environ:
         environ = super().get_environ()
@@ -52,7 +52,7 @@
 
 @contextmanager
 def _cancel_when_closed(run: Run, connection: socket.socket) -> Iterator[None]:
-    """Cancel the run as soon as the other side closes the connection."""
+    """Cancel the run when the peer closes the connection."""
 
     def watch() -> None:
         gevent.socket.wait_read(connection.fileno())
@@ -71,7 +71,7 @@
 
 
 class TargetServer:
-    """HTTP side of one target.
+    """HTTP server of one target.
 
     Parameters
     ----------
@@ -145,7 +145,7 @@
         except (ValueError, msgspec.DecodeError) as error:
             return reply(start_response, 400, {"error": str(error)})
         except OSError as error:
-            # Whoever asked has ended, or lost its connection, within the request.
+            # The sender ended or lost its connection during the request.
             self.state.log("body_lost", error=str(error), **run.log_fields())
             return reply(start_response, 400, {"error": str(error)})
         run.echo = request.echo
@@ -257,7 +257,7 @@
 
 
 def main(**settings: Any) -> None:
-    """Run a target until a signal or the end of its life.
+    """Run a target until a signal or the end of its maximum lifetime.
 
     Parameters
     ----------
@@ -266,7 +266,7 @@
     """
     target = TargetServer(TargetSettings(**settings))
     target.server.start()
-    # As in standins.control.json_server: no wait between head and body.
+    # Avoids a delay between head and body, as in standins.control.json_server.
     target.server.socket.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
     ready = {
         "ready": True,
--- a/standins/target_state.py
+++ b/standins/target_state.py
@@ -1,4 +1,4 @@
-"""What a backend server stand-in does with requests, without its HTTP side."""
+"""Request handling of a backend server stand-in, independent of HTTP."""
 
 import time
 from collections import deque
@@ -25,21 +25,21 @@
     Attributes
     ----------
     service, target, zone : str
-        What it serves, its name and its zone.
+        Service of the target, its name and its zone.
     listen : str
-        ``host:port``; port 0 takes a free one.
+        ``host:port``; with port 0 the system chooses a free port.
     slots : int
-        Requests that it runs at once.
+        Number of concurrent requests.
     connections : int
-        Connections that it holds at once, streams included.
+        Number of concurrent connections, including streams.
     queue : int
-        Requests that wait for a slot; more are shed.
+        Number of requests that may wait for a slot; further ones are shed.
     log : str
-        File of what it ran.
+        Log file of the runs.
     incarnation : int
-        0 draws a random one.
+        Incarnation of the target; 0 draws a random one.
     max_life_s : float
-        Time after which it ends by itself.
+        Time after which the program ends.
     """
 
     service: str
@@ -63,29 +63,29 @@
 
 
 class Control(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """Faults that ``PUT /control`` switches on.
+    """Faults that ``PUT /control`` enables.
 
     Attributes
     ----------
     drain : bool
-        Report ``draining``; work that still comes is run and logged.
+        Report ``draining``; further work is still run and logged.
     shed : bool
-        Shed all work.
+        Refuse all work as overload.
     stuck : bool
-        Take work, never answer, report idle.
+        Accept work, never answer it, and report no load.
     lie_health : str or None
-        State to report; ``"error"`` answers 500.
+        False state to report; ``"error"`` answers 500.
     lie_load : dict or None
-        Fields of ``/load`` to report in place of the true ones.
+        Fields of ``/load`` to report instead of the true ones.
     load_lag_ms : float
-        Age of what ``/load`` reports.
+        Age of the values that ``/load`` reports.
     cold_s : float
         Seconds after the start during which work takes ``cold_factor`` times as
         long.
     cold_factor : float
         See ``cold_s``.
     close_after_run : bool
-        Run the work, then break the connection without an answer.
+        Run the work, then close the connection without an answer.
     answer_delay_ms : float
         Time between the end of the run and the answer.
     """
@@ -103,30 +103,30 @@
 
 
 class End(msgspec.Struct, frozen=True):
-    """How work ended: event name of the log."""
+    """Result of work, as the event name in the log."""
 
     event: str
 
     @property
     def ran(self) -> bool:
-        """Whether any of it ran."""
+        """Whether the work was started."""
         return self.event in ("end", "cancelled")
 
 
 @dataclass
 class Run:
-    """A request or stream that the target holds."""
+    """Request or stream that the target handles."""
 
     key: str
     idempotent: bool
     service: str
     incarnation: str = ""
-    """Of the target that the request is meant for; empty if it names none."""
+    """Incarnation of the intended target; empty if the request contains none."""
     echo: str = ""
     cancelled: gevent.event.Event = field(default_factory=gevent.event.Event)
 
     def log_fields(self) -> dict[str, Any]:
-        """Return the fields by which the log names it."""
+        """Return the fields that identify the run in the log."""
         return {
             "key": self.key,
             "idempotent": self.idempotent,
@@ -154,7 +154,7 @@
         self._record_load()
 
     def log(self, event: str, **fields: Any) -> None:
-        """Append a line to the log, with the identity of this target."""
+        """Append a line with the identity of this target to the log."""
         self._log.append(
             event,
             service=self.settings.service,
@@ -164,7 +164,7 @@
         )
 
     def update_control(self, change: dict[str, Any]) -> Control:
-        """Merge ``change`` into the control; raises `msgspec.ValidationError`."""
+        """Merge ``change`` into the faults; raises `msgspec.ValidationError`."""
         merged = {**msgspec.structs.asdict(self.control), **change}
         self.control = msgspec.convert(merged, Control)
         self.log("control", change=change)
@@ -173,25 +173,25 @@
         return self.control
 
     def register_run(self, run: Run) -> None:
-        """Make a run known to ``cancel``."""
+        """Register a run, so that ``cancel`` finds it."""
         self._runs.setdefault(run.key, []).append(run)
 
     def unregister_run(self, run: Run) -> None:
-        """Forget a run."""
+        """Remove a registered run."""
         held = self._runs[run.key]
         held.remove(run)
         if not held:
             del self._runs[run.key]
 
     def cancel(self, key: str) -> bool:
-        """Cancel all runs of a key; returns whether there were any."""
+        """Cancel all runs with a key; returns whether there were any."""
         runs = self._runs.get(key, [])
         for run in runs:
             run.cancelled.set()
         return bool(runs)
 
     def health(self) -> dict[str, Any]:
-        """Return what ``/health`` reports."""
+        """Return the body of ``/health``."""
         state = "draining" if self.control.drain else "ready"
         return {
             "service": self.settings.service,
@@ -201,7 +201,7 @@
         }
 
     def load(self, connections: int) -> dict[str, Any]:
-        """Return what ``/load`` reports."""
+        """Return the body of ``/load``."""
         lag_s = self.control.load_lag_ms / 1000
         in_progress, waiting = self._load_at(time.monotonic() - lag_s)
         if self.control.stuck:
@@ -221,11 +221,11 @@
         Parameters
         ----------
         run : Run
-            Held by the caller of this method.
+            Run that is registered while this method is active.
         request : WorkRequest
-            What to do.
+            Work to do.
         deadline_s : float
-            Monotonic time after which it must not start.
+            Monotonic time after which the work must not start.
         """
         end = self._acquire_slot(run, deadline_s)
         if end is None:
--- a/standins/tests/programs.py
+++ b/standins/tests/programs.py
@@ -11,7 +11,7 @@
 
 
 class ProgramTestCase(unittest.TestCase):
-    """Starts one stand-in for each test and talks to its control endpoint."""
+    """Starts one stand-in for each test and calls its control endpoint."""
 
     part = ""
 
@@ -40,5 +40,5 @@
         return [line for line in read_lines(self.log) if line["event"] == event]
 
     def errors(self):
-        """Return what the program wrote to its error output."""
+        """Return the error output of the program."""
         return self._errors.read_text()
--- a/standins/tests/test_checker.py
+++ b/standins/tests/test_checker.py
@@ -9,7 +9,7 @@
 
 
 class LogFolder:
-    """Logs as the stand-ins write them."""
+    """Logs in the format of the stand-ins."""
 
     def __init__(self, folder):
         self.folder = Path(folder)
--- a/standins/tests/test_fabric.py
+++ b/standins/tests/test_fabric.py
@@ -39,7 +39,7 @@
         control = {"instances": fixed, **settings.pop("control", {})}
         self.start(control=control, **settings)
         self.vips = [parse_address(a) for a in self.addresses["callers"]]
-        self.inside = parse_address(self.addresses["instances"])
+        self.instances_address = parse_address(self.addresses["instances"])
 
     def send(self, count=COUNT):
         for number in range(count):
@@ -54,7 +54,7 @@
         prefix = socket.inet_aton(host) + struct.pack("!H", port)
         for number in numbers:
             datagram = prefix + struct.pack("!I", number)
-            self.instances[name].sendto(datagram, self.inside)
+            self.instances[name].sendto(datagram, self.instances_address)
 
     def counts(self):
         return collections.Counter(self.stats()["counts"])
@@ -102,7 +102,8 @@
         )
         self.send(1)
         self.answer("a1", range(COUNT))
-        # Each answer is sent, once more if duplicated, or lost; one went inside.
+        # Each answer is sent, sent twice if duplicated, or lost; in addition, one
+        # datagram was sent to an instance.
         wait_until(
             lambda: (
                 (c := self.counts())["sent"] + c["lost"] - c["duplicated"] == COUNT + 1
--- a/standins/tests/test_faultproxy.py
+++ b/standins/tests/test_faultproxy.py
@@ -58,7 +58,7 @@
             self.assertEqual(self.read(receiver, 5), b"hello")
 
     def read(self, sock, size_bytes):
-        """Read that many bytes, or fewer if the stream ends before."""
+        """Read ``size_bytes`` bytes, or fewer if the stream ends earlier."""
         got = bytearray()
         while len(got) < size_bytes and (data := sock.recv(size_bytes - len(got))):
             got += data
@@ -78,7 +78,7 @@
         )
 
     def assert_nothing_arrives(self, sock):
-        # The proxy answers its control only after its other tasks had a turn.
+        # The proxy handles this call only after its other tasks have run.
         self.stats()
         sock.setblocking(False)
         with self.assertRaises(BlockingIOError):
@@ -166,11 +166,11 @@
         self.assertEqual(self.read(self.enterContext(target), 5), b"early")
 
     def test_cut_ends_a_connection_in_a_blackhole(self):
-        hole = {"action": {"type": "blackhole"}}
-        self.rules(hole)
+        blackhole = {"action": {"type": "blackhole"}}
+        self.rules(blackhole)
         source = self.connect()
         wait_until(lambda: self.stats()["connections"], "the accepted connection")
-        self.rules(hole, {"action": {"type": "cut"}})
+        self.rules(blackhole, {"action": {"type": "cut"}})
         self.assert_reset(source)
         self.wait_causes("cut")
 
@@ -180,7 +180,8 @@
         pair.source.sendall(b"late")
         self.wait_read("to_target", 4)
         self.assert_nothing_arrives(pair.target)
-        # Bytes on their way keep their time; those of new connections go at once.
+        # Bytes in transit keep their due time; the new delay applies to new
+        # connections.
         self.rules({"action": {"type": "delay", "delay_ms": 1}})
         self.assert_passes(self.pair())
         self.assert_nothing_arrives(pair.target)
@@ -236,7 +237,7 @@
 
     def test_target_that_is_down_resets(self):
         self.listener.close()
-        # The reset can be there before the connect has returned.
+        # The reset may arrive before the connect has returned.
         with self.assertRaises(ConnectionResetError):
             self.connect().recv(1)
 
--- a/standins/tests/test_in_force.py
+++ b/standins/tests/test_in_force.py
@@ -38,7 +38,7 @@
     def test_counts_from_a_heal(self):
         times = InForceTimes(WRITES, [applied("a", 5, 12.0)])
         self.assertAlmostEqual(times.took_s(Change("notes", 5, ("a",), 11.5)), 0.5)
-        # In force before the heal.
+        # The version was in force before the links were restored.
         self.assertEqual(times.took_s(Change("notes", 5, ("a",), 13.0)), 0.0)
 
 
--- a/standins/tests/test_platform.py
+++ b/standins/tests/test_platform.py
@@ -35,7 +35,7 @@
         return self.api("GET", f"/v1/watch?{query}")
 
     def in_background(self, function, *arguments):
-        """Run a call that waits; returns what gives its result."""
+        """Start a blocking call; returns a function that waits for its result."""
         results = []
 
         def run():
@@ -71,7 +71,7 @@
         self.assertEqual(self.api("GET", "/v1/objects/status")[1]["objects"], [])
 
     def test_write_that_is_cut_off_in_its_body_changes_nothing(self):
-        """Its writer was killed: that is no fault of the platform."""
+        """A writer that is killed during a write causes no error in the platform."""
         head = "PUT /v1/objects/service/a HTTP/1.1\r\nHost: p\r\nContent-Length: 100"
         address = parse_address(self.addresses["api"])
         with socket.create_connection(address, TIMEOUT_S) as connection:
@@ -187,13 +187,13 @@
         self.assertEqual(counts, [1, 1, 2])
 
     def test_instance_list_lags(self):
-        def tell(listed):
+        def set_instances(listed):
             control = self.addresses["control"]
             call_ok(control, "PUT", "/control/instances", listed)
 
-        tell([INSTANCE])
+        set_instances([INSTANCE])
         self.control(instances_lag_s=3600)
-        tell([{**INSTANCE, "state": "leaving"}])
+        set_instances([{**INSTANCE, "state": "leaving"}])
         listed = self.api("GET", "/v1/instances")[1]
         self.assertEqual(listed, {"age_ms": 3_600_000, "instances": [INSTANCE]})
         self.control(instances_lag_s=0)
--- a/standins/tests/test_target.py
+++ b/standins/tests/test_target.py
@@ -75,7 +75,7 @@
         self.assertIn("Retry-After", headers)
 
     def test_a_request_that_is_cut_off_in_its_body_runs_nothing(self):
-        """Its sender was killed: that is no fault of the target."""
+        """A sender that is killed during a request causes no error in the target."""
         with socket.create_connection(self.address, timeout=60) as connection:
             lines = ["POST /work HTTP/1.1", "Host: t", "Content-Length: 100"]
             lines += [f"{name}: {value}" for name, value in self.headers.items()]
--- a/standins/tests/test_time_to_answer.py
+++ b/standins/tests/test_time_to_answer.py
@@ -17,7 +17,7 @@
     def test_stop_loses_no_request(self):
         figures = self.measure("stop")
         self.assertGreater(figures["ends"].pop("whole"), 0)
-        # The few targets of this shape refuse what they cannot take.
+        # The few targets of this shape may shed load.
         self.assertLessEqual(figures["ends"].keys(), {"not_run"})
         request, flow = figures["request_ms"], figures["longest_of_flow_ms"]
         self.assertLessEqual(request["median"], flow["median"])
--- a/standins/tests/test_upgrade.py
+++ b/standins/tests/test_upgrade.py
@@ -12,7 +12,7 @@
 
 class TestUpgrade(unittest.TestCase):
     def test_same_build_keeps_every_promise(self):
-        """All steps, with this checkout as the old build."""
+        """Runs all steps with this checkout as the old build."""
         with contextlib.redirect_stdout(io.StringIO()) as printed:
             report, faults = run_upgrade(SMALL, str(CHECKOUT))
         seen = f"{report.violations}\n{printed.getvalue()}"
--- a/standins/time_to_answer.py
+++ b/standins/time_to_answer.py
@@ -1,9 +1,9 @@
-"""Measures how long callers wait for answers, undisturbed and under disturbances.
+"""Measures the time that callers wait for answers, without and with faults.
 
 ``python -m standins.time_to_answer --shape=harada --seed=1`` prints one JSON line
-for each case: datagrams lost, doubled and delayed; the instance that holds the
-flows stopped as planned, replaced, and killed.  The times come from the callers'
-log: of each request, and the longest of each flow around a stop or kill.
+for each case: datagrams lost, duplicated and delayed; the instance that owns the
+flows stopped as planned, replaced, and killed.  The times come from the log of the
+caller: for each request, and the longest of each flow around a stop or kill.
 """
 
 import json
@@ -33,11 +33,11 @@
 THINK_MS = 100.0
 IDLE_THINK_MS = 3_600_000.0
 RUN_S = 6.0
-"""How long requests are sent under datagram faults, in seconds."""
+"""Duration of the load under datagram faults."""
 STEADY_S = 1.5
-"""Time before and after what is done to the instance, in seconds."""
+"""Time before and after the action on the instance."""
 AFTER_KILL_S = 5.0
-"""The same after a kill."""
+"""Additional time after a kill."""
 ROUNDS = 5
 _LOAD_MAX_S = 300.0
 _END_TIMEOUT_S = 60.0
@@ -63,7 +63,7 @@
 
 @dataclass(frozen=True)
 class Case:
-    """One disturbance.
+    """Fault case of a measurement.
 
     Attributes
     ----------
@@ -72,11 +72,11 @@
     answer_bytes : int
         Size of answers.
     loss, duplicate : float
-        Shares of datagrams, in both directions.
+        Probability of loss and duplication, in both directions.
     delay_ms_max : float
-        Delay of datagrams, drawn up to this, in both directions.
+        Upper bound of the random delay of datagrams, in both directions.
     disturb : callable or None
-        What is done to the instance that holds the flows, again and again.
+        Action on the instance that owns the flows, done once per round.
     """
 
     name: str
@@ -88,7 +88,7 @@
 
     @property
     def faults(self) -> dict[str, float]:
-        """Return it as the fabric's control takes it."""
+        """Faults in the format of the control document of the fabric."""
         return {
             "loss": self.loss,
             "duplicate": self.duplicate,
@@ -116,23 +116,23 @@
 def measure_case(
     running: Cluster, case: Case, rounds: int, idle_flows: int = 0
 ) -> dict[str, Any]:
-    """Send requests, disturb, and return what the callers saw.
+    """Send requests under a fault and return the times that the caller measured.
 
     Parameters
     ----------
     running : Cluster
-        The installation.
+        Running installation.
     case : Case
-        The disturbance.
+        Fault case.
     rounds : int
-        How often an instance is disturbed.
+        Number of times that an instance is stopped or killed.
     idle_flows : int
-        Flows that are held beside those that send requests.
+        Number of idle flows beside those that send requests.
 
     Returns
     -------
     dict
-        Number of requests by their end, and times in milliseconds.
+        Number of requests by result, and times in milliseconds.
     """
     before_times, during_times, longest_times = (LatencyHistogram() for _ in range(3))
     ends: Counter[str] = Counter()
@@ -162,7 +162,7 @@
 def _run_round(
     running: Cluster, case: Case, idle_flows: int
 ) -> tuple[list[Request], Window]:
-    """Disturb once under load; returns the requests and the time of it."""
+    """Apply the fault once under load; returns the requests and the fault period."""
     wait_agreed(running)
     running.control_fabric(to_instances=case.faults, to_callers=case.faults)
     before = _count_flows(running)
@@ -183,7 +183,7 @@
 
 
 def _start_missing_instances(running: Cluster) -> None:
-    """Start the instances that are missing."""
+    """Start the instances that are not running."""
     for plan in running.shape.instances:
         instance = running.instances.get(plan.name)
         if instance is None or not instance.process.running:
@@ -192,7 +192,7 @@
 
 @contextmanager
 def _run_load(running: Cluster, case: Case, idle_flows: int) -> Iterator[Path]:
-    """Send requests to the first service while the context is open."""
+    """Send requests to the first service until the context exits."""
     launcher = running.launcher
     log = launcher.log_path("callers", "timed")
     workload = {
@@ -230,7 +230,7 @@
 
 
 def _find_flow_owner(running: Cluster, before: dict[str, int]) -> str:
-    """Return the instance at which most flows were opened since."""
+    """Return the instance that owns most of the flows opened since ``before``."""
     flows = _count_flows(running)
     return max(flows, key=lambda name: flows[name] - before[name])
 
@@ -280,11 +280,11 @@
     seed : int
         Seed of load and fabric.
     cases : str
-        Names of cases, separated by commas; empty for all.
+        Names of cases separated by commas; empty for all.
     rounds : int
-        How often an instance is stopped or killed in a case.
+        Number of times that an instance is stopped or killed in a case.
     idle_flows : int
-        Flows that are held beside those that send requests.
+        Number of idle flows beside those that send requests.
     """
     settings = ClusterSettings(choose_shape(shape), seed=seed)
     with exit_on_signal(), cluster(settings) as running:
--- a/standins/upgrade.py
+++ b/standins/upgrade.py
@@ -1,9 +1,10 @@
-"""Rolling upgrade: an older build is replaced by this one under load.
+"""Rolling upgrade from an older build to this one under load.
 
 ``python -m standins.upgrade --old=FOLDER`` starts an installation whose instances,
 and one of whose callers, run the code of a checkout of an earlier commit.  Instances
 are replaced one by one.  Half way, while both builds serve, records change in both
-schemas, one instance goes back to the old build and one of the old build is killed.
+schemas, one instance is rolled back to the old build and one of the old build is
+killed.
 The checker then reads only the logs of callers, targets and platform.  The exit
 status is 1 if a promise was broken.
 """
@@ -39,7 +40,7 @@
 
 
 class _Upgrade:
-    """An installation on its way from one build to another."""
+    """Rolling upgrade of a running installation."""
 
     def __init__(self, running: Cluster, old: str) -> None:
         self.running = running
@@ -48,7 +49,7 @@
         self.names = [plan.name for plan in running.shape.instances]
 
     def replace(self, name: str, build: str) -> None:
-        """Replace an instance as planned by one of a build; empty: this one."""
+        """Replace an instance as planned by one of a build; empty for this build."""
         status = self.running.stop_instance(name)
         if status != 0:
             detail = f"{name} ended its planned stop with status {status}"
@@ -67,7 +68,7 @@
         )
 
     def change_and_wait(self, what: str, write: Callable[[], dict[str, Any]]) -> None:
-        """Change a record and wait until both builds have it in force."""
+        """Change a record and wait until it is in force in both builds."""
         written_s = time.monotonic()
         written = write()
         wait_in_force(self.running, written["name"], written["version"])
@@ -78,7 +79,7 @@
             self.scenario.violations.append(violation)
 
     def write_schema(self, service: str, schema_version: int) -> dict[str, Any]:
-        """Write the record of a service in a schema, with another time limit."""
+        """Write the record of a service in a schema, with a changed timeout."""
         stored = self.running.platform.get("service", service)
         assert stored is not None
         record = parse_service(service, stored["version"], stored["body"]).unwrap()
@@ -87,7 +88,7 @@
         return self.running.platform.put("service", service, body)
 
     def change_records(self) -> None:
-        """Let operators change records in both schemas, and drain a target."""
+        """Change records in both schemas and drain a target."""
         first, *others = self.running.shape.services
         service = others[0].name if others else first.name
         for schema_version in (1, 2):
@@ -106,11 +107,11 @@
         self.running.kill_instance(name)
         self.scenario.unplanned_failures.append(UnplannedFailure(killed_s, killed_s))
         self.scenario.print_step(f"killed {name}")
-        # Part of the experiment: the others find out under load.
+        # The other instances detect the failure under load.
         time.sleep(_AFTER_KILL_S)
 
     def run_scenario(self) -> None:
-        """Go from the old build to the new one, with a step back."""
+        """Upgrade from the old build to the new one, with one rollback."""
         middle = len(self.names) // 2
         for name in self.names[:middle]:
             self.replace(name, "")
@@ -124,7 +125,7 @@
         self.rewrite_records()
 
     def rewrite_records(self) -> None:
-        """Write all records again once only the new build serves."""
+        """Write all records again when only the new build serves."""
         for service in self.running.shape.services:
             self.change_and_wait(
                 f"wrote {service.name}",
@@ -133,7 +134,7 @@
 
 
 def _find_logged_faults(running: Cluster) -> list[str]:
-    """Return what instances and callers of either build complained of."""
+    """Return errors that instances and callers of either build reported."""
     counts: Counter[str] = Counter()
     for path in running.launcher.logs("instances"):
         for line in read_lines(path):
@@ -149,7 +150,7 @@
 
 
 def _print_peer_states(running: Cluster) -> None:
-    """Print when instances suspected peers, gave them up, or heard of them again."""
+    """Print the changes of peer states that instances logged."""
     changes = [
         line
         for path in running.launcher.logs("instances")
@@ -174,7 +175,7 @@
 def run_upgrade(
     shape: Shape, old: str, seed: int = 1, folder: str = "", old_caller: bool = True
 ) -> tuple[Report, list[str]]:
-    """Run a rolling upgrade under load and judge the logs.
+    """Run a rolling upgrade under load and check the logs.
 
     Parameters
     ----------
@@ -185,14 +186,14 @@
     seed : int
         Seed of load and fabric.
     folder : str
-        Where logs go; empty: a temporary directory.
+        Folder for logs; empty for a temporary directory.
     old_caller : bool
-        One of the callers runs the old build, too.
+        Whether one of the callers also runs the old build.
 
     Returns
     -------
     Report, list of str
-        Counts and broken promises, and what programs complained of.
+        Counts and broken promises, and errors that programs reported.
     """
     builds = {plan.name: old for plan in shape.instances}
     if old_caller:
@@ -206,7 +207,7 @@
             process.wait_ready()
         logs = running.launcher.logs("callers")
         wait_until(lambda: all(log.stat().st_size for log in logs), "first requests")
-        # Part of the experiment: load before the first change.
+        # Load runs before the first change.
         time.sleep(_STEADY_S)
         upgrade.run_scenario()
         stop_callers(callers)
@@ -222,7 +223,7 @@
     folder: str = "",
     old_caller: bool = True,
 ) -> None:
-    """Upgrade an installation; exit status 1 if a promise was broken.
+    """Upgrade an installation; the exit status is 1 if a promise was broken.
 
     Parameters
     ----------
@@ -233,10 +234,10 @@
     seed : int
         Seed of load and fabric.
     folder : str
-        Where logs go; empty: a temporary directory.
+        Folder for logs; empty for a temporary directory.
     old_caller : bool
-        One of the callers runs the old build, too; its stand-in has to understand
-        the settings of this one.
+        Whether one of the callers also runs the old build, whose stand-in has to
+        support the settings of this build.
     """
     if not (Path(old) / "endivepick").is_dir():
         sys.exit(f"{old} holds no checkout. Make one: git worktree add FOLDER COMMIT.")
--- a/standins/versions.py
+++ b/standins/versions.py
@@ -1,4 +1,4 @@
-"""Watches what instances show: versions in force, and what they know of each other."""
+"""Waiting for and watching of record versions and views reported by instances."""
 
 import http.client
 import threading
@@ -25,7 +25,7 @@
 
 @dataclass(frozen=True)
 class InstanceVersions:
-    """Versions in force in one instance, by name of the record."""
+    """Versions in force in one instance, by record name."""
 
     name: str
     incarnation: str
@@ -55,18 +55,18 @@
 def wait_in_force(
     running: Cluster, record: str, version: int, names: Collection[str] | None = None
 ) -> None:
-    """Wait until instances have at least this version of a record in force.
+    """Wait until instances have at least a version of a record in force.
 
     Parameters
     ----------
     running : Cluster
-        The installation.
+        Running installation.
     record : str
         Name of the record.
     version : int
-        The version.
+        Lowest accepted version.
     names : collection of str, optional
-        Instances to wait for; all by default.
+        Instances to wait for; by default all.
     """
     chosen = running.instances if names is None else names
     waiting = {running.instances[name].http_address for name in chosen}
@@ -96,10 +96,11 @@
 
 @dataclass
 class VersionWatch:
-    """Versions seen, and those that went back.
+    """Highest versions observed, and decreases of versions.
 
-    With ``over_restarts`` a replacement, once it is ready, may not show less than
-    the instance before it either; that holds while somebody reachable knows.
+    With ``across_restarts``, a replacement that is ready must also not report an
+    older version than the instance that it replaces.  This holds as long as a reachable
+    instance or the platform has the newer version.
     """
 
     across_restarts: bool = False
@@ -107,7 +108,7 @@
     reverted: list[str] = field(default_factory=list)
 
     def record_versions(self, versions: InstanceVersions) -> None:
-        """Compare with what this incarnation, or this instance, showed before."""
+        """Compare with the versions reported earlier by the incarnation or instance."""
         if self.across_restarts and versions.starting:
             return
         observer_key = versions.name if self.across_restarts else versions.incarnation
@@ -125,7 +126,7 @@
 def watch_versions(
     running: Cluster, across_restarts: bool = False
 ) -> Iterator[VersionWatch]:
-    """Read the versions of all instances again and again in a thread."""
+    """Poll the versions of all instances in a thread."""
     watch = VersionWatch(across_restarts=across_restarts)
     stopped = threading.Event()
 
--- a/standins/wsgi.py
+++ b/standins/wsgi.py
@@ -1,4 +1,4 @@
-"""Reading and answering of WSGI requests."""
+"""Helpers for WSGI requests and responses."""
 
 import json
 from collections.abc import Callable, Iterable
@@ -25,7 +25,7 @@
     503: "503 Service Unavailable",
     504: "504 Gateway Timeout",
 }
-"""Status lines by status."""
+"""Status lines by status code."""
 
 Environ = dict[str, Any]
 StartResponse = Callable[[str, list[tuple[str, str]]], Any]
@@ -46,7 +46,7 @@
     value: dict[str, Any],
     headers: Iterable[tuple[str, str]] = (),
 ) -> Body:
-    """Answer with a JSON body."""
+    """Send a response with a JSON body."""
     body = json.dumps(value).encode()
     common = [("Content-Type", "application/json"), ("Content-Length", str(len(body)))]
     start_response(STATUS_LINES[status], common + list(headers))
