--- a/standins/__init__.py
+++ b/standins/__init__.py
@@ -1,1 +1,1 @@
-"""Small stand-ins for the platform, fabric, backend servers and callers."""
+"""Stand-ins for the platform, fabric, backend servers and callers; their harness."""
--- a/standins/_inforcecases.py
+++ b/standins/_inforcecases.py
@@ -14,7 +14,7 @@
 from standins.cluster import Cluster
 from standins.versions import wait_in_force
 
-__all__ = ["CASES", "Case", "Change", "CaseRun"]
+__all__ = ["CASES", "Case", "CaseRun", "Change"]
 
 PAUSE_MAX_S = 0.5
 """Upper bound of the random pause between two changes."""
--- a/standins/checker.py
+++ b/standins/checker.py
@@ -10,7 +10,7 @@
 
 from standins.evidence import Evidence, Request, Run, Stream
 
-__all__ = ["UnplannedFailure", "Promise", "Report", "Violation", "check"]
+__all__ = ["Promise", "Report", "UnplannedFailure", "Violation", "check"]
 
 LEAVING_GRACE_S = 3.0
 """Time after which a leaving target must not get new work."""
@@ -166,7 +166,7 @@
             detail = f"{request.echo} got a {request.verdict} answer"
             yield Violation(Promise.WHOLE, detail)
         elif request.end == "answer" and not by_echo.get(request.echo):
-            detail = f"{request.echo} got an answer but ran nowhere"
+            detail = f"{request.echo} got an answer but ran on no target"
             yield Violation(Promise.WHOLE, detail)
     for stream in evidence.streams:
         if stream.wrong:
@@ -199,7 +199,7 @@
             yield Violation(Promise.FLOWS, f"{detail} ({stream.error})")
         stalled_s = _stalled_s(stream, unplanned_failures)
         if stalled_s > STALL_LIMIT_S:
-            detail = f"stream {stream.echo} stood still for {stalled_s:.1f} s"
+            detail = f"stream {stream.echo} stalled for {stalled_s:.1f} s"
             yield Violation(Promise.FLOWS, detail)
 
 
