--- a/standins/_proxyconnection.py
+++ b/standins/_proxyconnection.py
@@ -1,4 +1,4 @@
-"""One proxied connection and the faults that apply to it."""
+"""Proxied connection and the faults that apply to it."""
 
 import collections
 import errno
@@ -40,23 +40,23 @@
 
 @dataclass(frozen=True)
 class Chunk:
-    """Bytes on their way; an empty chunk is the end of the stream."""
+    """Bytes in transit; an empty chunk marks the end of the stream."""
 
     due_s: float
     data: bytes
 
 
 class Connection:
-    """One proxied connection: two pumps and the rules that apply to them.
+    """Proxied connection: copies both directions and applies the rules.
 
     Parameters
     ----------
     client : gevent socket
         Accepted connection of the source.
     source : Source
-        Who connected.
+        Source that connected.
     route : Route
-        Where it connected to.
+        Route that it connected to.
     """
 
     def __init__(self, client: GeventSocket, source: Source, route: Route) -> None:
@@ -74,18 +74,18 @@
         self._random = random.Random(f"{source.name}:{route.name}")
 
     def apply(self, rules: list[Rule]) -> None:
-        """Apply these rules from now on."""
+        """Replace the rules that apply to this connection."""
         self._actions = [
             rule.action for rule in rules if rule.matches(self.source, self.route)
         ]
-        self._forget_lifted_limits()
+        self._reset_lifted_limits()
         if any(isinstance(action, Cut) for action in self._actions):
             self.close("cut", reset=True)
         waiting, self._changed = self._changed, Event()
         waiting.set()
 
     def run(self) -> None:
-        """Connect to the target and pump until one side is gone."""
+        """Connect to the target and copy both directions until one side closes."""
         self._wait_while_held("to_target")
         if self.closed_by:
             return
@@ -98,15 +98,15 @@
             ("to_target", self._client, target),
             ("to_source", target, self._client),
         ]
-        for direction, giver, taker in pairs:
+        for direction, reader, writer in pairs:
             queue: Queue[Chunk] = Queue(maxsize=_QUEUE_CHUNKS)
-            self._tasks.append(gevent.spawn(self._read, direction, giver, queue))
-            self._tasks.append(gevent.spawn(self._write, direction, taker, queue))
+            self._tasks.append(gevent.spawn(self._read, direction, reader, queue))
+            self._tasks.append(gevent.spawn(self._write, direction, writer, queue))
         gevent.joinall(self._tasks)
         self.close("ended")
 
     def close(self, cause: str, reset: bool = False) -> None:
-        """Close both sides, with a reset if asked; later calls do nothing."""
+        """Close both sides, optionally with a reset; later calls do nothing."""
         if self.closed_by:
             return
         self.closed_by = cause
@@ -122,7 +122,7 @@
         sock.bind((self._client.getpeername()[0], 0))
         for each in (sock, self._client):
             each.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-        # Known at once, so that a cut closes it also while it connects.
+        # Set before connecting, so that a cut can close a socket that is connecting.
         self._target = sock
         sock.settimeout(_CONNECT_TIMEOUT_S)
         sock.connect(parse_address(self.route.forward))
@@ -130,11 +130,11 @@
         return sock
 
     def _read(
-        self, direction: Direction, giver: GeventSocket, queue: "Queue[Chunk]"
+        self, direction: Direction, reader: GeventSocket, queue: "Queue[Chunk]"
     ) -> None:
         while True:
             try:
-                data = giver.recv(_CHUNK_BYTES)
+                data = reader.recv(_CHUNK_BYTES)
             except OSError:
                 data = b""
             self.read_bytes[direction] += len(data)
@@ -149,7 +149,7 @@
         return sum(delays + repeats) / 1000
 
     def _write(
-        self, direction: Direction, taker: GeventSocket, queue: "Queue[Chunk]"
+        self, direction: Direction, writer: GeventSocket, queue: "Queue[Chunk]"
     ) -> None:
         for chunk in iter(queue.get, None):
             wait_s = chunk.due_s - time.monotonic()
@@ -157,32 +157,32 @@
                 gevent.sleep(wait_s)
             self._wait_while_held(direction)
             try:
-                if not self._deliver(direction, taker, chunk.data):
+                if not self._deliver(direction, writer, chunk.data):
                     return
             except OSError as error:
                 self.close(f"{direction}: {error}", reset=True)
                 return
 
     def _wait_while_held(self, direction: Direction) -> None:
-        while not self.closed_by and self._held(direction):
+        while not self.closed_by and self._is_held(direction):
             self._changed.wait()
 
-    def _held(self, direction: Direction) -> bool:
+    def _is_held(self, direction: Direction) -> bool:
         return any(
             isinstance(action, Blackhole) and action.holds(direction)
             for action in self._actions
         )
 
-    def _deliver(self, direction: Direction, taker: GeventSocket, data: bytes) -> bool:
-        """Hand on one chunk; returns False at the end of the stream."""
+    def _deliver(self, direction: Direction, writer: GeventSocket, data: bytes) -> bool:
+        """Forward one chunk; returns False at the end of the stream."""
         if not data:
-            taker.shutdown(socket.SHUT_WR)
+            writer.shutdown(socket.SHUT_WR)
             return False
         if direction == "to_source" and self._drops_answers():
             self.close("answer dropped")
             return False
         allowed = self._allowed_bytes(direction, len(data))
-        taker.sendall(data[:allowed])
+        writer.sendall(data[:allowed])
         self.passed_bytes[direction] += allowed
         if self._limit_reached():
             self.close("byte limit")
@@ -195,19 +195,19 @@
     def _limits(self) -> Iterator[CloseAfterBytes]:
         return (a for a in self._actions if isinstance(a, CloseAfterBytes))
 
-    def _forget_lifted_limits(self) -> None:
-        """Let a limit that is lifted and set again count from zero."""
+    def _reset_lifted_limits(self) -> None:
+        """Reset the count of lifted limits, which start at zero if set again."""
         in_force = {limit.key() for limit in self._limits()}
         for key in set(self._counted_bytes) - in_force:
             del self._counted_bytes[key]
 
     def _allowed_bytes(self, direction: Direction, size_bytes: int) -> int:
-        """Count the bytes against the limits; returns how many may pass."""
+        """Count the bytes against the limits; returns the number that may pass."""
         counting = [limit for limit in self._limits() if limit.counts(direction)]
-        rooms = [
+        remaining_bytes = [
             limit.limit_bytes - self._counted_bytes[limit.key()] for limit in counting
         ]
-        allowed = min([size_bytes, *rooms])
+        allowed = min([size_bytes, *remaining_bytes])
         for limit in counting:
             self._counted_bytes[limit.key()] += allowed
         return allowed
@@ -220,7 +220,7 @@
 
 
 def _close_socket(sock: GeventSocket, reset: bool) -> None:
-    """Close at once; a reset also throws away what was not delivered yet."""
+    """Close immediately; a reset also discards undelivered data."""
     try:
         if reset:
             sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, _RESET_ON_CLOSE)
--- a/standins/evidence.py
+++ b/standins/evidence.py
@@ -1,4 +1,4 @@
-"""What the logs of callers, targets and platform say, as data classes."""
+"""Data classes with the contents of the logs of callers, targets and platform."""
 
 from collections import defaultdict
 from collections.abc import Iterable, Iterator
@@ -8,22 +8,24 @@
 
 from standins.jsonlines import read_lines
 
-__all__ = ["Evidence", "Leaving", "Request", "Run", "Stream", "read_evidence"]
+__all__ = ["Evidence", "LeavingPeriod", "Request", "Run", "Stream", "read_evidence"]
 
 _ANSWER_ENDS = frozenset({"answer", "status"})
 
 
 @dataclass
 class Request:
-    """One request of a caller.
+    """Request of a caller.
 
     Attributes
     ----------
     end : str
-        ``"answer"``, ``"status"`` (another status than 200), ``"not_run"``,
-        ``"unknown"``, ``"gave_up"``, or empty if the caller's log has no end.
+        ``"answer"``, ``"status"`` (a status other than 200), ``"not_run"``,
+        ``"unknown"``, ``"gave_up"``, or empty if the log of the caller contains no
+        end of the request.
     verdict : str
-        ``"whole"``, ``"torn"`` or ``"crossed"`` if the end is an answer.
+        ``"whole"``, ``"torn"`` (corrupt) or ``"crossed"`` (answer to another
+        request) if the end is an answer.
     """
 
     echo: str
@@ -38,24 +40,24 @@
 
     @property
     def is_answered(self) -> bool:
-        """Whether an answer of a target came back."""
+        """Whether the caller received an answer of a target."""
         return self.end in _ANSWER_ENDS
 
 
 @dataclass
 class Stream:
-    """One event stream of a caller.
+    """Event stream of a caller.
 
     Attributes
     ----------
     events, wrong : int
-        Events that came, and those that were torn, doubled or out of order.
+        Received events, and those that were corrupt, duplicate or out of order.
     by_caller : bool
-        Whether the caller ended it.
+        Whether the caller ended the stream.
     error : str
-        Why it ended, if the caller did not end it.
+        Cause of the end, if the caller did not end the stream.
     longest_gap_s : tuple of float
-        Begin and end of the longest time without an event.
+        Start and end of the longest time without an event.
     """
 
     echo: str
@@ -72,7 +74,7 @@
 
 @dataclass
 class Run:
-    """Work that a target started."""
+    """Run of a request or stream on a target."""
 
     echo: str
     key: str
@@ -85,8 +87,8 @@
 
 
 @dataclass(frozen=True)
-class Leaving:
-    """A target that leaves, from the write that said so."""
+class LeavingPeriod:
+    """Period in which a target leaves, from the write that announced it."""
 
     service: str
     target: str
@@ -96,7 +98,7 @@
 
 @dataclass
 class Evidence:
-    """All of it."""
+    """Contents of all logs."""
 
     requests: dict[str, Request] = field(default_factory=dict)
     streams: list[Stream] = field(default_factory=list)
@@ -105,11 +107,11 @@
     shed: int = 0
     opens: int = 0
     opens_failed: int = 0
-    leaving: list[Leaving] = field(default_factory=list)
+    leaving: list[LeavingPeriod] = field(default_factory=list)
     writes: list[dict[str, Any]] = field(default_factory=list)
 
     def runs_by_echo(self) -> dict[str, list[Run]]:
-        """Return the runs of requests, streams left out, by ``echo``."""
+        """Return the runs of requests, without streams, by ``echo``."""
         found: dict[str, list[Run]] = defaultdict(list)
         for run in self.runs:
             if run.echo and not run.is_stream:
@@ -120,7 +122,7 @@
 def read_evidence(
     callers: Iterable[Path], targets: Iterable[Path], platform: Iterable[Path]
 ) -> Evidence:
-    """Read logs.
+    """Read the logs of one run.
 
     Parameters
     ----------
@@ -156,7 +158,7 @@
             case "ended":
                 _end_request(evidence.requests[line["echo"]], line)
             case "stream_ended":
-                evidence.streams.append(_stream_of(line))
+                evidence.streams.append(_make_stream(line))
 
 
 def _end_request(request: Request, line: dict[str, Any]) -> None:
@@ -166,7 +168,7 @@
     request.reason = line.get("reason", "")
 
 
-def _stream_of(line: dict[str, Any]) -> Stream:
+def _make_stream(line: dict[str, Any]) -> Stream:
     return Stream(
         echo=line["echo"],
         service=line["service"],
@@ -186,7 +188,7 @@
     for line in read_lines(path):
         match line["event"]:
             case "start" | "stream_start":
-                run = _run_of(line)
+                run = _make_run(line)
                 evidence.runs.append(run)
                 open_runs[run.key, run.is_stream].append(run)
             case "end" | "cancelled" | "stream_end":
@@ -198,11 +200,11 @@
             case "shed":
                 evidence.shed += 1
             case "control" if line["change"].get("drain"):
-                leaving = Leaving(line["service"], line["target"], line["at_s"])
+                leaving = LeavingPeriod(line["service"], line["target"], line["at_s"])
                 evidence.leaving.append(leaving)
 
 
-def _run_of(line: dict[str, Any]) -> Run:
+def _make_run(line: dict[str, Any]) -> Run:
     return Run(
         echo=line["echo"],
         key=line["key"],
@@ -220,29 +222,31 @@
     names = {line["name"] for line in writes if line["kind"] == "service"}
     for name in sorted(names):
         versions = [w for w in writes if (w["kind"], w["name"]) == ("service", name)]
-        evidence.leaving += _leaving_of(name, versions)
+        evidence.leaving += _find_leaving_periods(name, versions)
 
 
-def _leaving_of(service: str, versions: list[dict[str, Any]]) -> Iterator[Leaving]:
-    """Yield the spans in which a target was draining or gone from its record."""
+def _find_leaving_periods(
+    service: str, versions: list[dict[str, Any]]
+) -> Iterator[LeavingPeriod]:
+    """Yield periods in which a target was draining or absent from its record."""
     names: dict[str, str] = {}
     serving: set[str] = set()
     left_s: dict[str, float] = {}
     for write in versions:
-        now = _serving(write, names)
-        for target in serving - now:
+        serving_now = _find_serving_targets(write, names)
+        for target in serving - serving_now:
             left_s[target] = write["at_s"]
-        for target in now & left_s.keys():
-            yield Leaving(service, target, left_s.pop(target), write["at_s"])
-        serving = now
+        for target in serving_now & left_s.keys():
+            yield LeavingPeriod(service, target, left_s.pop(target), write["at_s"])
+        serving = serving_now
     for target, from_s in left_s.items():
-        yield Leaving(service, target, from_s)
+        yield LeavingPeriod(service, target, from_s)
 
 
-def _serving(write: dict[str, Any], names: dict[str, str]) -> set[str]:
-    """Return the targets that may get work; ``names`` keeps names by address.
+def _find_serving_targets(write: dict[str, Any], names: dict[str, str]) -> set[str]:
+    """Return the targets that may get work; ``names`` maps addresses to names.
 
-    Schema 1 calls a target by its address, and so does what is converted from it.
+    Schema 1 identifies a target by its address, as do records converted from it.
     """
     if write["type"] == "delete":
         return set()
--- a/standins/fabric.py
+++ b/standins/fabric.py
@@ -1,11 +1,11 @@
-"""Stand-in for the fabric that sprays caller datagrams over the instances.
+"""Stand-in for the fabric, which sprays caller datagrams over the instances.
 
 Run it with ``python -m standins.fabric --settings FILE`` or with flags of the
 same names as the fields of `FabricSettings`.  Callers send to one of the
-``callers`` addresses.  Each datagram goes to a random instance with the six-byte
-prefix (IPv4 address and port of the caller, big endian); a prefixed datagram
-that comes to the ``instances`` address goes to the caller from the address that
-the caller last used.
+``callers`` addresses.  Each datagram is sent to a random instance with a six-byte
+prefix (IPv4 address and port of the caller, big endian).  A prefixed datagram
+received at the ``instances`` address is sent to the caller from the address to
+which the caller sent last.
 """
 
 import collections
@@ -48,7 +48,7 @@
 
 
 def _udp_socket(listen: str) -> socket.socket:
-    # The plain class costs less per datagram than the patched one.
+    # The original socket class costs less per datagram than the patched one.
     plain_socket = monkey.get_original("socket", "socket")
     sock: socket.socket = plain_socket(socket.AF_INET, socket.SOCK_DGRAM)
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, _BUFFER_BYTES)
@@ -59,7 +59,7 @@
 
 
 class Fabric:
-    """Sprays datagrams of callers over instances and hands back the answers.
+    """Sprays datagrams of callers over instances and returns the answers.
 
     Parameters
     ----------
@@ -70,7 +70,7 @@
     def __init__(self, settings: FabricSettings) -> None:
         self.log = EventLog(settings.log_path)
         self.control = Control(settings.control, self.log, self._stats)
-        self.control.on_change(self._arrange)
+        self.control.on_change(self._update_targets)
         self.caller_sockets = [_udp_socket(listen) for listen in settings.callers]
         self.instance_socket = _udp_socket(settings.instances)
         self._settings = settings
@@ -78,14 +78,14 @@
         self._delayed = DelayQueue(self._send)
         self._counts: collections.Counter[str] = collections.Counter()
         self._per_instance: collections.Counter[Address] = collections.Counter()
-        self._last_used: dict[bytes, socket.socket] = {}
-        self._polled: list[FabricInstance] = []
+        self._last_caller_socket: dict[bytes, socket.socket] = {}
+        self._polled_instances: list[FabricInstance] = []
         self._targets: list[Address] = []
         self._cut_addresses: set[Address] = set()
-        self._arrange()
+        self._update_targets()
 
     def start(self) -> None:
-        """Start the tasks."""
+        """Start the tasks of the fabric."""
         for sock in self.caller_sockets:
             gevent.spawn(self._receive, sock, self._from_caller)
         gevent.spawn(self._receive, self.instance_socket, self._from_instance)
@@ -99,7 +99,7 @@
         handle: Callable[[socket.socket, bytes, Address], None],
     ) -> None:
         while True:
-            # Waiting also after a full batch lets the other tasks have a turn.
+            # Waiting even after a full batch lets other tasks run.
             wait_read(sock.fileno())
             for _ in range(_BATCH_DATAGRAMS):
                 try:
@@ -112,7 +112,7 @@
         self, sock: socket.socket, datagram: bytes, caller: Address
     ) -> None:
         prefix = _PREFIX.pack(socket.inet_aton(caller[0]), caller[1])
-        self._last_used[prefix] = sock
+        self._last_caller_socket[prefix] = sock
         if not self._targets:
             self._counts["no_instance"] += 1
             return
@@ -122,7 +122,7 @@
             return
         self._per_instance[target] += 1
         faults = self.control.current.to_instances
-        self._pass(faults, self.instance_socket, prefix + datagram, target)
+        self._send_with_faults(faults, self.instance_socket, prefix + datagram, target)
 
     def _from_instance(
         self, _sock: socket.socket, datagram: bytes, instance: Address
@@ -135,20 +135,20 @@
             return
         prefix = datagram[:PREFIX_BYTES]
         host, port = _PREFIX.unpack(prefix)
-        sock = self._last_used.get(prefix, self.caller_sockets[0])
+        sock = self._last_caller_socket.get(prefix, self.caller_sockets[0])
         caller = (socket.inet_ntoa(host), port)
         faults = self.control.current.to_callers
-        self._pass(faults, sock, datagram[PREFIX_BYTES:], caller)
+        self._send_with_faults(faults, sock, datagram[PREFIX_BYTES:], caller)
 
-    def _pass(
+    def _send_with_faults(
         self,
         faults: DirectionFaults,
         sock: socket.socket,
         datagram: bytes,
         address: Address,
     ) -> None:
-        """Send the datagram once, twice, later or not at all."""
-        if faults.none():
+        """Send a datagram with loss, duplication and delay as configured."""
+        if faults.has_no_effect():
             self._send(sock, datagram, address)
             return
         if self._random.random() < faults.loss:
@@ -178,7 +178,7 @@
             sock.sendto(datagram, address)
             self._counts["sent"] += 1
         except OSError:
-            # A full buffer or a vanished address loses the datagram.
+            # The datagram is lost if the buffer is full or the address is gone.
             self._counts["send_failed"] += 1
 
     def _poll(self, platform: str) -> None:
@@ -189,23 +189,23 @@
                 answer = pool.request("GET", url)
                 if answer.status == 200:
                     listed = msgspec.json.decode(answer.data)["instances"]
-                    self._take_list(listed)
+                    self._apply_instance_list(listed)
             except urllib3.exceptions.HTTPError:
                 self._counts["poll_failed"] += 1
             gevent.sleep(self._settings.poll_interval_s)
 
-    def _take_list(self, listed: list[Any]) -> None:
+    def _apply_instance_list(self, listed: list[Any]) -> None:
         polled = [FabricInstance.model_validate(entry) for entry in listed]
-        if polled != self._polled:
-            self._polled = polled
-            self._arrange()
+        if polled != self._polled_instances:
+            self._polled_instances = polled
+            self._update_targets()
 
     def _instances(self) -> list[FabricInstance]:
         fixed = self.control.current.instances
-        return self._polled if fixed is None else fixed
+        return self._polled_instances if fixed is None else fixed
 
-    def _arrange(self) -> None:
-        """Work out targets and cut addresses from the list and the control."""
+    def _update_targets(self) -> None:
+        """Compute targets and cut addresses from instance list and control document."""
         control = self.control.current
         known = self._instances()
         cut = {
@@ -248,9 +248,9 @@
     settings : str, optional
         Path of a settings file with the fields of `FabricSettings`.
     **flags
-        Fields that override the file.
+        Fields that override those of the file.
     """
-    # urllib3 waits on plain sockets; with these two patches it waits in the loop.
+    # urllib3 blocks on sockets; the patches make it wait in the event loop.
     monkey.patch_socket()
     monkey.patch_select()
     loaded = load_settings(FabricSettings, settings, flags)
--- a/standins/in_force.py
+++ b/standins/in_force.py
@@ -1,9 +1,9 @@
-"""Measures how long accepted changes take until they are in force everywhere.
+"""Measures the time until accepted changes are in force on all instances.
 
 ``python -m standins.in_force --shape=harada --seed=1`` starts all processes of a
-shape, changes records without a fault and under several, and prints one JSON line
-for each case.  The times come from the logs of platform and instances.  The exit
-status is 1 if an instance showed a version below one that it had shown before.
+shape, changes records without faults and under several faults, and prints one
+JSON line for each case.  The times come from the logs of platform and instances.
+The exit status is 1 if the version of a record decreased in an instance.
 """
 
 import json
@@ -17,7 +17,7 @@
 import fire
 
 from endivepick.bench.measures import LatencyHistogram
-from standins._inforcecases import CASES, PAUSE_S, Case, Change, Run
+from standins._inforcecases import CASES, PAUSE_MAX_S, Case, CaseRun, Change
 from standins.cases import choose_cases, choose_shape
 from standins.cluster import Cluster, ClusterSettings, cluster
 from standins.jsonlines import read_lines
@@ -28,7 +28,7 @@
 
 
 class InForceTimes:
-    """When versions were accepted and put in force, from the logs.
+    """Times at which versions were accepted and came into force, from the logs.
 
     Parameters
     ----------
@@ -54,12 +54,12 @@
                 self._applied.setdefault(key, []).append(applied)
 
     def took_s(self, change: Change) -> float:
-        """Return how long a change took until the last instance had it."""
+        """Return the time until the last instance applied a change."""
         since_s = change.since_s or self._accepted[change.version]
-        last_s = max(self._first_s(name, change) for name in change.names)
+        last_s = max(self._first_applied_s(name, change) for name in change.names)
         return max(0.0, last_s - since_s)
 
-    def _first_s(self, name: str, change: Change) -> float:
+    def _first_applied_s(self, name: str, change: Change) -> float:
         applied = self._applied[name, change.record]
         return min(at_s for at_s, version in applied if version >= change.version)
 
@@ -67,37 +67,42 @@
 def measure_case(
     running: Cluster, case: Case, seed: int, changes: int = 0
 ) -> dict[str, Any]:
-    """Make the changes of one case.
+    """Make the changes of one case and measure them.
 
     Parameters
     ----------
     running : Cluster
-        The installation.
+        Running installation.
     case : Case
-        The fault.
+        Fault case.
     seed : int
-        Seed of what is drawn.
+        Seed of random choices.
     changes : int
-        How many changes; 0 for as many as the case says.
+        Number of changes; 0 for the number of the case.
 
     Returns
     -------
     dict
-        Times in seconds, and versions that went back.
+        Times in seconds, and decreases of versions.
     """
-    run = Run(running, random.Random(f"{seed}:{case.name}"))
+    run = CaseRun(running, random.Random(f"{seed}:{case.name}"))
     wait_agreed(running)
-    with watch_versions(running, over_restarts=True) as watch, case.around(run):
+    with (
+        watch_versions(running, across_restarts=True) as watch,
+        case.fault_context(run),
+    ):
         for _ in range(changes or case.changes):
-            if case.settled:
+            if case.requires_ready_peers:
                 wait_agreed(running)
-            time.sleep(run.draw_s((0.0, PAUSE_S)))
-            case.once(run)
-    return {**_figures(run), "reverted": watch.reverted}
+            time.sleep(run.draw_s((0.0, PAUSE_MAX_S)))
+            case.make_change(run)
+    return {**_summarize(run), "reverted": watch.reverted}
 
 
-def _figures(run: Run) -> dict[str, Any]:
-    times = InForceTimes(_logged(run, "platform"), _logged(run, "instances"))
+def _summarize(run: CaseRun) -> dict[str, Any]:
+    times = InForceTimes(
+        _read_log_lines(run, "platform"), _read_log_lines(run, "instances")
+    )
     histogram = LatencyHistogram()
     for change in run.changes:
         histogram.add(times.took_s(change))
@@ -109,7 +114,7 @@
     }
 
 
-def _logged(run: Run, part: str) -> Iterable[dict[str, Any]]:
+def _read_log_lines(run: CaseRun, part: str) -> Iterable[dict[str, Any]]:
     for path in run.running.launcher.logs(part):
         yield from read_lines(path)
 
@@ -127,11 +132,11 @@
     shape : str
         ``harada``, ``leave-desk`` or ``small``.
     seed : int
-        Seed of what is drawn.
+        Seed of random choices.
     cases : str
-        Names of cases, separated by commas; empty for all.
+        Names of cases separated by commas; empty for all.
     changes : int
-        Changes of each case; 0 for as many as the case says.
+        Number of changes of each case; 0 for the number of the case.
     """
     reverted = False
     for case in choose_cases(cases, CASES):
--- a/standins/load.py
+++ b/standins/load.py
@@ -1,11 +1,11 @@
-"""Caller process: opens flows, sends requests and logs how each ended.
+"""Caller process that opens flows, sends requests and logs their results.
 
 Run it with ``python -m standins.load --settings FILE``.  It ends at SIGTERM or
-after ``run_s``, in both cases once the requests under way have ended.
+after ``run_s``, in both cases after the requests in progress have ended.
 
 Events of its log are ``open``, ``sent``, ``ended``, ``stream_sent`` and
-``stream_ended``.  ``echo`` names a request; the target's log carries it as well.
-With ``trace_path``, the caller library writes its own log for the time line there.
+``stream_ended``.  ``echo`` identifies a request, also in the log of the target.
+If ``trace_path`` is set, the caller library writes its log for the time line there.
 """
 
 import json
@@ -50,29 +50,30 @@
 
 
 class Workload(BorderModel):
-    """Flows of one kind.
+    """Flows with the same load.
 
     Attributes
     ----------
     service : str
-        Service that they are opened to.
+        Service to which the flows are opened.
     flows : int
-        How many are held at once.
+        Number of concurrent flows.
     work_ms, think_ms : float
         Mean duration of a request at the target and of the pause after it, both
-        distributed exponentially; 0 for none.
+        exponentially distributed; 0 for none.
     answer_bytes : int
         Size of answers.
     idempotent_share : float
         Share of idempotent requests.
     deadline_s : float
-        How long each request waits.
+        Deadline of each request.
     requests_per_flow : int
-        After that many a flow is closed and another opened; 0: never.
+        Number of requests after which a flow is replaced by a new one; 0 for
+        unlimited.
     stream_interval_ms : float
-        Above 0, each flow also holds an event stream with that interval.
+        Interval of an event stream that each flow also holds; 0 for none.
     stream_events : int
-        Length of the stream; it is read until the load ends.
+        Number of events of the stream, which is read until the load ends.
     """
 
     service: str
@@ -95,17 +96,17 @@
     name : str
         Name of the caller.
     fabric_address : str
-        Address that it sends to.
+        Address of the fabric.
     log_path : str or None
-        File for its events.
+        Log file of this program.
     trace_path : str or None
-        File for the events of the caller library; None for none.
+        Log file of the caller library; None for no log.
     workloads : list of Workload
-        What it sends.
+        Workloads to run concurrently.
     seed : int
         Seed of the load.
     run_s : float
-        When it ends by itself, in seconds.
+        Time after which the program ends.
     """
 
     name: str
@@ -118,8 +119,8 @@
 
 
 @dataclass(frozen=True)
-class _Work:
-    """One request that is to be sent."""
+class _PlannedRequest:
+    """Request to be sent."""
 
     echo: str
     idempotent: bool
@@ -127,7 +128,7 @@
 
 
 class _FlowLoad:
-    """Requests of one flow after another."""
+    """Sends requests on one flow after another."""
 
     def __init__(
         self, name: str, workload: Workload, caller: Caller, log: EventLog, seed: str
@@ -142,15 +143,15 @@
     def run(self, stopped: Event) -> None:
         """Open flows and use them until ``stopped`` is set."""
         while not stopped.is_set():
-            result = self._open()
+            result = self._open_flow()
             match result:
                 case Success(flow):
-                    self._use(flow, stopped)
+                    self._use_flow(flow, stopped)
                     flow.close()
                 case _:
-                    stopped.wait(self._pause_s(0.5))
+                    stopped.wait(self._bound_pause_s(0.5))
 
-    def _open(self) -> Result[Flow, Exception]:
+    def _open_flow(self) -> Result[Flow, Exception]:
         started_s = time.time()
         result = self._caller.open(self._workload.service)
         outcome: dict[str, Any] = {"opened": False}
@@ -163,7 +164,7 @@
         self._log.append("open", service=service, started_s=started_s, **outcome)
         return result
 
-    def _use(self, flow: Flow, stopped: Event) -> None:
+    def _use_flow(self, flow: Flow, stopped: Event) -> None:
         self._opened += 1
         prefix = f"{self._name}.{self._opened}"
         ended = Event()
@@ -180,8 +181,8 @@
         streams.join()
 
     def _request(self, flow: Flow, echo: str) -> float:
-        """Send one request; returns how long to pause after it."""
-        work = self._draw(echo)
+        """Send one request; returns the pause after it in seconds."""
+        work = self._draw_request(echo)
         fields = {
             "service": flow.service,
             "flow": f"{flow.flow_id:x}",
@@ -200,7 +201,7 @@
         self._log.append("ended", sent_s=sent_s, **fields, **_describe(result, echo))
         match result:
             case Failure(error):
-                return self._pause_s(error.retry_after_ms / 1000)
+                return self._bound_pause_s(error.retry_after_ms / 1000)
         return self._draw_ms(self._workload.think_ms) / 1000
 
     def _hold_stream(self, flow: Flow, echo: str, ended: Event) -> None:
@@ -215,18 +216,18 @@
         self._log.append("stream_sent", **fields)
         sent_s = time.time()
         stream = flow.stream(path)
-        closer = gevent.spawn(_close_after, stream, ended)
+        closer = gevent.spawn(_close_when_ended, stream, ended)
         progress = StreamProgress(echo, sent_s)
         error = ""
         try:
             for event in stream:
-                progress.take(event.event_id, event.data, time.time())
+                progress.record_event(event.event_id, event.data, time.time())
                 if ended.is_set():
                     break
         except Exception as failure:
             error = f"{type(failure).__name__}: {failure}"
         closer.kill()
-        progress.note_gap(time.time())
+        progress.record_gap(time.time())
         self._log.append(
             "stream_ended",
             sent_s=sent_s,
@@ -238,14 +239,14 @@
             **fields,
         )
 
-    def _draw(self, echo: str) -> _Work:
+    def _draw_request(self, echo: str) -> _PlannedRequest:
         idempotent = self._random.random() < self._workload.idempotent_share
         body = {
             "work_ms": round(self._draw_ms(self._workload.work_ms), 3),
             "answer_bytes": self._workload.answer_bytes,
             "echo": echo,
         }
-        return _Work(echo, idempotent, json.dumps(body).encode())
+        return _PlannedRequest(echo, idempotent, json.dumps(body).encode())
 
     def _draw_ms(self, mean_ms: float) -> float:
         if mean_ms <= 0:
@@ -253,17 +254,17 @@
         drawn_ms = self._random.expovariate(1 / mean_ms)
         return min(drawn_ms, _WORK_MAX_FACTOR * mean_ms)
 
-    def _pause_s(self, wanted_s: float) -> float:
+    def _bound_pause_s(self, wanted_s: float) -> float:
         return min(_RETRY_MAX_S, max(_RETRY_MIN_S, wanted_s))
 
 
-def _close_after(stream: EventStream, ended: Event) -> None:
+def _close_when_ended(stream: EventStream, ended: Event) -> None:
     ended.wait()
     stream.close()
 
 
 def _describe(result: Result[Answer, RequestError], echo: str) -> dict[str, Any]:
-    """Return how a request ended, as fields of the log."""
+    """Return the result of a request as log fields."""
     match result:
         case Success(answer) if answer.status == _OK:
             return {"end": "answer", "verdict": verify_answer(answer.body, echo)}
@@ -282,7 +283,7 @@
 
 @contextmanager
 def _trace(settings: LoadSettings) -> Iterator[None]:
-    """Let the caller library write its log, if the settings name a file for it."""
+    """Enable the log of the caller library if the settings contain its path."""
     if settings.trace_path is None:
         yield
         return
@@ -292,7 +293,7 @@
 
 @contextmanager
 def _stop_event(run_s: float) -> Iterator[Event]:
-    """Yield an event that SIGTERM, SIGINT or the end of ``run_s`` sets."""
+    """Yield an event that is set by SIGTERM, SIGINT or after ``run_s``."""
     stopped = Event()
     handlers = [
         gevent.signal_handler(number, stopped.set)
@@ -308,7 +309,7 @@
 
 
 def main(settings: str) -> None:
-    """Run the load of a settings file.
+    """Run the load described by a settings file.
 
     Parameters
     ----------
--- a/standins/target.py
+++ b/standins/target.py
@@ -1,4 +1,4 @@
-"""Backend server stand-in: HTTP/1.1 with slots, streams and faults on request.
+"""Backend server stand-in: HTTP/1.1 with slots, streams and configurable faults.
 
 Paths are ``POST /work``, ``GET /events``, ``GET /health``, ``GET /load``,
 ``DELETE /requests/<key>`` and ``PUT /control``.
@@ -38,11 +38,11 @@
 _NOT_RUN = ("Endivepick-Not-Run", "true")
 _RETRY_AFTER = ("Retry-After", "1")
 _MAX_EVENTS = 1_000_000
-_PIECE_BYTES = 2**16
+_CHUNK_BYTES = 2**16
 
 
 class _Handler(WSGIHandler):
-    """Handler that shows its socket to the application."""
+    """Handler that passes its socket to the application."""
 
     def get_environ(self) -> Environ:
         environ = super().get_environ()
@@ -52,7 +52,7 @@
 
 @contextmanager
 def _cancel_when_closed(run: Run, connection: socket.socket) -> Iterator[None]:
-    """Cancel the run as soon as the other side closes the connection."""
+    """Cancel the run when the peer closes the connection."""
 
     def watch() -> None:
         gevent.socket.wait_read(connection.fileno())
@@ -71,7 +71,7 @@
 
 
 class TargetServer:
-    """HTTP side of one target.
+    """HTTP server of one target.
 
     Parameters
     ----------
@@ -127,17 +127,17 @@
             return reply(start_response, 400, {"error": str(error)})
         return reply(start_response, 200, msgspec.structs.asdict(control))
 
-    def _is_own(self, run: Run) -> bool:
+    def _is_addressed_here(self, run: Run) -> bool:
         own = (self.state.settings.service, str(self.state.incarnation))
         return (run.service, run.incarnation) == own
 
-    def _misdirected(self, run: Run, start_response: StartResponse) -> Body:
+    def _refuse_misdirected(self, run: Run, start_response: StartResponse) -> Body:
         self.state.log("misdirected", **run.log_fields())
         return reply(start_response, 421, self.state.health())
 
     def _work(self, environ: Environ, start_response: StartResponse) -> Body:
         received_s = time.monotonic()
-        run = _run_of(environ)
+        run = _parse_run(environ)
         try:
             body = read_body(environ)
             request = msgspec.json.decode(body or b"{}", type=WorkRequest)
@@ -145,14 +145,14 @@
         except (ValueError, msgspec.DecodeError) as error:
             return reply(start_response, 400, {"error": str(error)})
         except OSError as error:
-            # Whoever asked has ended, or lost its connection, within the request.
+            # The sender ended or lost its connection during the request.
             self.state.log("body_lost", error=str(error), **run.log_fields())
             return reply(start_response, 400, {"error": str(error)})
         run.echo = request.echo
-        if not self._is_own(run):
-            return self._misdirected(run, start_response)
+        if not self._is_addressed_here(run):
+            return self._refuse_misdirected(run, start_response)
         connection = environ[_SOCKET_KEY]
-        with self._held(run), _cancel_when_closed(run, connection):
+        with self._register_while_running(run), _cancel_when_closed(run, connection):
             end = self.state.run(run, request, deadline_s)
         match end.event:
             case "end":
@@ -191,12 +191,12 @@
         ]
         start_response(STATUS_LINES[200], headers)
         return (
-            body[start : start + _PIECE_BYTES]
-            for start in range(0, len(body), _PIECE_BYTES)
+            body[start : start + _CHUNK_BYTES]
+            for start in range(0, len(body), _CHUNK_BYTES)
         )
 
     def _events(self, environ: Environ, start_response: StartResponse) -> Body:
-        run = _run_of(environ)
+        run = _parse_run(environ)
         query = parse_qs(environ.get("QUERY_STRING", ""))
         try:
             count = min(_MAX_EVENTS, int(query.get("count", ["10"])[0]))
@@ -205,8 +205,8 @@
         except ValueError as error:
             return reply(start_response, 400, {"error": str(error)})
         run.echo = query.get("echo", [""])[0]
-        if not self._is_own(run):
-            return self._misdirected(run, start_response)
+        if not self._is_addressed_here(run):
+            return self._refuse_misdirected(run, start_response)
         if self.state.control.shed:
             self.state.log("shed", **run.log_fields())
             headers = [_NOT_RUN, _RETRY_AFTER]
@@ -222,7 +222,10 @@
         self.state.log("stream_start", first=numbers.start, **run.log_fields())
         sent = numbers.start - 1
         try:
-            with self._held(run), _cancel_when_closed(run, connection):
+            with (
+                self._register_while_running(run),
+                _cancel_when_closed(run, connection),
+            ):
                 for number in numbers:
                     if run.cancelled.wait(interval_s):
                         return
@@ -232,15 +235,15 @@
             self.state.log("stream_end", last=sent, **run.log_fields())
 
     @contextmanager
-    def _held(self, run: Run) -> Iterator[None]:
-        self.state.hold(run)
+    def _register_while_running(self, run: Run) -> Iterator[None]:
+        self.state.register_run(run)
         try:
             yield
         finally:
-            self.state.release(run)
+            self.state.unregister_run(run)
 
 
-def _run_of(environ: Environ) -> Run:
+def _parse_run(environ: Environ) -> Run:
     return Run(
         key=environ.get("HTTP_IDEMPOTENCY_KEY", ""),
         idempotent=environ.get("HTTP_ENDIVEPICK_IDEMPOTENT") == "true",
@@ -254,7 +257,7 @@
 
 
 def main(**settings: Any) -> None:
-    """Run a target until a signal or the end of its life.
+    """Run a target until a signal or the end of its maximum lifetime.
 
     Parameters
     ----------
@@ -263,7 +266,7 @@
     """
     target = TargetServer(TargetSettings(**settings))
     target.server.start()
-    # As in standins.control.json_server: no wait between head and body.
+    # Avoids a delay between head and body, as in standins.control.json_server.
     target.server.socket.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
     ready = {
         "ready": True,
--- a/standins/time_to_answer.py
+++ b/standins/time_to_answer.py
@@ -1,9 +1,9 @@
-"""Measures how long callers wait for answers, undisturbed and under disturbances.
+"""Measures the time that callers wait for answers, without and with faults.
 
 ``python -m standins.time_to_answer --shape=harada --seed=1`` prints one JSON line
-for each case: datagrams lost, doubled and delayed; the instance that holds the
-flows stopped as planned, replaced, and killed.  The times come from the callers'
-log: of each request, and the longest of each flow around a stop or kill.
+for each case: datagrams lost, duplicated and delayed; the instance that owns the
+flows stopped as planned, replaced, and killed.  The times come from the log of the
+caller: for each request, and the longest of each flow around a stop or kill.
 """
 
 import json
@@ -33,17 +33,17 @@
 THINK_MS = 100.0
 IDLE_THINK_MS = 3_600_000.0
 RUN_S = 6.0
-"""How long requests are sent under datagram faults, in seconds."""
+"""Duration of the load under datagram faults."""
 STEADY_S = 1.5
-"""Time before and after what is done to the instance, in seconds."""
-LOST_S = 5.0
-"""The same after a kill."""
+"""Time before and after the action on the instance."""
+AFTER_KILL_S = 5.0
+"""Additional time after a kill."""
 ROUNDS = 5
 _LOAD_MAX_S = 300.0
 _END_TIMEOUT_S = 60.0
 
 Window = tuple[float, float]
-Disturb = Callable[[Cluster, str], None]
+InstanceAction = Callable[[Cluster, str], None]
 
 
 def _stop(running: Cluster, name: str) -> None:
@@ -58,12 +58,12 @@
 
 def _kill(running: Cluster, name: str) -> None:
     running.kill_instance(name, listed=True)
-    time.sleep(LOST_S)
+    time.sleep(AFTER_KILL_S)
 
 
 @dataclass(frozen=True)
 class Case:
-    """One disturbance.
+    """Fault case of a measurement.
 
     Attributes
     ----------
@@ -72,11 +72,11 @@
     answer_bytes : int
         Size of answers.
     loss, duplicate : float
-        Shares of datagrams, in both directions.
+        Probability of loss and duplication, in both directions.
     delay_ms_max : float
-        Delay of datagrams, drawn up to this, in both directions.
+        Upper bound of the random delay of datagrams, in both directions.
     disturb : callable or None
-        What is done to the instance that holds the flows, again and again.
+        Action on the instance that owns the flows, done once per round.
     """
 
     name: str
@@ -84,11 +84,11 @@
     loss: float = 0.0
     duplicate: float = 0.0
     delay_ms_max: float = 0.0
-    disturb: Disturb | None = None
+    disturb: InstanceAction | None = None
 
     @property
     def faults(self) -> dict[str, float]:
-        """Return it as the fabric's control takes it."""
+        """Faults in the format of the control document of the fabric."""
         return {
             "loss": self.loss,
             "duplicate": self.duplicate,
@@ -116,71 +116,74 @@
 def measure_case(
     running: Cluster, case: Case, rounds: int, idle_flows: int = 0
 ) -> dict[str, Any]:
-    """Send requests, disturb, and return what the callers saw.
+    """Send requests under a fault and return the times that the caller measured.
 
     Parameters
     ----------
     running : Cluster
-        The installation.
+        Running installation.
     case : Case
-        The disturbance.
+        Fault case.
     rounds : int
-        How often an instance is disturbed.
+        Number of times that an instance is stopped or killed.
     idle_flows : int
-        Flows that are held beside those that send requests.
+        Number of idle flows beside those that send requests.
 
     Returns
     -------
     dict
-        Number of requests by their end, and times in milliseconds.
+        Number of requests by result, and times in milliseconds.
     """
-    quiet, disturbed, longest = (LatencyHistogram() for _ in range(3))
+    before_times, during_times, longest_times = (LatencyHistogram() for _ in range(3))
     ends: Counter[str] = Counter()
     for _ in range(rounds if case.disturb else 1):
-        requests, window = _round(running, case, idle_flows)
+        requests, window = _run_round(running, case, idle_flows)
         before = [r for r in requests if r.ended_s < window[0]]
         during = [r for r in requests if _overlaps(r, window)]
-        _add_all(quiet, map(_took_s, before))
-        _add_all(disturbed, map(_took_s, during))
-        _add_all(longest, _longest_by_flow(during))
+        _add_all(before_times, map(_duration_s, before))
+        _add_all(during_times, map(_duration_s, during))
+        _add_all(longest_times, _find_longest_by_flow(during))
         ends.update(r.verdict or r.end for r in during)
     return {
         "case": case.name,
         "ends": dict(ends),
-        "request_ms": _figures(disturbed),
+        "request_ms": _summarize(during_times),
         **(
-            {"longest_of_flow_ms": _figures(longest), "before_ms": _figures(quiet)}
+            {
+                "longest_of_flow_ms": _summarize(longest_times),
+                "before_ms": _summarize(before_times),
+            }
             if case.disturb
             else {}
         ),
     }
 
 
-def _round(
+def _run_round(
     running: Cluster, case: Case, idle_flows: int
 ) -> tuple[list[Request], Window]:
-    """Disturb once under load; returns the requests and the time of it."""
+    """Apply the fault once under load; returns the requests and the fault period."""
     wait_agreed(running)
     running.control_fabric(to_instances=case.faults, to_callers=case.faults)
-    before = _flows(running)
-    with _load(running, case, idle_flows) as log:
+    before = _count_flows(running)
+    with _run_load(running, case, idle_flows) as log:
         if case.disturb is None:
             begin_s = 0.0
             time.sleep(RUN_S)
         else:
             time.sleep(STEADY_S)
-            name = _holder(running, before)
+            name = _find_flow_owner(running, before)
             begin_s = time.time()
             case.disturb(running, name)
             time.sleep(STEADY_S)
         end_s = time.time()
-    _complete(running)
+    _start_missing_instances(running)
     requests = read_evidence([log], [], []).requests.values()
     return list(requests), (begin_s, end_s)
 
 
-def _complete(running: Cluster) -> None:
-    """Start the instances that are missing."""
+def _start_missing_instances(running: Cluster) -> None:
+    """Start the instances that are not running."""
     for plan in running.shape.instances:
         instance = running.instances.get(plan.name)
         if instance is None or not instance.process.running:
@@ -188,8 +191,8 @@
 
 
 @contextmanager
-def _load(running: Cluster, case: Case, idle_flows: int) -> Iterator[Path]:
-    """Send requests to the first service while the context is open."""
+def _run_load(running: Cluster, case: Case, idle_flows: int) -> Iterator[Path]:
+    """Send requests to the first service until the context exits."""
     launcher = running.launcher
     log = launcher.log_path("callers", "timed")
     workload = {
@@ -212,23 +215,23 @@
     caller = launcher.spawn("timed", "standins.load", [f"--settings={path}"])
     caller.wait_ready()
     wanted = FLOWS + idle_flows
-    wait_until(lambda: _opened(log) >= wanted, f"{wanted} flows")
+    wait_until(lambda: _count_opened_flows(log) >= wanted, f"{wanted} flows")
     yield log
     caller.signal(signal.SIGTERM)
     caller.wait(_END_TIMEOUT_S)
 
 
-def _flows(running: Cluster) -> dict[str, int]:
+def _count_flows(running: Cluster) -> dict[str, int]:
     return {name: one.status()["flows"] for name, one in running.instances.items()}
 
 
-def _opened(log: Path) -> int:
+def _count_opened_flows(log: Path) -> int:
     return sum(line.get("opened", False) for line in read_lines(log))
 
 
-def _holder(running: Cluster, before: dict[str, int]) -> str:
-    """Return the instance at which most flows were opened since."""
-    flows = _flows(running)
+def _find_flow_owner(running: Cluster, before: dict[str, int]) -> str:
+    """Return the instance that owns most of the flows opened since ``before``."""
+    flows = _count_flows(running)
     return max(flows, key=lambda name: flows[name] - before[name])
 
 
@@ -236,16 +239,16 @@
     return request.ended_s >= window[0] and request.sent_s <= window[1]
 
 
-def _took_s(request: Request) -> float:
+def _duration_s(request: Request) -> float:
     return request.ended_s - request.sent_s
 
 
-def _longest_by_flow(requests: Sequence[Request]) -> Iterator[float]:
-    longest: dict[str, float] = {}
+def _find_longest_by_flow(requests: Sequence[Request]) -> Iterator[float]:
+    longest_times: dict[str, float] = {}
     for request in requests:
-        took_s = _took_s(request)
-        longest[request.flow] = max(longest.get(request.flow, 0.0), took_s)
-    yield from longest.values()
+        took_s = _duration_s(request)
+        longest_times[request.flow] = max(longest_times.get(request.flow, 0.0), took_s)
+    yield from longest_times.values()
 
 
 def _add_all(histogram: LatencyHistogram, durations_s: Iterator[float]) -> None:
@@ -253,7 +256,7 @@
         histogram.add(duration_s)
 
 
-def _figures(histogram: LatencyHistogram) -> dict[str, float]:
+def _summarize(histogram: LatencyHistogram) -> dict[str, float]:
     percentiles = {"median": 50.0, "p99": 99.0, "max": 100.0}
     return {
         name: round(1000 * histogram.percentile_s(percentile), 1)
@@ -277,11 +280,11 @@
     seed : int
         Seed of load and fabric.
     cases : str
-        Names of cases, separated by commas; empty for all.
+        Names of cases separated by commas; empty for all.
     rounds : int
-        How often an instance is stopped or killed in a case.
+        Number of times that an instance is stopped or killed in a case.
     idle_flows : int
-        Flows that are held beside those that send requests.
+        Number of idle flows beside those that send requests.
     """
     settings = ClusterSettings(choose_shape(shape), seed=seed)
     with exit_on_signal(), cluster(settings) as running:
--- a/standins/versions.py
+++ b/standins/versions.py
@@ -1,4 +1,4 @@
-"""Watches what instances show: versions in force, and what they know of each other."""
+"""Waiting for and watching of record versions and views reported by instances."""
 
 import http.client
 import threading
@@ -19,13 +19,13 @@
     "watch_versions",
 ]
 
-_PERIOD_S = 0.2
-_STARTING = ("starting", "joining")
+_READ_INTERVAL_S = 0.2
+_STARTING_STATES = ("starting", "joining")
 
 
 @dataclass(frozen=True)
 class InstanceVersions:
-    """Versions in force in one instance, by name of the record."""
+    """Versions in force in one instance, by record name."""
 
     name: str
     incarnation: str
@@ -41,7 +41,7 @@
     if reply.status != 200:
         return None
     body = reply.body
-    starting = body["state"] in _STARTING
+    starting = body["state"] in _STARTING_STATES
     return InstanceVersions(
         body["name"], body["incarnation"], starting, body["records"]
     )
@@ -55,18 +55,18 @@
 def wait_in_force(
     running: Cluster, record: str, version: int, names: Collection[str] | None = None
 ) -> None:
-    """Wait until instances have at least this version of a record in force.
+    """Wait until instances have at least a version of a record in force.
 
     Parameters
     ----------
     running : Cluster
-        The installation.
+        Running installation.
     record : str
         Name of the record.
     version : int
-        The version.
+        Lowest accepted version.
     names : collection of str, optional
-        Instances to wait for; all by default.
+        Instances to wait for; by default all.
     """
     chosen = running.instances if names is None else names
     waiting = {running.instances[name].http_address for name in chosen}
@@ -85,34 +85,35 @@
 
     def agree() -> bool:
         views = [one.status()["peers"] for one in running.instances.values()]
-        return all(names == _usable(view) for view in views)
+        return all(names == _ready_peer_names(view) for view in views)
 
     wait_until(agree, "all instances to know each other")
 
 
-def _usable(peers: list[dict[str, Any]]) -> set[str]:
+def _ready_peer_names(peers: list[dict[str, Any]]) -> set[str]:
     return {p["name"] for p in peers if p["ready"] and p["state"] == "alive"}
 
 
 @dataclass
 class VersionWatch:
-    """Versions seen, and those that went back.
+    """Highest versions observed, and decreases of versions.
 
-    With ``over_restarts`` a replacement, once it is ready, may not show less than
-    the instance before it either; that holds while somebody reachable knows.
+    With ``across_restarts``, a replacement that is ready must also not report an
+    older version than the instance that it replaces.  This holds as long as a reachable
+    instance or the platform has the newer version.
     """
 
-    over_restarts: bool = False
+    across_restarts: bool = False
     highest: dict[tuple[str, str], int] = field(default_factory=dict)
     reverted: list[str] = field(default_factory=list)
 
-    def take(self, versions: InstanceVersions) -> None:
-        """Compare with what this incarnation, or this instance, showed before."""
-        if self.over_restarts and versions.starting:
+    def record_versions(self, versions: InstanceVersions) -> None:
+        """Compare with the versions reported earlier by the incarnation or instance."""
+        if self.across_restarts and versions.starting:
             return
-        who = versions.name if self.over_restarts else versions.incarnation
+        observer_key = versions.name if self.across_restarts else versions.incarnation
         for record, version in versions.records.items():
-            key = (who, record)
+            key = (observer_key, record)
             before = self.highest.get(key, 0)
             if version < before:
                 self.reverted.append(
@@ -123,18 +124,18 @@
 
 @contextmanager
 def watch_versions(
-    running: Cluster, over_restarts: bool = False
+    running: Cluster, across_restarts: bool = False
 ) -> Iterator[VersionWatch]:
-    """Read the versions of all instances again and again in a thread."""
-    watch = VersionWatch(over_restarts=over_restarts)
+    """Poll the versions of all instances in a thread."""
+    watch = VersionWatch(across_restarts=across_restarts)
     stopped = threading.Event()
 
     def run() -> None:
-        while not stopped.wait(_PERIOD_S):
+        while not stopped.wait(_READ_INTERVAL_S):
             for instance in list(running.instances.values()):
                 versions = _read_versions(instance.http_address)
                 if versions is not None:
-                    watch.take(versions)
+                    watch.record_versions(versions)
 
     thread = threading.Thread(target=run, daemon=True)
     thread.start()
