--- a/standins/in_force.py
+++ b/standins/in_force.py
@@ -22,7 +22,7 @@
 from standins.cluster import Cluster, ClusterSettings, cluster
 from standins.jsonlines import read_lines
 from standins.process import exit_on_signal
-from standins.versions import wait_agreed, watch_versions
+from standins.versions import wait_peers_ready, watch_versions
 
 __all__ = ["InForceTimes", "main", "measure_case"]
 
@@ -86,14 +86,14 @@
         Times in seconds, and decreases of versions.
     """
     run = CaseRun(running, random.Random(f"{seed}:{case.name}"))
-    wait_agreed(running)
+    wait_peers_ready(running)
     with (
         watch_versions(running, across_restarts=True) as watch,
         case.fault_context(run),
     ):
         for _ in range(changes or case.changes):
             if case.requires_ready_peers:
-                wait_agreed(running)
+                wait_peers_ready(running)
             time.sleep(run.draw_s((0.0, PAUSE_MAX_S)))
             case.make_change(run)
     return {**_summarize(run), "reverted": watch.reverted}
