--- a/endivepick/addresses.py
+++ b/endivepick/addresses.py
@@ -1,4 +1,4 @@
-"""Addresses of the form ``host:port`` with an IPv4 number as host."""
+"""Parsing of ``host:port`` addresses whose host is a numeric IPv4 address."""
 
 from socket import AF_INET, inet_pton
 
@@ -8,12 +8,12 @@
 
 
 def host_number(text: str) -> int:
-    """Return the number that an IPv4 address stands for.
+    """Convert a dotted IPv4 address to an integer.
 
     Raises
     ------
     ValueError
-        If the text is no such address.
+        If the text is not a dotted IPv4 address.
 
     Examples
     --------
@@ -27,12 +27,12 @@
 
 
 def parse_address(text: str) -> tuple[str, int]:
-    """Split ``host:port``.
+    """Split a ``host:port`` address into host and port.
 
     Parameters
     ----------
     text : str
-        IPv4 number and port, for example ``"127.0.0.1:8080"``.
+        IPv4 address and port, for example ``"127.0.0.1:8080"``.
 
     Returns
     -------
@@ -42,7 +42,7 @@
     Raises
     ------
     ValueError
-        If the text has another form.
+        If the text is not a valid ``host:port`` address.
 
     Examples
     --------
--- a/endivepick/backoff.py
+++ b/endivepick/backoff.py
@@ -1,4 +1,4 @@
-"""Back-off with spread, so that callers do not return together."""
+"""Backoff with jitter, which keeps clients from retrying at the same time."""
 
 from msgspec import Struct
 
@@ -6,16 +6,16 @@
 
 
 class BackoffSettings(Struct, frozen=True):
-    """Bounds of the wait between two attempts.
+    """Bounds of the delay between two attempts.
 
     Attributes
     ----------
     base_s : float
-        Shortest wait, in seconds.
+        Shortest delay, in seconds.
     cap_s : float
-        Longest wait, in seconds.
+        Longest delay, in seconds.
     growth : float
-        Largest ratio of one wait to the one before.
+        Largest ratio of a delay to the previous delay.
     """
 
     base_s: float = 0.2
@@ -24,17 +24,18 @@
 
 
 class Backoff(Struct, frozen=True):
-    """Wait after a number of failures in a row (decorrelated jitter).
+    """Delay after consecutive failures, with decorrelated jitter.
 
-    Each wait is drawn between ``base_s`` and ``growth`` times the last one.  A
-    wait that the platform asked for is a lower bound and gets the spread on top.
+    Each delay is drawn uniformly between ``base_s`` and ``growth`` times the previous
+    delay, limited to ``cap_s``.  A delay requested by the server is a lower bound; the
+    jitter is added to it.
 
     Attributes
     ----------
     settings : BackoffSettings
-        Bounds.
+        Bounds of the delay.
     wait_s : float
-        The present wait, 0 before the first failure.
+        Current delay in seconds; 0 before the first failure.
 
     Examples
     --------
@@ -47,14 +48,14 @@
     wait_s: float = 0.0
 
     def failed(self, random_share: float, retry_after_s: float = 0.0) -> "Backoff":
-        """Return the back-off after one more failure.
+        """Return the backoff state after one more failure.
 
         Parameters
         ----------
         random_share : float
-            Random number from 0 to 1.
+            Random number from 0 to 1 that determines the jitter.
         retry_after_s : float, default=0.0
-            Wait that the platform asked for, in seconds.
+            Delay requested by the server, in seconds.
         """
         bounds = self.settings
         last_s = max(self.wait_s, bounds.base_s)
@@ -64,5 +65,5 @@
         return Backoff(bounds, wait_s)
 
     def succeeded(self) -> "Backoff":
-        """Return the back-off after a success."""
+        """Return the backoff state after a success."""
         return Backoff(self.settings)
--- a/endivepick/cli/__init__.py
+++ b/endivepick/cli/__init__.py
@@ -1,1 +1,1 @@
-"""Command line."""
+"""Command-line interface."""
--- a/endivepick/cli/__main__.py
+++ b/endivepick/cli/__main__.py
@@ -1,4 +1,4 @@
-"""Run the command line with ``python -m endivepick.cli``."""
+"""Run the command-line interface with ``python -m endivepick.cli``."""
 
 from endivepick.cli.main import main
 
--- a/endivepick/cli/bench.py
+++ b/endivepick/cli/bench.py
@@ -1,4 +1,4 @@
-"""Commands of the load and experiment tool."""
+"""Commands for simulation experiments and benchmarks."""
 
 from collections.abc import Container
 
@@ -11,13 +11,13 @@
 _SEEDS_MAX = 100
 
 
-def _check_name(option: str, name: str, known: Container[str]) -> None:
+def _check_known_name(option: str, name: str, known: Container[str]) -> None:
     with option_values(f"--{option}"):
         if name not in known:
-            raise ValueError(f"there is no {option} {name!r}")
+            raise ValueError(f"unknown {option} {name!r}")
 
 
-def _whole_number(option: str, text: object, largest: int) -> int:
+def _parse_integer(option: str, text: object, largest: int) -> int:
     with option_values(f"--{option}"):
         number = int(str(text))
         if not 1 <= number <= largest:
@@ -26,7 +26,7 @@
 
 
 class BenchCommands:
-    """Compare placement policies and measure what the parts cost."""
+    """Benchmark placement policies and the cost of components."""
 
     def run(
         self,
@@ -37,7 +37,7 @@
         fault: str = "none",
         seed: str = "1",
     ) -> None:
-        """Run one experiment and print its JSON line.
+        """Run one experiment and print its result as a JSON line.
 
         Examples
         --------
@@ -50,13 +50,13 @@
         affinity : str
             flow or request.
         load : str
-            Offered work over capacity.
+            Ratio of offered load to capacity.
         policy : str
             Name of a placement policy.
         fault : str
-            Name of a fault script.
+            Name of a fault scenario.
         seed : str
-            Seed of all random numbers.
+            Seed of the random number generators.
         """
         from endivepick.bench.faults import FAULTS
         from endivepick.bench.policies import POLICIES
@@ -64,13 +64,13 @@
         from endivepick.bench.workload import SHAPES
         from endivepick.records.model import Affinity
 
-        _check_name("shape", shape, SHAPES)
-        _check_name("affinity", affinity, [one.value for one in Affinity])
-        _check_name("policy", policy, POLICIES)
-        _check_name("fault", fault, FAULTS)
+        _check_known_name("shape", shape, SHAPES)
+        _check_known_name("affinity", affinity, [one.value for one in Affinity])
+        _check_known_name("policy", policy, POLICIES)
+        _check_known_name("fault", fault, FAULTS)
         with option_values("--load"):
             offered = float(load)
-        number = _whole_number("seed", seed, 2**63)
+        number = _parse_integer("seed", seed, 2**63)
         print_line(policy_run(shape, affinity, offered, policy, fault, number))
 
     def table(self, results: str = "", processes: str = "4", seeds: str = "3") -> None:
@@ -83,20 +83,20 @@
         Parameters
         ----------
         results : str
-            File for one JSON line a run; by default var/bench/policies.jsonl.
+            File for one JSON line per run; by default var/bench/policies.jsonl.
         processes : str
-            Worker processes.
+            Number of worker processes.
         seeds : str
-            Seeds for each experiment, from 1.
+            Number of seeds per experiment, starting at 1.
         """
         from endivepick.bench.policy_commands import DEFAULT_RESULTS, policy_table
 
-        workers = _whole_number("processes", processes, _PROCESSES_MAX)
-        count = _whole_number("seeds", seeds, _SEEDS_MAX)
+        workers = _parse_integer("processes", processes, _PROCESSES_MAX)
+        count = _parse_integer("seeds", seeds, _SEEDS_MAX)
         print_line(policy_table(results or DEFAULT_RESULTS, workers, count))
 
     def report(self, results: str = "", report: str = "") -> None:
-        """Write a page with plots from the results of the table.
+        """Write an HTML page with plots of the results of the table command.
 
         Examples
         --------
@@ -105,9 +105,9 @@
         Parameters
         ----------
         results : str
-            File that the table wrote.
+            File written by the table command.
         report : str
-            Page to write.
+            Output file.
         """
         from endivepick.bench.policy_commands import (
             DEFAULT_REPORT,
--- a/endivepick/cli/calling.py
+++ b/endivepick/cli/calling.py
@@ -1,4 +1,4 @@
-"""Address of the fabric for the commands that act as a caller."""
+"""Fabric address of the commands that act as a caller."""
 
 import os
 
@@ -9,11 +9,11 @@
 __all__ = ["FABRIC_VARIABLE", "fabric_address"]
 
 FABRIC_VARIABLE = "ENDIVEPICK_FABRIC"
-"""Environment variable that names the fabric."""
+"""Environment variable with the address of the fabric."""
 
 
 def fabric_address(option: str) -> str:
-    """Check the option, or take the address from the environment.
+    """Return the fabric address from the option or the environment.
 
     Raises
     ------
@@ -22,7 +22,9 @@
     """
     address = option or os.environ.get(FABRIC_VARIABLE, "")
     if not address:
-        message = f"No fabric named. Use --fabric host:port or {FABRIC_VARIABLE}."
+        message = (
+            f"No fabric address given. Use --fabric host:port or {FABRIC_VARIABLE}."
+        )
         raise CommandError(message, ExitCode.USAGE)
     with option_values("--fabric"):
         parse_address(address)
--- a/endivepick/cli/connection.py
+++ b/endivepick/cli/connection.py
@@ -1,4 +1,4 @@
-"""Connection of the command line to the platform's object API."""
+"""Connection of the commands to the platform's object API."""
 
 import os
 import random
@@ -14,17 +14,17 @@
 __all__ = ["PLATFORM_VARIABLE", "platform_client"]
 
 PLATFORM_VARIABLE = "ENDIVEPICK_PLATFORM"
-"""Environment variable that names the object API."""
+"""Environment variable with the address of the object API."""
 
 
 @contextmanager
 def platform_client(address: str) -> Iterator[PlatformClient]:
-    """Open a client.
+    """Open a client and close it at exit.
 
     Parameters
     ----------
     address : str
-        ``host:port``; empty to take it from the environment.
+        ``host:port``; if empty, it is read from the environment.
 
     Raises
     ------
@@ -34,7 +34,8 @@
     chosen = address or os.environ.get(PLATFORM_VARIABLE, "")
     if not chosen:
         message = (
-            f"No object API named. Use --platform host:port or {PLATFORM_VARIABLE}."
+            "No object API address given. "
+            f"Use --platform host:port or {PLATFORM_VARIABLE}."
         )
         raise CommandError(message, ExitCode.USAGE)
     with option_values("--platform"):
--- a/endivepick/cli/drain.py
+++ b/endivepick/cli/drain.py
@@ -17,12 +17,12 @@
 
 
 class DrainCommands:
-    """Take a target or an instance out of service without cutting a request."""
+    """Take a target or an instance out of service without aborting requests."""
 
     def target(
         self, service: str, target: str, undo: bool = False, platform: str = ""
     ) -> None:
-        """Give a target no new work; requests in progress end there.
+        """Drain a target: no new work is assigned, requests in progress finish.
 
         Examples
         --------
@@ -36,13 +36,13 @@
         target : str
             Name of the target in the record.
         undo : bool
-            Put it back into service.
+            Return the target to service.
         platform : str
             host:port of the object API; ENDIVEPICK_PLATFORM by default.
         """
 
         def change(stored: StoredObject | None) -> Mapping[str, Any] | None:
-            return _drained(service, stored, target, not undo)
+            return _set_draining(service, stored, target, not undo)
 
         with platform_client(platform) as client:
             stored = update_object(client, ObjectName(SERVICE_KIND, service), change)
@@ -51,9 +51,9 @@
         print_line(f"{service}: {target} is {state}, version {version}")
 
     def instance(self, name: str, platform: str = "") -> None:
-        """Ask an instance for its planned stop.
+        """Request the planned stop of an instance.
 
-        It hands its flows over and ends; SIGTERM on its machine does the same.
+        It hands over its flows and exits; SIGTERM to its process does the same.
 
         Examples
         --------
@@ -77,46 +77,48 @@
         print_line(f"{name}: asked to stop; see endivepick status")
 
 
-def _drained(
+def _set_draining(
     service: str, stored: StoredObject | None, target: str, draining: bool
 ) -> Mapping[str, Any] | None:
-    """Return the changed body; fields that this program does not know stay."""
+    """Return the changed body, or None if unchanged; unknown fields are preserved."""
     if stored is None or stored.body is None:
-        message = f"There is no service {service}. Look with: records list."
+        message = f"There is no service {service}. List records with: records list."
         raise CommandError(message, ExitCode.NOT_FOUND)
     body = copy.deepcopy(dict(stored.body))
     match body.get("schema_version"):
         case 1:
-            return _drained_v1(body, target, draining)
+            return _set_draining_v1(body, target, draining)
         case 2:
-            return _drained_v2(body, target, draining)
+            return _set_draining_v2(body, target, draining)
         case other:
-            message = f"Record {service} has schema {other}. Update this program."
+            message = (
+                f"Record {service} has unsupported schema {other}. Update this program."
+            )
             raise CommandError(message, ExitCode.INVALID_RECORD)
 
 
-def _drained_v1(
+def _set_draining_v1(
     body: dict[str, Any], target: str, draining: bool
 ) -> Mapping[str, Any] | None:
-    _check_known(target, body["targets"])
+    _check_known_target(target, body["targets"])
     drain = set(body.get("drain", []))
     if (target in drain) == draining:
         return None
     return body | {"drain": sorted(drain ^ {target})}
 
 
-def _drained_v2(
+def _set_draining_v2(
     body: dict[str, Any], target: str, draining: bool
 ) -> Mapping[str, Any] | None:
     entries = {entry["name"]: entry for entry in body["targets"]}
-    _check_known(target, list(entries))
+    _check_known_target(target, list(entries))
     if entries[target].get("draining", False) == draining:
         return None
     entries[target]["draining"] = draining
     return body
 
 
-def _check_known(target: str, known: list[str]) -> None:
+def _check_known_target(target: str, known: list[str]) -> None:
     if target not in known:
         message = f"The record has no target {target}. Known: {', '.join(known)}."
         raise CommandError(message, ExitCode.NOT_FOUND)
--- a/endivepick/cli/exit_codes.py
+++ b/endivepick/cli/exit_codes.py
@@ -1,4 +1,4 @@
-"""Exit codes of the command line."""
+"""Exit codes of the command-line interface."""
 
 from enum import IntEnum
 
@@ -17,25 +17,25 @@
 
 
 class ExitCode(IntEnum):
-    """What a script can tell from the exit status."""
+    """Exit status of a command."""
 
     OK = 0
     FAILURE = 1
-    """Any failure without a code of its own."""
+    """Any failure without a specific code."""
     USAGE = 2
-    """Unknown command, flag or value."""
+    """Unknown command or option, or invalid value."""
     INVALID_SETTINGS = 3
-    """The settings file is refused."""
+    """The settings file is invalid."""
     INVALID_RECORD = 4
-    """The record is refused; nothing was written."""
+    """The record is invalid; nothing was written."""
     CONFLICT = 5
-    """Somebody else changed the record first; nothing was written."""
+    """Another writer changed the record first; nothing was written."""
     PLATFORM_UNREACHABLE = 6
-    """The object API did not take the call; nothing was written."""
+    """The object API did not accept the call; nothing was written."""
     OUTCOME_UNKNOWN = 7
-    """The write may or may not have taken effect: read the record."""
+    """The write may have taken effect; read the record to find out."""
     NOT_FOUND = 8
-    """There is no such record, target or instance."""
+    """The record, target or instance does not exist."""
     DIFFERENT = 9
     """``records diff`` found differences."""
     ERROR_STATUS = 10
@@ -49,7 +49,7 @@
 
 
 def exit_code_of(error: EndivepickError) -> ExitCode:
-    """Choose the exit code of an error."""
+    """Return the exit code of an error."""
     match error:
         case SettingsInvalidError():
             return ExitCode.INVALID_SETTINGS
--- a/endivepick/cli/failures.py
+++ b/endivepick/cli/failures.py
@@ -1,4 +1,4 @@
-"""Failures that the command line itself finds."""
+"""Errors of commands, and conversion of other errors to them."""
 
 from collections.abc import Iterator
 from contextlib import contextmanager
@@ -15,12 +15,12 @@
 
 
 class CommandError(EndivepickError):
-    """A command cannot do its work.
+    """A command failed.
 
     Parameters
     ----------
     message : str
-        What is wrong and the remedy.
+        Cause and remedy.
     code : ExitCode
         Exit code of the process.
     """
@@ -31,7 +31,7 @@
 
 
 def value_of(result: Result[T, EndivepickError]) -> T:
-    """Return the value of a result or raise its error."""
+    """Return the value of a successful result, or raise the error of a failed one."""
     match result:
         case Success(value):
             return value
@@ -42,7 +42,7 @@
 
 @contextmanager
 def option_values(option: str) -> Iterator[None]:
-    """Turn a ValueError into a usage error that names the option."""
+    """Convert a ValueError to a usage error that names the option."""
     try:
         yield
     except ValueError as error:
--- a/endivepick/cli/forwarder.py
+++ b/endivepick/cli/forwarder.py
@@ -1,4 +1,4 @@
-"""Commands about forwarders: check settings, show beliefs, explain a flow."""
+"""Commands for forwarders: validate settings, show target states, trace a flow."""
 
 import json as json_format
 import urllib.error
@@ -12,12 +12,12 @@
 from endivepick.cli.failures import CommandError, option_values
 from endivepick.cli.output import print_json, print_line, print_table
 from endivepick.forwarder.settings import load_forwarder_settings
-from endivepick.timeline import LogEvent, fields_text, read_log, trace_flow
+from endivepick.timeline import LogEvent, format_fields, read_log, trace_flow
 
 __all__ = ["ForwarderCommands"]
 
 STATUS_TIMEOUT_S = 5.0
-"""Longest wait for a forwarder's status; it answers within milliseconds."""
+"""Timeout of reading a forwarder's status; it answers within milliseconds."""
 _HEADER = (
     *("service", "target", "zone", "state", "for", "reached", "for"),
     *("fitness", "for", "flows"),
@@ -25,7 +25,7 @@
 
 
 class ForwarderCommands:
-    """Check settings of forwarders, show what they believe, explain a flow.
+    """Validate settings of forwarders, show target states, trace a flow.
 
     Examples
     --------
@@ -35,9 +35,9 @@
     """
 
     def check(self, file: str) -> None:
-        """Check a settings file; key and remedy of the fault if it is refused.
+        """Validate a settings file and print key and remedy of an error.
 
-        Mechanisms that the settings switch off are named.
+        Lists the mechanisms that the settings disable.
 
         Examples
         --------
@@ -55,7 +55,7 @@
                 print_line(f"off: {name}")
 
     def status(self, address: str, json: bool = False) -> None:
-        """Show what a forwarder believes of its targets, and since when.
+        """Show the state of each target at a forwarder, and its duration.
 
         Examples
         --------
@@ -65,7 +65,7 @@
         Parameters
         ----------
         address : str
-            host:port of its metrics.
+            host:port of the metrics endpoint of the forwarder.
         json : bool
             Print JSON.
         """
@@ -77,15 +77,15 @@
             f"ready: {status['ready']}, flows: {status['flows']}, configuration "
             f"version {status['config_version']} for {status['config_since_s']} s"
         )
-        print_table(_HEADER, [_row(target) for target in status["targets"]])
+        print_table(_HEADER, [_to_cells(target) for target in status["targets"]])
 
     def flow(
         self, key: str, *logs: str, before_s: str = "10", after_s: str = "2"
     ) -> None:
-        """Show what concerns a flow in the logs of all forwarders.
+        """Show the events related to a flow in the logs of all forwarders.
 
-        Its own lines, what was believed of its targets, and what happened to the
-        processes that saw it.
+        Includes the events of the flow, state changes of its targets, and events of
+        the processes that forwarded it.
 
         Examples
         --------
@@ -95,26 +95,26 @@
         Parameters
         ----------
         key : str
-            Caller's address and port.
+            Address and port of the caller.
         logs : str
             Log files.
         before_s : float
-            How long before the flow to show targets and processes.
+            Time before the flow for events of targets and processes, in seconds.
         after_s : float
-            How long after it.
+            Time after the flow for these events, in seconds.
         """
         with option_values("--before_s"):
             before = float(before_s)
         with option_values("--after_s"):
             after = float(after_s)
-        found = trace_flow(list(_events(logs)), key, before, after)
+        found = trace_flow(list(_read_events(logs)), key, before, after)
         if not found:
             message = (
-                f"No line names {key}. Give the logs of all forwarders of that day."
+                f"No event names {key}. Give the logs of all forwarders of that day."
             )
             raise CommandError(message, ExitCode.NOT_FOUND)
         for event in found:
-            print_line(_line(event))
+            print_line(_format_event(event))
 
 
 def _read_status(address: str) -> dict[str, Any]:
@@ -127,7 +127,7 @@
         raise CommandError(message, ExitCode.FAILURE) from None
 
 
-def _row(target: dict[str, Any]) -> tuple[Any, ...]:
+def _to_cells(target: dict[str, Any]) -> tuple[Any, ...]:
     return (
         target["service"],
         target["name"],
@@ -142,15 +142,15 @@
     )
 
 
-def _events(logs: Sequence[str]) -> Iterator[LogEvent]:
+def _read_events(logs: Sequence[str]) -> Iterator[LogEvent]:
     for log in logs:
         try:
             yield from read_log(log)
         except OSError as error:
-            message = f"{log}: {error.strerror}. Name log files that can be read."
+            message = f"{log}: {error.strerror}. Name readable log files."
             raise CommandError(message, ExitCode.USAGE) from None
 
 
-def _line(event: LogEvent) -> str:
+def _format_event(event: LogEvent) -> str:
     head = f"{event.at_s:.3f} {event.process} {event.event}"
-    return f"{head} {fields_text(event)}".rstrip()
+    return f"{head} {format_fields(event)}".rstrip()
--- a/endivepick/cli/keys.py
+++ b/endivepick/cli/keys.py
@@ -1,4 +1,4 @@
-"""Commands for the keys of flow tokens."""
+"""Commands for the signing keys of flow tokens."""
 
 import secrets
 import time
@@ -24,13 +24,13 @@
 
 
 class KeyCommands:
-    """Keys that sign flow tokens."""
+    """Rotate and list the signing keys of flow tokens."""
 
     def rotate(self, platform: str = "") -> None:
-        """Add a key; the first call makes the keyring.
+        """Add a key; the first call creates the keyring.
 
-        Instances sign with a new key only once all reachable ones hold it, and
-        accept the old one until its last token has expired.
+        Instances sign with a new key only when all reachable instances have it, and
+        accept the old key until its last token has expired.
 
         Examples
         --------
@@ -42,8 +42,8 @@
             host:port of the object API; ENDIVEPICK_PLATFORM by default.
         """
         with platform_client(platform) as client:
-            stored = update_object(client, _KEYRING, _with_new_key)
-        keyring = _keyring_of(stored)
+            stored = update_object(client, _KEYRING, _add_key)
+        keyring = _decode_keyring(stored)
         pending = keyring.pending
         if pending is None:
             print_line(f"key {keyring.current} made; it signs from now on")
@@ -66,13 +66,13 @@
             Print JSON.
         """
         with platform_client(platform) as client:
-            keyring = _keyring_of(read_object(client, _KEYRING))
+            keyring = _decode_keyring(read_object(client, _KEYRING))
         if json:
             print_json(
                 [
                     {
                         "key": key_id,
-                        "stage": _stage(keyring, key_id),
+                        "stage": _find_stage(keyring, key_id),
                         "created_at_s": key.created_at_s,
                     }
                     for key_id, key in sorted(keyring.keys.items())
@@ -80,31 +80,31 @@
             )
             return
         rows = [
-            (key_id, _stage(keyring, key_id), _date(key.created_at_s))
+            (key_id, _find_stage(keyring, key_id), _format_date(key.created_at_s))
             for key_id, key in sorted(keyring.keys.items())
         ]
         print_table(("key", "stage", "made"), rows)
 
 
-def _with_new_key(stored: StoredObject | None) -> Mapping[str, Any] | None:
+def _add_key(stored: StoredObject | None) -> Mapping[str, Any] | None:
     random_bytes = secrets.token_bytes(KEY_SIZE_BYTES)
     if stored is None:
         return keyring_to_body(first_keyring(random_bytes, time.time()))
-    keyring = _keyring_of(stored)
+    keyring = _decode_keyring(stored)
     if keyring.pending is not None:
         return None
     return keyring_to_body(add_pending(keyring, random_bytes, time.time()))
 
 
-def _keyring_of(stored: StoredObject | None) -> Keyring:
+def _decode_keyring(stored: StoredObject | None) -> Keyring:
     return keyring_from_body(stored.body if stored and stored.body else {})
 
 
-def _stage(keyring: Keyring, key_id: int) -> str:
+def _find_stage(keyring: Keyring, key_id: int) -> str:
     if key_id == keyring.current:
         return "current"
     return "pending" if key_id > keyring.current else "earlier"
 
 
-def _date(time_s: float) -> str:
+def _format_date(time_s: float) -> str:
     return time.strftime("%Y-%m-%d %H:%M", time.gmtime(time_s))
--- a/endivepick/cli/main.py
+++ b/endivepick/cli/main.py
@@ -1,6 +1,6 @@
-"""Entry of the ``endivepick`` command.
+"""Entry point of the ``endivepick`` command.
 
-Commands import what they need when they run, so that short ones start quickly.
+Commands import their modules when they run, which keeps the start-up time short.
 """
 
 import os
@@ -21,7 +21,7 @@
 
 
 class Commands:
-    """Layer-4 load balancer: run it, write its records, see what it does.
+    """Layer-4 load balancer: run instances, manage records, inspect the state.
 
     Examples
     --------
@@ -31,13 +31,13 @@
     endivepick status
     endivepick timeline /var/log/endivepick --flow 1f00aa --format html --out t.html
 
-    Exit codes: 0 done, 1 failure, 2 usage, 3 settings refused, 4 record refused,
-    5 conflict with another writer, 6 platform unreachable, 7 outcome of the write
-    unknown, 8 not found, 9 differences found.
+    Exit codes: 0 success, 1 failure, 2 usage error, 3 invalid settings, 4 invalid
+    record, 5 conflict with another writer, 6 platform unreachable, 7 outcome of the
+    write unknown, 8 not found, 9 differences found.
     """
 
     def run(self, settings: str) -> None:
-        """Run an instance until SIGTERM, which starts its planned stop.
+        """Run an instance until SIGTERM, which starts a planned stop.
 
         Examples
         --------
@@ -48,7 +48,7 @@
         settings : str
             Settings file; see endivepick settings --explain.
         """
-        # The libraries for HTTP have to find gevent's sockets when imported.
+        # HTTP libraries must import the sockets that gevent has patched.
         from gevent import monkey
 
         monkey.patch_all()
@@ -58,7 +58,7 @@
         raise SystemExit(run(load_settings(settings)))
 
     def check_settings(self, file: str) -> None:
-        """Check a settings file; line, key and remedy of each fault if refused.
+        """Validate a settings file and print line, key and remedy of each error.
 
         Examples
         --------
@@ -86,9 +86,9 @@
         Parameters
         ----------
         explain : bool
-            Print the explanation.
+            Print the description of all settings.
         markdown : bool
-            Print it as a page.
+            Print it as Markdown.
         """
         from endivepick.settings import explain as explain_text
         from endivepick.settings import explain_markdown
@@ -117,21 +117,21 @@
         endivepick call notes /health --fabric 10.0.0.9:7000
         endivepick call notes /notes --method POST --body '{"text": "seen"}'
 
-        Exit codes: 0 answered, 10 answered with status 400 or more, 11 not run,
-        12 outcome unknown, 13 no flow opened.
+        Exit codes: 0 answered, 10 answered with status 400 or more, 11 request not
+        run, 12 outcome unknown, 13 no flow opened.
 
         Parameters
         ----------
         service : str
             Name of the service.
         path, method, body : str
-            The request.
+            Path, method and body of the request.
         header : str
-            Header as 'Name: value'; several on lines of their own.
+            Header as 'Name: value'; several headers are separated by newlines.
         idempotent : bool
-            Running it twice does no harm, so it may be sent again.
+            The request is idempotent and may be retried.
         deadline_s : float
-            How long to wait.
+            Deadline of the request, in seconds.
         fabric : str
             host:port of the fabric; ENDIVEPICK_FABRIC by default.
         json : bool
@@ -149,7 +149,7 @@
     def stream(
         self, service: str, path: str = "/", events: str = "0", fabric: str = ""
     ) -> None:
-        """Open an event stream and print its events, one JSON object a line.
+        """Open an event stream and print its events, one JSON object per line.
 
         Examples
         --------
@@ -162,7 +162,7 @@
         path : str
             Path of the stream.
         events : int
-            End after so many; 0 for all.
+            Number of events after which to stop; 0 for no limit.
         fabric : str
             host:port of the fabric; ENDIVEPICK_FABRIC by default.
         """
@@ -197,14 +197,14 @@
 
     @property
     def forwarder(self) -> Any:
-        """Check settings of forwarders, show their beliefs, explain a flow."""
+        """Validate settings of forwarders, show target states, trace a flow."""
         from endivepick.cli.forwarder import ForwarderCommands
 
         return ForwarderCommands()
 
     @property
     def bench(self) -> Any:
-        """Compare placement policies and measure what the parts cost."""
+        """Benchmark placement policies and the cost of components."""
         from endivepick.cli.bench import BenchCommands
 
         return BenchCommands()
@@ -221,7 +221,7 @@
         format: str = "text",
         out: str = "",
     ) -> None:
-        """Merge the logs of all processes into one list that respects causes.
+        """Merge the logs of all processes into one list in causal order.
 
         Examples
         --------
@@ -233,24 +233,24 @@
         Parameters
         ----------
         logs : str
-            Log files, or folders that are searched for *.jsonl.
+            Log files, or directories that are searched for *.jsonl.
         flow : str
-            Only this flow, in hexadecimal; of forwarders, the address:port of its
-            caller, with what happened to its targets and forwarders around it.
+            Only this flow, as a hexadecimal id.  For forwarders, the address:port of
+            its caller; includes related events of its targets and forwarders.
         request : str
-            Only this request: flow-binding-number, as in the logs.
+            Only this request, as flow-binding-number as in the logs.
         target : str
             Only this target.
         record : str
             Only this service record.
         since : str
-            Seconds since 1970 or an ISO time, UTC by default.
+            Earliest time, in seconds since 1970 or as an ISO time, UTC by default.
         until : str
-            Likewise.
+            Latest time, in the same formats.
         format : str
             text, json (one object per line) or html (one page).
         out : str
-            File to write; standard output by default.
+            Output file; standard output by default.
         """
         from endivepick.cli.timeline import TimelineOptions, show_timeline
 
@@ -262,7 +262,7 @@
     def status(self, json: bool = False, platform: str = "", rows: str = "100") -> None:
         """Show records by zone, targets with owner and load, and instances.
 
-        A record is honoured everywhere once no zone is left under "not reached".
+        A record is in force everywhere once "not reached" lists no zone.
 
         Examples
         --------
@@ -273,18 +273,18 @@
         Parameters
         ----------
         json : bool
-            Print JSON, with all rows.
+            Print JSON with all rows.
         platform : str
             host:port of the object API; ENDIVEPICK_PLATFORM by default.
         rows : int
-            Rows of each table, first what needs a look; 0 for all.
+            Maximum number of rows of each table, abnormal states first; 0 for all.
         """
         from endivepick.cli.status import show_status
 
         with option_values("--rows"):
             limit = int(rows)
             if limit < 0:
-                raise ValueError("write 0 for all rows, or how many")
+                raise ValueError("write the number of rows, or 0 for all")
         show_status(platform, json, limit)
 
     def version(self) -> None:
@@ -305,27 +305,27 @@
     Parameters
     ----------
     arguments : sequence of str, default=None
-        Words after ``endivepick``; those of the process by default.
+        Command-line arguments after ``endivepick``; ``sys.argv[1:]`` by default.
     """
     words = sys.argv[1:] if arguments is None else list(arguments)
     commands = Commands()
     try:
         check_option_names(commands, words)
-        fire.Fire(commands, command=list(map(_as_text, words)), name="endivepick")
+        fire.Fire(commands, command=list(map(_quote_number, words)), name="endivepick")
     except CommandError as error:
-        _fail(error, error.code)
+        _exit_with_error(error, error.code)
     except EndivepickError as error:
-        _fail(error, exit_code_of(error))
+        _exit_with_error(error, exit_code_of(error))
     except KeyboardInterrupt:
         raise SystemExit(ExitCode.OK) from None
     except BrokenPipeError:
-        # The reader of a pipe has gone; a second failure at exit is kept quiet.
+        # The reader closed the pipe; /dev/null avoids a second error at exit.
         os.dup2(os.open(os.devnull, os.O_WRONLY), sys.stdout.fileno())
         raise SystemExit(ExitCode.FAILURE) from None
 
 
-def _as_text(word: str) -> str:
-    """Quote a value that fire would read as a number, such as a flow id 1e5."""
+def _quote_number(word: str) -> str:
+    """Quote a value that fire would parse as a number, such as a flow id 1e5."""
     flag, separator, value = word.rpartition("=")
     if word[:1] != "-":
         flag, separator, value = "", "", word
@@ -334,6 +334,6 @@
     return f"{flag}{separator}{value!r}"
 
 
-def _fail(error: EndivepickError, code: ExitCode) -> None:
+def _exit_with_error(error: EndivepickError, code: ExitCode) -> None:
     sys.stderr.write(f"endivepick: {error}\n")
     raise SystemExit(code)
--- a/endivepick/cli/option_names.py
+++ b/endivepick/cli/option_names.py
@@ -1,7 +1,7 @@
-"""Options, checked before a command runs.
+"""Validation of options before a command runs.
 
-fire finds an option that a command does not have only after the command has run, and
-gives an option without a value the value ``True``.
+fire reports an unknown option only after the command has run, and gives an option
+without a value the value ``True``.
 """
 
 import inspect
@@ -14,43 +14,49 @@
 
 __all__ = ["check_option_names"]
 
-_HELP = ("help", "h")
+_HELP_OPTIONS = ("help", "h")
 
 
 def check_option_names(commands: object, words: Sequence[str]) -> None:
-    """Refuse unknown options, and options that lack their value.
+    """Reject unknown options and options without their value.
 
     Parameters
     ----------
     commands : object
-        Commands as methods, groups of commands as properties.
+        Object with commands as methods and groups of commands as properties.
     words : sequence of str
         Words of the command line.
 
     Raises
     ------
     CommandError
-        If the command has no option of that name, with those that it has, or if
-        the value is missing.
+        If the command has no option of that name, or if the value is missing.  The
+        message for an unknown option lists the options of the command.
     """
-    command, path, rest = _command_of(commands, words)
+    command, path, rest = _resolve_command(commands, words)
     if not callable(command):
         return
     parameters = inspect.signature(command).parameters
-    # Words after "--" are meant for fire itself.
-    own = list(takewhile(lambda word: word != "--", rest))
-    for word, following in zip_longest(own, own[1:], fillvalue="--"):
-        name = _option_name(word)
+    # Words after "--" are options of fire itself.
+    command_words = list(takewhile(lambda word: word != "--", rest))
+    for word, following in zip_longest(
+        command_words, command_words[1:], fillvalue="--"
+    ):
+        name = _parse_option_name(word)
         if name and not _is_known(name, list(parameters)):
-            raise CommandError(_unknown(word, path, command), ExitCode.USAGE)
+            raise CommandError(
+                _unknown_option_message(word, path, command), ExitCode.USAGE
+            )
         takes_text = name in parameters and parameters[name].annotation is str
         if takes_text and "=" not in word and _is_option(following):
             message = f"{word} needs a value. Write {word}=VALUE."
             raise CommandError(message, ExitCode.USAGE)
 
 
-def _command_of(commands: object, words: Sequence[str]) -> tuple[Any, str, list[str]]:
-    """Follow the words to a command; return it, its path and the words left."""
+def _resolve_command(
+    commands: object, words: Sequence[str]
+) -> tuple[Any, str, list[str]]:
+    """Return the command that the words name, its path and the remaining words."""
     component: Any = commands
     path = []
     left = list(words)
@@ -63,8 +69,8 @@
     return component, " ".join(path), left
 
 
-def _option_name(word: str) -> str:
-    """Return the name if a word is an option, empty for values and numbers."""
+def _parse_option_name(word: str) -> str:
+    """Return the name of an option; empty for values and negative numbers."""
     if not _is_option(word):
         return ""
     return word.lstrip("-").partition("=")[0].replace("-", "_")
@@ -75,14 +81,20 @@
 
 
 def _is_known(name: str, known: Sequence[str]) -> bool:
-    if name in known or name in _HELP or name.removeprefix("no") in known:
+    if name in known or name in _HELP_OPTIONS or name.removeprefix("no") in known:
         return True
-    return len(name) == 1 and sum(one.startswith(name) for one in known) == 1
+    return (
+        len(name) == 1 and sum(parameter.startswith(name) for parameter in known) == 1
+    )
 
 
-def _unknown(word: str, path: str, command: Any) -> str:
+def _unknown_option_message(word: str, path: str, command: Any) -> str:
     option = word.partition("=")[0]
     parameters = inspect.signature(command).parameters.values()
-    named = [one.name for one in parameters if one.kind is not one.VAR_POSITIONAL]
+    named = [
+        parameter.name
+        for parameter in parameters
+        if parameter.kind is not parameter.VAR_POSITIONAL
+    ]
     has = ", ".join(f"--{name}" for name in named) or "none"
-    return f"There is no option {option}. Options of endivepick {path}: {has}."
+    return f"Unknown option {option}. Options of endivepick {path}: {has}."
--- a/endivepick/cli/output.py
+++ b/endivepick/cli/output.py
@@ -1,4 +1,4 @@
-"""Text and JSON on standard output."""
+"""Output of text, JSON and tables to standard output."""
 
 import json
 import sys
@@ -7,11 +7,11 @@
 
 __all__ = ["print_json", "print_line", "print_table"]
 
-_GAP = "  "
+_COLUMN_SEPARATOR = "  "
 
 
 def print_line(text: str) -> None:
-    """Write one line and flush it, so that a reader of a pipe sees it at once."""
+    """Write one line and flush it, so that the reader of a pipe receives it at once."""
     sys.stdout.write(f"{text}\n")
     sys.stdout.flush()
 
@@ -22,7 +22,7 @@
 
 
 def print_table(header: Sequence[str], rows: Sequence[Sequence[Any]]) -> None:
-    """Write aligned columns; an empty table says so."""
+    """Write aligned columns, or ``(none)`` if there are no rows."""
     if not rows:
         print_line("(none)")
         return
@@ -30,4 +30,4 @@
     widths = [max(map(len, column)) for column in zip(*cells, strict=True)]
     for row in cells:
         padded = (cell.ljust(width) for cell, width in zip(row, widths, strict=True))
-        print_line(_GAP.join(padded).rstrip())
+        print_line(_COLUMN_SEPARATOR.join(padded).rstrip())
--- a/endivepick/cli/record_file.py
+++ b/endivepick/cli/record_file.py
@@ -1,4 +1,4 @@
-"""Record files: JSON with comments, one record in each."""
+"""Record files: JSON with comments, one record per file."""
 
 from dataclasses import dataclass
 from pathlib import Path
@@ -16,16 +16,16 @@
 
 @dataclass(frozen=True)
 class RecordFile:
-    """A record as an operator keeps it.
+    """Content of a record file.
 
     Attributes
     ----------
     name : str
         Name of the service.
     version : int or None
-        Version that the file was made from; None if the file does not say.
+        Version that the file is based on; None if the file has no version.
     body : dict
-        Content for the object API, without write id.
+        Body for the object API, without write id.
     """
 
     name: str
@@ -34,39 +34,39 @@
 
 
 def read_record_file(path: str) -> RecordFile:
-    """Read and check a record file.
+    """Read and validate a record file.
 
     Raises
     ------
     RecordInvalidError
-        If it cannot be read or the record is refused.
+        If the file cannot be read or the record is invalid.
     """
-    tree = _read_tree(path)
-    name, version = tree.get("name"), tree.get("version")
+    content = _load_object(path)
+    name, version = content.get("name"), content.get("version")
     if not isinstance(name, str):
         raise RecordInvalidError(f"{path}: field name: add the service's name.", "name")
     if version is not None and (type(version) is not int or version < 0):
         message = f"{path}: field version: write a whole number or remove it."
         raise RecordInvalidError(message, "version")
-    body = {key: value for key, value in tree.items() if key not in _FILE_KEYS}
+    body = {key: value for key, value in content.items() if key not in _FILE_KEYS}
     error = parse_service(name, version or 0, body).swap().value_or(None)
     if error is not None:
         raise RecordInvalidError(f"{path}: {error}", error.field)
     return RecordFile(name, version, body)
 
 
-def _read_tree(path: str) -> dict[str, Any]:
+def _load_object(path: str) -> dict[str, Any]:
     try:
         text = Path(path).read_text(encoding="utf-8")
     except (OSError, UnicodeDecodeError) as error:
         message = f"{path}: cannot be read ({error}). Name a readable UTF-8 file."
         raise RecordInvalidError(message) from error
     try:
-        tree = json5.loads(text, allow_duplicate_keys=False)
+        content = json5.loads(text, allow_duplicate_keys=False)
     except (ValueError, RecursionError) as error:
-        place = str(error).replace("<string>", path, 1)
-        message = f"{path}: {place}. Write JSON; comments are allowed."
+        location = str(error).replace("<string>", path, 1)
+        message = f"{path}: {location}. Write JSON; comments are allowed."
         raise RecordInvalidError(message) from error
-    if not isinstance(tree, dict):
+    if not isinstance(content, dict):
         raise RecordInvalidError(f"{path}: write one JSON object per file.")
-    return tree
+    return content
--- a/endivepick/cli/records.py
+++ b/endivepick/cli/records.py
@@ -38,9 +38,9 @@
     ) -> None:
         """Write a record from a file.
 
-        A file with a ``version`` (as ``records get`` prints it) is written only
-        over that version.  A file without one creates a record; over an existing
-        one it needs --replace.
+        A file with a ``version`` (as ``records get`` prints it) replaces only that
+        version.  A file without a version creates a record; replacing an existing
+        record requires --replace.
 
         Examples
         --------
@@ -52,9 +52,9 @@
         file : str
             Record file: JSON with comments.
         replace : bool
-            Write over whatever version stands.
+            Replace any stored version.
         dry_run : bool
-            Check and show the differences, write nothing.
+            Validate and show the differences without writing.
         json : bool
             Print JSON.
         platform : str
@@ -63,20 +63,20 @@
         record = read_record_file(file)
         with platform_client(platform) as client:
             current = value_of(client.get(SERVICE_KIND, record.name))
-            differences = _differences(current, record)
+            differences = _compare_bodies(current, record)
             if not (replace or dry_run):
-                _check_base(record, current, differences)
+                _check_base_version(record, current, differences)
             if current is not None and not differences:
-                _report("unchanged", current, differences, json)
+                _print_outcome("unchanged", current, differences, json)
             elif dry_run:
-                _report("would change", current, differences, json)
+                _print_outcome("would change", current, differences, json)
             else:
                 name = ObjectName(SERVICE_KIND, record.name)
                 stored = put_object(client, name, record.body, current)
-                _report("accepted", stored, differences, json)
+                _print_outcome("accepted", stored, differences, json)
 
     def get(self, name: str, platform: str = "") -> None:
-        """Print a record as a file that ``records apply`` takes.
+        """Print a record in the format that ``records apply`` reads.
 
         Examples
         --------
@@ -91,7 +91,7 @@
         """
         with platform_client(platform) as client:
             stored = read_object(client, ObjectName(SERVICE_KIND, name))
-        print_json(_as_file(stored))
+        print_json(_to_file_content(stored))
 
     def list(self, json: bool = False, platform: str = "") -> None:
         """List all records.
@@ -112,13 +112,13 @@
             listed = value_of(client.list(SERVICE_KIND))
         stored = sorted(listed.objects, key=lambda item: item.name)
         if json:
-            print_json([_as_file(item) for item in stored])
+            print_json([_to_file_content(item) for item in stored])
             return
         header = ("record", "version", "schema", "affinity", "targets", "draining")
-        print_table(header, [_summary(item) for item in stored])
+        print_table(header, [_to_cells(item) for item in stored])
 
     def diff(self, file: str, json: bool = False, platform: str = "") -> None:
-        """Show what a file would change; exit code 9 if anything.
+        """Show what a file would change; exit code 9 if there are differences.
 
         Examples
         --------
@@ -136,7 +136,7 @@
         record = read_record_file(file)
         with platform_client(platform) as client:
             current = value_of(client.get(SERVICE_KIND, record.name))
-        differences = _differences(current, record)
+        differences = _compare_bodies(current, record)
         if json:
             print_json([vars(difference) for difference in differences])
         else:
@@ -158,7 +158,7 @@
         name : str
             Name of the service.
         version : int
-            Version that has to stand; the one that is read by default.
+            Required current version; by default the version read before.
         platform : str
             host:port of the object API; ENDIVEPICK_PLATFORM by default.
         """
@@ -189,7 +189,7 @@
         name : str
             Only this record.
         count : int
-            End after so many changes.
+            Number of changes after which to stop; unlimited by default.
         json : bool
             Print JSON, one object per line.
         platform : str
@@ -198,39 +198,39 @@
         with option_values("--count"):
             left = int(count) if count else None
         with platform_client(platform) as client:
-            wanted = (e for e in _changes(client) if name in ("", e.name))
+            wanted = (e for e in _iter_changes(client) if name in ("", e.name))
             for event in itertools.islice(wanted, left):
                 _print_change(event, json)
 
 
-def _differences(
+def _compare_bodies(
     current: StoredObject | None, record: RecordFile
 ) -> tuple[FieldDifference, ...]:
     return body_differences(current.body if current else None, record.body)
 
 
-def _check_base(
+def _check_base_version(
     record: RecordFile,
     current: StoredObject | None,
     differences: tuple[FieldDifference, ...],
 ) -> None:
-    """Refuse to write over a version that the file was not made from."""
-    stands = current.version if current else 0
-    if not differences or (record.version or 0) == stands:
+    """Raise RecordConflictError if the file is not based on the stored version."""
+    current_version = current.version if current else 0
+    if not differences or (record.version or 0) == current_version:
         return
-    now = f"version {stands}" if current else "absent"
+    current_text = f"version {current_version}" if current else "absent"
     file = f"version {record.version}" if record.version else "no version"
     changes = "; ".join(map(str, differences))
     raise RecordConflictError(
-        f"Record {record.name} is {now}, the file says {file}. Differences from what "
-        f"stands to the file: {changes}. Compare, then write version: {stands} into "
-        "the file, or use --replace.",
+        f"Record {record.name} is {current_text}, but the file has {file}. Differences "
+        f"between the stored record and the file: {changes}. Compare them, then set "
+        f"version: {current_version} in the file, or use --replace.",
         current,
         differences,
     )
 
 
-def _report(
+def _print_outcome(
     outcome: str,
     stored: StoredObject | None,
     differences: tuple[FieldDifference, ...],
@@ -248,19 +248,19 @@
     )
 
 
-def _as_file(stored: StoredObject) -> dict[str, Any]:
+def _to_file_content(stored: StoredObject) -> dict[str, Any]:
     body = dict(stored.body or {})
     body.pop("write_id", None)
     return {"name": stored.name, "version": stored.version, **body}
 
 
-def _parsed(stored: StoredObject) -> ServiceRecord | None:
+def _parse_record(stored: StoredObject) -> ServiceRecord | None:
     parsed = parse_service(stored.name, stored.version, stored.body or {})
     return parsed.value_or(None)
 
 
-def _summary(stored: StoredObject) -> tuple[Any, ...]:
-    record = _parsed(stored)
+def _to_cells(stored: StoredObject) -> tuple[Any, ...]:
+    record = _parse_record(stored)
     if record is None:
         schema = (stored.body or {}).get("schema_version", "?")
         return (stored.name, stored.version, schema, "not readable", "", "")
@@ -271,8 +271,8 @@
     )
 
 
-def _changes(client: PlatformClient) -> Iterator[StoredObject]:
-    """Yield changes from now on; lists again where the history has a gap."""
+def _iter_changes(client: PlatformClient) -> Iterator[StoredObject]:
+    """Yield changes from now on; list again if the history has a gap."""
     revision = value_of(client.list(SERVICE_KIND)).revision
     while True:
         try:
@@ -287,7 +287,7 @@
 
 def _print_change(event: StoredObject, as_json: bool) -> None:
     if as_json:
-        print_json({"deleted": event.deleted, **_as_file(event)}, indent=None)
+        print_json({"deleted": event.deleted, **_to_file_content(event)}, indent=None)
         return
     what = "deleted" if event.deleted else "changed"
     print_line(f"{time.strftime('%H:%M:%S')}  {event.name}  {what}  {event.version}")
--- a/endivepick/cli/status.py
+++ b/endivepick/cli/status.py
@@ -25,8 +25,9 @@
 _RECORD_HEADER = ("record", "accepted", "in force by zone", "not reached")
 _TARGET_HEADER = ("service", "target", "zone", "state", "owner", "load")
 _INSTANCE_HEADER = ("instance", "zone", "state", "age")
-ROWS_SHOWN = 100
-"""Rows of one table, first those that need a look; the others are counted."""
+DEFAULT_ROW_LIMIT = 100
+"""Maximum number of rows of a table; abnormal states come first, omitted rows are
+counted."""
 _MINUTE_S = 60
 _HOUR_S = 3600
 _DAY_S = 86400
@@ -37,17 +38,17 @@
 Row = TypeVar("Row")
 
 
-def show_status(platform: str, as_json: bool, limit: int = ROWS_SHOWN) -> None:
-    """Read the platform's objects and print what they say together.
+def show_status(platform: str, as_json: bool, limit: int = DEFAULT_ROW_LIMIT) -> None:
+    """Read the platform's objects and print the combined status.
 
     Parameters
     ----------
     platform : str
         host:port of the object API.
     as_json : bool
-        Print JSON, always with all rows.
+        Print JSON with all rows.
     limit : int
-        Rows of one table; 0 for all.
+        Maximum number of rows of each table; 0 for all.
     """
     with platform_client(platform) as client:
         listed = value_of(client.instances())
@@ -65,20 +66,20 @@
 
 
 def _print_view(view: SystemView, limit: int) -> None:
-    records = _cut(view.records, limit, _record_state)
+    records = _limit_rows(view.records, limit, _record_state)
     print_table(_RECORD_HEADER, [_record_cells(row) for row in records])
     for row in records:
         for zone, reason in row.refused.items():
             print_line(f"{row.record}: refused in {zone}, {reason}")
-    _print_rest(view.records, records, _record_state)
+    _print_omitted_counts(view.records, records, _record_state)
     print_line("")
-    targets = _cut(view.targets, limit, _target_state)
+    targets = _limit_rows(view.targets, limit, _target_state)
     print_table(_TARGET_HEADER, [_target_cells(row) for row in targets])
-    _print_rest(view.targets, targets, _target_state)
+    _print_omitted_counts(view.targets, targets, _target_state)
     print_line("")
-    instances = _cut(view.instances, limit, _instance_state)
+    instances = _limit_rows(view.instances, limit, _instance_state)
     print_table(_INSTANCE_HEADER, [_instance_cells(row) for row in instances])
-    _print_rest(view.instances, instances, _instance_state)
+    _print_omitted_counts(view.instances, instances, _instance_state)
 
 
 def _record_state(row: RecordRow) -> str:
@@ -95,14 +96,16 @@
     return row.state
 
 
-def _cut(rows: Sequence[Row], limit: int, state: Callable[[Row], str]) -> Sequence[Row]:
-    """Return at most so many rows, first those that need a look."""
+def _limit_rows(
+    rows: Sequence[Row], limit: int, state: Callable[[Row], str]
+) -> Sequence[Row]:
+    """Return at most ``limit`` rows, those with abnormal states first."""
     if not limit or len(rows) <= limit:
         return rows
     return sorted(rows, key=lambda row: state(row) in _NORMAL_STATES)[:limit]
 
 
-def _print_rest(
+def _print_omitted_counts(
     rows: Sequence[Row], shown: Sequence[Row], state: Callable[[Row], str]
 ) -> None:
     if len(shown) == len(rows):
@@ -125,10 +128,10 @@
 
 
 def _instance_cells(row: InstanceRow) -> tuple[str, ...]:
-    return (row.instance, row.zone, row.state, _age_text(row.age_s))
+    return (row.instance, row.zone, row.state, _format_age(row.age_s))
 
 
-def _age_text(age_s: float | None) -> str:
+def _format_age(age_s: float | None) -> str:
     if age_s is None:
         return "-"
     if age_s < _MINUTE_S:
--- a/endivepick/cli/status_view.py
+++ b/endivepick/cli/status_view.py
@@ -1,4 +1,4 @@
-"""What operators see of the system, joined from the platform's objects."""
+"""System status for operators, joined from the platform's objects."""
 
 from collections.abc import Iterable, Mapping, Sequence
 from dataclasses import dataclass, field
@@ -18,8 +18,8 @@
 ]
 
 
-_BELIEVED_ALIVE = "alive"
-"""State of an instance that others believe in, and that has told nothing lately."""
+_ALIVE_STATE = "alive"
+"""State of an instance that peers consider alive but that has not reported lately."""
 
 
 class _Refused(msgspec.Struct, frozen=True):
@@ -46,7 +46,7 @@
 
 
 class _ZoneStatus(msgspec.Struct, frozen=True):
-    """Body of a status object; fields that are not known here are left out."""
+    """Body of a status object; unknown fields are ignored."""
 
     zone: str = ""
     group: int = 0
@@ -61,16 +61,16 @@
 
 @dataclass(frozen=True)
 class RecordRow:
-    """One record: what was accepted and where it is in force.
+    """One record: its accepted version and the version in force by zone.
 
     Attributes
     ----------
     in_force : mapping of str to int
-        Version in force by zone; 0 if the zone has reported none.
+        Version in force by zone; 0 if the zone has not reported one.
     not_reached : sequence of str
-        Zones in which an older version may still be in force.
+        Zones where an older version may still be in force.
     refused : mapping of str to str
-        Reason by zone, where the version was refused.
+        Reason by zone that refused a version.
     """
 
     record: str
@@ -82,7 +82,7 @@
 
 @dataclass(frozen=True)
 class TargetRow:
-    """One target of a record, as its owner sees it."""
+    """One target of a record, as reported by its owner."""
 
     service: str
     target: str
@@ -106,7 +106,7 @@
 
 @dataclass(frozen=True)
 class SystemView:
-    """Everything that the status command shows."""
+    """Rows of all tables of the status command."""
 
     records: Sequence[RecordRow]
     targets: Sequence[TargetRow]
@@ -115,16 +115,16 @@
 
 @dataclass(frozen=True)
 class StatusSources:
-    """Answers of the platform that a view is made from.
+    """Answers of the platform from which the view is built.
 
     Attributes
     ----------
     services, statuses : sequence of StoredObject
-        Records, and the status object of each zone.
+        Service records, and the status objects of the zones and their groups.
     instances : sequence of ListedInstance
-        The platform's list.
+        The platform's list of instances.
     now_s : float
-        Present time in seconds since 1970, for ages.
+        Current time in seconds since 1970, used for ages.
     """
 
     services: Sequence[StoredObject]
@@ -134,30 +134,34 @@
 
 
 def view_system(sources: StatusSources) -> SystemView:
-    """Join the sources.
+    """Join the sources into one view.
 
-    Where two zones report the same target, the newest status counts: a zone that is
-    cut off or gone leaves its last one behind.
+    If two zones report the same target, the newest status is used, because a zone that
+    is partitioned or removed leaves an outdated status in the platform.
     """
     oldest_first = sorted(sources.statuses, key=lambda stored: stored.version)
-    objects = [(stored.name, _zone_status(stored)) for stored in oldest_first]
+    objects = [(stored.name, _decode_zone_status(stored)) for stored in oldest_first]
     zones = {name: status for name, status in objects if not status.group}
-    parts = list(_parts(objects, zones))
+    parts = list(_select_current_parts(objects, zones))
     listed_zones = {instance.zone for instance in sources.instances}
     expected = sorted(listed_zones or zones)
     return SystemView(
-        [_record_row(stored, zones, expected) for stored in _by_name(sources.services)],
-        list(_target_rows(sources.services, parts)),
-        list(_instance_rows(sources, parts)),
+        [
+            _make_record_row(stored, zones, expected)
+            for stored in _sort_by_name(sources.services)
+        ],
+        list(_make_target_rows(sources.services, parts)),
+        list(_make_instance_rows(sources, parts)),
     )
 
 
-def _parts(
+def _select_current_parts(
     objects: Iterable[tuple[str, _ZoneStatus]], zones: Mapping[str, _ZoneStatus]
 ) -> Iterable[tuple[str, _ZoneStatus]]:
-    """Yield the objects with rows that count, each with the name of its zone.
+    """Yield the current status objects, each with the name of its zone.
 
-    Those of groups that the zone no longer has are left behind in the platform.
+    Objects of groups that the zone no longer has remain in the platform and are
+    skipped.
     """
     for name, status in objects:
         if not status.group:
@@ -166,54 +170,60 @@
             yield status.zone, status
 
 
-def _by_name(objects: Sequence[StoredObject]) -> list[StoredObject]:
+def _sort_by_name(objects: Sequence[StoredObject]) -> list[StoredObject]:
     return sorted(objects, key=lambda stored: stored.name)
 
 
-def _zone_status(stored: StoredObject) -> _ZoneStatus:
-    """Read a status object; one that cannot be read counts as no report."""
+def _decode_zone_status(stored: StoredObject) -> _ZoneStatus:
+    """Decode a status object; an invalid one counts as an empty report."""
     try:
         return msgspec.convert(dict(stored.body or {}), _ZoneStatus)
     except msgspec.ValidationError:
         return _ZoneStatus()
 
 
-def _record_row(
+def _make_record_row(
     stored: StoredObject, zones: Mapping[str, _ZoneStatus], expected: Sequence[str]
 ) -> RecordRow:
     in_force, refused = {}, {}
     for zone in expected:
         status = zones.get(zone, _ZoneStatus())
         part = status.records.get(stored.name, _RecordPart())
-        in_force[zone] = _in_force(stored.version, part, status.in_force_up_to)
+        in_force[zone] = _find_version_in_force(
+            stored.version, part, status.in_force_up_to
+        )
         if part.refused is not None:
             refused[zone] = f"version {part.refused.version}: {part.refused.reason}"
     behind = [zone for zone, version in in_force.items() if version < stored.version]
     return RecordRow(stored.name, stored.version, in_force, behind, refused)
 
 
-def _in_force(accepted: int, part: _RecordPart, floor: int) -> int:
-    """Return the version in force; a long list has no row for what is in force."""
+def _find_version_in_force(accepted: int, part: _RecordPart, floor: int) -> int:
+    """Return the version in force.
+
+    Large zones omit the rows of records in force; the versions up to ``floor`` are in
+    force unless refused.
+    """
     if part.refused is None and accepted <= floor:
         return max(accepted, part.in_force)
     return part.in_force
 
 
-def _target_rows(
+def _make_target_rows(
     services: Sequence[StoredObject], parts: Sequence[tuple[str, _ZoneStatus]]
 ) -> Iterable[TargetRow]:
     reports = {
         name: part for _, status in parts for name, part in status.targets.items()
     }
-    for stored in _by_name(services):
+    for stored in _sort_by_name(services):
         record = parse_service(stored.name, stored.version, stored.body or {})
         parsed = record.value_or(None)
         for target in parsed.targets if parsed else ():
             part = reports.get(f"{stored.name}/{target.name}")
-            yield _target_row(stored.name, target.name, target.zone, part)
+            yield _make_target_row(stored.name, target.name, target.zone, part)
 
 
-def _target_row(
+def _make_target_row(
     service: str, target: str, zone: str, part: _TargetPart | None
 ) -> TargetRow:
     known = part or _TargetPart(owner="", state="not reported")
@@ -221,11 +231,11 @@
     return TargetRow(service, target, zone, known.state, known.owner, *load)
 
 
-def _instance_rows(
+def _make_instance_rows(
     sources: StatusSources, parts: Sequence[tuple[str, _ZoneStatus]]
 ) -> Iterable[InstanceRow]:
     listed = {instance.name: instance for instance in sources.instances}
-    reported = _reported_instances(parts)
+    reported = _collect_instances(parts)
     for name in sorted(listed.keys() | reported.keys()):
         zone, part = reported.get(name, ("", _InstancePart()))
         state = part.state
@@ -239,24 +249,24 @@
         yield InstanceRow(name, zone, state, age_s)
 
 
-def _reported_instances(
+def _collect_instances(
     parts: Sequence[tuple[str, _ZoneStatus]],
 ) -> dict[str, tuple[str, _InstancePart]]:
     """Return zone and newest row of each instance.
 
-    While writers disagree about the groups, an instance stands in two objects; a row
-    that it told itself goes before one that only says that others believe in it.
+    While writers disagree about the groups, an instance may appear in two objects.  Its
+    own report then takes precedence over the state that its peers assume.
     """
     reported: dict[str, tuple[str, _InstancePart]] = {}
     for zone, status in parts:
         for name, part in status.instances.items():
             known = reported.get(name)
-            if known is None or _is_told(part) >= _is_told(known[1]):
+            if known is None or _report_rank(part) >= _report_rank(known[1]):
                 reported[name] = (zone, part)
     return reported
 
 
-def _is_told(part: _InstancePart) -> tuple[bool, bool]:
-    """Tell whether the state, and whether the start, come from the instance itself."""
+def _report_rank(part: _InstancePart) -> tuple[bool, bool]:
+    """Return whether state and start time were reported by the instance itself."""
     is_known = part.started_at_s is not None
-    return is_known and part.state != _BELIEVED_ALIVE, is_known
+    return is_known and part.state != _ALIVE_STATE, is_known
--- a/endivepick/cli/tests/_status_zone.py
+++ b/endivepick/cli/tests/_status_zone.py
@@ -1,4 +1,4 @@
-"""A zone of status writers over a store with conditional writes, in made-up time."""
+"""Simulated zone of status writers, with a conditional store and simulated time."""
 
 import random
 
@@ -35,17 +35,17 @@
 DAY_S = 86_400.0
 
 
-class Node:
-    """One instance: its beliefs are set by the test."""
+class SimulatedInstance:
+    """One instance, whose view of the members is set by the test."""
 
     def __init__(self, name, members, records):
         self.name = name
         self.records = records
-        self.believe(members)
+        self.set_members(members)
         self.load = 0
         self.status = ZoneStatus(SETTINGS, name, ZONE, self)
 
-    def believe(self, members):
+    def set_members(self, members):
         self.members = tuple(members)
         peers = [InstanceView(n, ZONE, 1, "", PeerState.ALIVE) for n in members]
         self._roles = zone_roles(ZONE, peers, DisseminationSettings())
@@ -78,10 +78,10 @@
         return StatusView(records, report, members, states, shown)
 
 
-class StatusZone:
-    """Nodes, the store, and what an operator would see.
+class SimulatedStatusZone:
+    """Instances, the store, and the status shown to an operator.
 
-    Services have one target each and are named like the instance that owns it.
+    Each service has one target and is named after the instance that owns it.
     """
 
     def __init__(self, names):
@@ -102,23 +102,27 @@
             parse_service(stored.name, stored.version, stored.body).unwrap()
             for stored in self.services
         ]
-        self.nodes = {name: Node(name, names, self.records) for name in names}
+        self.nodes = {
+            name: SimulatedInstance(name, names, self.records) for name in names
+        }
 
-    def believe(self, members, names=None):
-        """Let nodes believe in these members."""
+    def set_members(self, members, names=None):
+        """Set the members that the instances assume."""
         for name in names or members:
-            self.nodes[name].believe(members)
+            self.nodes[name].set_members(members)
 
     def run(self, duration_s, check=None):
         for _ in range(round(duration_s / STEP_S)):
             self.now_s += STEP_S
             for node in list(self.nodes.values()):
                 node.load += self.random.random() < 0.1
-                self._act(node, node.status.tick(self.random.random(), self.now_s))
+                self._perform_actions(
+                    node, node.status.tick(self.random.random(), self.now_s)
+                )
             if check:
                 check()
 
-    def _act(self, node, actions):
+    def _perform_actions(self, node, actions):
         for action in actions:
             match action:
                 case SendToPeer(name, part):
@@ -150,7 +154,7 @@
                 return ObjectWritten(stored)
 
     def shown(self):
-        """Return what the status command makes of the store."""
+        """Return the view that the status command shows of the store."""
         listed = [
             ListedInstance(name, ZONE, "127.0.0.1:1", "127.0.0.1:2", "live")
             for name in self.nodes
--- a/endivepick/cli/tests/support.py
+++ b/endivepick/cli/tests/support.py
@@ -45,8 +45,8 @@
     return Outcome(int(code), out.getvalue(), err.getvalue())
 
 
-class _DiesInAWrite(BaseHTTPRequestHandler):
-    """Knows no object, and answers nothing any more once a write has come."""
+class _UnresponsiveAfterWriteHandler(BaseHTTPRequestHandler):
+    """Reports every object as missing, and sends no answer from the first write on."""
 
     def do_GET(self):
         if not self.server.written:
@@ -60,8 +60,10 @@
 
 
 @contextlib.contextmanager
-def platform_that_dies_in_a_write():
-    with ThreadingHTTPServer(("127.0.0.1", 0), _DiesInAWrite) as server:
+def platform_unresponsive_after_write():
+    with ThreadingHTTPServer(
+        ("127.0.0.1", 0), _UnresponsiveAfterWriteHandler
+    ) as server:
         server.written = False
         threading.Thread(target=server.serve_forever, daemon=True).start()
         yield f"127.0.0.1:{server.server_port}"
@@ -69,7 +71,7 @@
 
 
 class PlatformCase(unittest.TestCase):
-    """Commands against the platform stand-in in a process of its own."""
+    """Runs commands against the platform stand-in in a separate process."""
 
     def setUp(self):
         self.folder = Path(self.enterContext(tempfile.TemporaryDirectory()))
--- a/endivepick/cli/tests/test_drain_cluster.py
+++ b/endivepick/cli/tests/test_drain_cluster.py
@@ -28,7 +28,7 @@
         self.finish()
         self.assertEqual(len(self.cluster.instances), 2)
         replacement = self.cluster.start_instance(NAME)
-        # A later change of a record comes the same way as the old wish did.
+        # This change arrives over the same path as the earlier stop request.
         written = self.cluster.drain_target("sessions", "sessions-2")
         wait_in_force(self.cluster, "sessions", written["version"])
         self.assertTrue(replacement.process.running)
--- a/endivepick/cli/tests/test_forwarder.py
+++ b/endivepick/cli/tests/test_forwarder.py
@@ -56,7 +56,7 @@
         self.assertIn("fine for forwarder front-1 in hall", outcome.out)
         self.assertNotIn("off", outcome.out)
 
-    def test_mechanisms_that_are_off_are_named(self):
+    def test_disabled_mechanisms_are_listed(self):
         outcome = self.good(mechanisms={"hints": False})
         self.assertIn("off: hints", outcome.out)
 
@@ -67,9 +67,9 @@
 
 
 class TestStatus(unittest.TestCase):
-    def test_beliefs_are_shown_with_their_age(self):
+    def test_target_states_are_shown_with_their_duration(self):
         body = json.dumps(STATUS).encode()
-        # The command blocks, so the server needs a process of its own to answer.
+        # The command blocks this process, so the server runs in a separate one.
         code = (
             "import gevent, sys\n"
             "from endivepick.forwarder.http import Response, http_server\n"
@@ -92,7 +92,7 @@
         as_json = run_command("forwarder", "status", address, "--json")
         self.assertEqual(json.loads(as_json.out), STATUS)
 
-    def test_nobody_answers(self):
+    def test_unreachable_forwarder(self):
         outcome = run_command("forwarder", "status", "127.0.0.1:1")
         self.assertEqual(outcome.code, ExitCode.FAILURE)
         self.assertIn("metrics address", outcome.err)
@@ -123,7 +123,7 @@
             events, ["flow_placed", "target_probed", "store_lost", "flow_reset"]
         )
 
-    def test_a_flow_that_no_line_names(self):
+    def test_unknown_flow(self):
         outcome = self.trace(line(1, "a", "start", "ready"))
         self.assertEqual(outcome.code, ExitCode.NOT_FOUND)
         self.assertIn("logs of all forwarders", outcome.err)
--- a/endivepick/cli/tests/test_main.py
+++ b/endivepick/cli/tests/test_main.py
@@ -60,7 +60,7 @@
                     self.assertIn("\nendivepick ", inspect.getdoc(member))
 
     def test_codes_of_call_are_those_of_the_client(self):
-        # There is one set of codes: nothing can differ.
+        # Both use the same enumeration, so that the codes cannot differ.
         self.assertIs(command.ExitCode, ExitCode)
 
     def test_call_without_an_answer(self):
--- a/endivepick/cli/tests/test_records.py
+++ b/endivepick/cli/tests/test_records.py
@@ -4,7 +4,7 @@
 from endivepick.cli.tests.support import (
     RECORD,
     PlatformCase,
-    platform_that_dies_in_a_write,
+    platform_unresponsive_after_write,
     run_command,
 )
 
@@ -57,7 +57,7 @@
         same = self.run_on_platform("records", "diff", self.record_file())
         self.assertEqual(same.code, ExitCode.OK)
 
-    def test_misspelt_option_is_refused_before_the_command_runs(self):
+    def test_unknown_option_is_rejected_before_the_command_runs(self):
         self.apply()
         for words in (
             ("records", "delete", "notes", "--verison=1"),
@@ -81,7 +81,7 @@
         self.assertEqual((key["key"], key["stage"]), (1, "current"))
         self.assertEqual(set(key), {"key", "stage", "created_at_s"})
 
-    def test_delete_holds_to_the_version(self):
+    def test_delete_requires_the_current_version(self):
         self.apply()
         stale = self.run_on_platform("records", "delete", "notes", "--version=0")
         self.assertEqual(stale.code, ExitCode.CONFLICT)
@@ -91,13 +91,13 @@
         again = self.run_on_platform("records", "delete", "notes")
         self.assertEqual(again.code, ExitCode.NOT_FOUND)
 
-    def test_write_whose_answer_was_lost_is_found_out(self):
+    def test_write_with_lost_answer_succeeds(self):
         self.platform.control(lose_answers=1)
         self.assertEqual(self.apply().code, ExitCode.OK)
         self.assertEqual(self.body()["affinity"], "flow")
 
-    def test_write_whose_outcome_stays_unknown(self):
-        with platform_that_dies_in_a_write() as address:
+    def test_write_with_unknown_outcome(self):
+        with platform_unresponsive_after_write() as address:
             path = self.record_file()
             refused = run_command("records", "apply", path, f"--platform={address}")
         self.assertEqual(refused.code, ExitCode.OUTCOME_UNKNOWN)
--- a/endivepick/cli/tests/test_run.py
+++ b/endivepick/cli/tests/test_run.py
@@ -48,7 +48,7 @@
 
 
 class RefusedSettingsTest(unittest.TestCase):
-    def test_daemon_and_command_line_end_alike(self):
+    def test_daemon_and_command_line_exit_with_the_same_code(self):
         with tempfile.TemporaryDirectory() as folder:
             path = Path(folder) / "entry.json5"
             path.write_text("{\n x: 1}")
--- a/endivepick/cli/tests/test_status.py
+++ b/endivepick/cli/tests/test_status.py
@@ -92,8 +92,8 @@
     }
 
 
-class StatusOfGroupsTest(PlatformCase):
-    """A zone whose rows are dealt to groups, each with an object of its own."""
+class GroupedStatusTest(PlatformCase):
+    """A zone whose rows are divided into groups, each with a separate object."""
 
     def setUp(self):
         super().setUp()
@@ -110,7 +110,7 @@
             "kumamoto.2",
             group(2, {"entry-2": started}, {"notes/notes-1": notes}),
         )
-        # Left behind when the zone was larger.
+        # Outdated object of a group from when the zone was larger.
         old = {"owner": "entry-8", "state": "cold", "slots": 2}
         self.platform.put(
             "status",
@@ -127,18 +127,18 @@
         self.assertEqual(row["not_reached"], [])
         self.assertEqual(row["in_force"], {"kumamoto": row["accepted"]})
 
-    def test_row_of_an_earlier_build_does_not_hide_the_floor(self):
+    def test_row_of_an_earlier_build_does_not_override_the_floor(self):
         row = {"accepted": 1, "in_force": 0}
         self.platform.put("status", "kumamoto", GROUPED | {"records": {"notes": row}})
         (shown,) = self.view()["records"]
         self.assertEqual(shown["not_reached"], [])
 
-    def test_record_above_the_floor_is_not(self):
+    def test_record_above_the_floor_is_not_in_force(self):
         self.platform.put("status", "kumamoto", GROUPED | {"in_force_up_to": 0})
         (row,) = self.view()["records"]
         self.assertEqual(row["not_reached"], ["kumamoto"])
 
-    def test_rows_of_all_groups_but_those_left_behind(self):
+    def test_rows_of_outdated_groups_are_skipped(self):
         view = self.view()
         self.assertEqual(view["targets"][0]["owner"], "entry-2")
         rows = {row["instance"]: row for row in view["instances"]}
@@ -146,7 +146,7 @@
         self.assertEqual({row["state"] for row in rows.values()}, {"ready"})
         self.assertEqual({row["zone"] for row in rows.values()}, {"kumamoto"})
 
-    def test_long_table_shows_what_needs_a_look_and_counts_the_rest(self):
+    def test_long_table_shows_abnormal_states_first_and_counts_omitted_rows(self):
         self.platform.put(
             "status", "kumamoto.1", group(1, {"entry-1": {"state": "leaving"}})
         )
--- a/endivepick/cli/tests/test_status_cluster.py
+++ b/endivepick/cli/tests/test_status_cluster.py
@@ -8,8 +8,8 @@
 from standins.shapes import SMALL
 
 
-class StatusOfAClusterTest(unittest.TestCase):
-    """What operators see of real instances, by what these write themselves."""
+class StatusClusterTest(unittest.TestCase):
+    """Status shown to operators, as written by real instances."""
 
     instance_settings = {}
 
@@ -75,8 +75,8 @@
         )
 
 
-class StatusOfAGroupedClusterTest(StatusOfAClusterTest):
-    """The same with the instances of each zone dealt to groups."""
+class GroupedStatusClusterTest(StatusClusterTest):
+    """The same tests with the instances of each zone divided into groups."""
 
     instance_settings = {"status": {"group_instances": 1}}
 
@@ -90,7 +90,7 @@
 
         wait_until(lambda: "north" in names() and len(names()) > 1, "two objects")
 
-    def test_instances_that_die_are_followed_as_writers(self):
+    def test_failed_writers_are_replaced(self):
         def ready():
             rows = self.view()["instances"]
             return {row["instance"] for row in rows if row["state"] == "ready"}
--- a/endivepick/cli/tests/test_status_zone.py
+++ b/endivepick/cli/tests/test_status_zone.py
@@ -1,7 +1,7 @@
 import unittest
 from collections import Counter
 
-from endivepick.cli.tests._status_zone import SETTINGS, ZONE, StatusZone
+from endivepick.cli.tests._status_zone import SETTINGS, ZONE, SimulatedStatusZone
 from endivepick.records.status_groups import group_number
 
 SETTLE_S = 60.0
@@ -12,13 +12,13 @@
 
 
 class StatusZoneTest(unittest.TestCase):
-    """What operators see of a zone while its writers change and disagree."""
+    """Status of a zone while its writers change and disagree."""
 
-    def assert_whole(self, zone, owners=None):
-        """Check that each record, target and instance is shown in full."""
+    def assert_complete(self, zone, owners=None):
+        """Assert that each record, target and instance is shown completely."""
         view = zone.shown()
-        lacking = [row.instance for row in view.instances if row.age_s is None]
-        self.assertEqual(lacking, [])
+        missing = [row.instance for row in view.instances if row.age_s is None]
+        self.assertEqual(missing, [])
         self.assertEqual({row.state for row in view.instances}, {"ready"})
         owned = {row.service: row.owner for row in view.targets}
         expected = owners if owners is not None else zone.nodes
@@ -28,25 +28,25 @@
         late = [row.record for row in view.records if row.not_reached]
         self.assertEqual(late, [])
 
-    def settled(self, count):
-        zone = StatusZone(names(count))
+    def make_settled_zone(self, count):
+        zone = SimulatedStatusZone(names(count))
         zone.run(SETTLE_S)
-        self.assert_whole(zone)
+        self.assert_complete(zone)
         return zone
 
-    def test_zone_of_today_has_one_object(self):
-        zone = self.settled(8)
+    def test_small_zone_has_one_object(self):
+        zone = self.make_settled_zone(8)
         self.assertEqual(set(zone.objects), {ZONE})
 
-    def test_large_zone_is_shown_whole_by_objects_of_bounded_size(self):
-        zone = self.settled(100)
+    def test_large_zone_is_complete_in_objects_of_bounded_size(self):
+        zone = self.make_settled_zone(100)
         self.assertEqual(len(zone.objects), 1 + 13)
         rows = [len(stored.body["instances"]) for stored in zone.objects.values()]
         self.assertLessEqual(max(rows), 3 * SETTINGS.group_instances)
         self.assertEqual(zone.objects[ZONE].body["records"], {})
 
     def test_rate_of_writes_is_bounded(self):
-        zone = self.settled(60)
+        zone = self.make_settled_zone(60)
         start_s = zone.now_s
         zone.run(120.0)
         late = [(name, size) for at_s, name, size in zone.written if at_s > start_s]
@@ -59,8 +59,8 @@
             self.assertLessEqual(size, allowed, name)
         self.assertGreater(len(total), 2)
 
-    def test_dead_writers_are_followed_by_others(self):
-        zone = self.settled(40)
+    def test_dead_writers_are_replaced(self):
+        zone = self.make_settled_zone(40)
         some = next(iter(zone.nodes.values()))
         writers = {node.group.writer for node in zone.nodes.values()}
         writers.add(some.status_writer)
@@ -68,43 +68,43 @@
             del zone.nodes[name]
         left = list(zone.nodes)
         zone.run(2.0)
-        zone.believe(left)
-        # Rows of the living stay while the new writers do not know their parts yet.
-        zone.run(SETTLE_S, check=lambda: self.assert_rows_stay(zone, left))
+        zone.set_members(left)
+        # Rows of live instances must stay until the new writers have their reports.
+        zone.run(SETTLE_S, check=lambda: self.assert_rows_complete(zone, left))
         zone.run(SETTLE_S)
         self.assertEqual(
             {row.instance for row in zone.shown().instances} - set(left), set()
         )
-        self.assert_whole(zone, left)
+        self.assert_complete(zone, left)
 
-    def assert_rows_stay(self, zone, members):
+    def assert_rows_complete(self, zone, members):
         rows = {row.instance: row for row in zone.shown().instances}
-        lacking = [name for name in members if rows[name].age_s is None]
-        self.assertEqual(lacking, [])
+        missing = [name for name in members if rows[name].age_s is None]
+        self.assertEqual(missing, [])
         owners = {row.service: row.owner for row in zone.shown().targets}
         lost = [name for name in members if owners[name] != name]
         self.assertEqual(lost, [])
 
-    def test_two_halves_that_disagree_for_a_while_lose_nothing(self):
+    def test_no_row_is_lost_while_views_of_members_differ(self):
         for count in (8, 9, 40):
             with self.subTest(instances=count):
-                zone = self.settled(count)
+                zone = self.make_settled_zone(count)
                 everyone = list(zone.nodes)
                 writer = zone.nodes[everyone[0]].status_writer
                 without = [name for name in everyone if name != writer]
                 half = without[: count // 2]
 
                 def check(zone=zone, members=without):
-                    self.assert_rows_stay(zone, members)
+                    self.assert_rows_complete(zone, members)
 
-                zone.believe(without, half)
+                zone.set_members(without, half)
                 zone.run(25.0, check)
-                zone.believe(everyone, half)
+                zone.set_members(everyone, half)
                 zone.run(SETTLE_S, check)
-                self.assert_whole(zone)
+                self.assert_complete(zone)
 
-    def test_instance_that_sees_other_groups_is_shown_all_the_same(self):
-        zone = self.settled(40)
+    def test_instance_with_different_view_of_groups_is_shown(self):
+        zone = self.make_settled_zone(40)
         everyone = list(zone.nodes)
         writer = zone.nodes[everyone[0]].status_writer
         node = next(
@@ -114,26 +114,26 @@
         )
         others = [name for name in everyone if name not in (writer, node.name)]
         for seen in (8, 24):
-            node.believe([writer, node.name, *others[: seen - 2]])
+            node.set_members([writer, node.name, *others[: seen - 2]])
             zone.run(150.0)
-            self.assert_whole(zone)
+            self.assert_complete(zone)
 
-    def test_zone_that_grows_and_shrinks_by_a_group_loses_no_row(self):
-        zone = self.settled(16)
+    def test_no_row_is_lost_when_the_number_of_groups_changes(self):
+        zone = self.make_settled_zone(16)
         everyone = list(zone.nodes)
         staying = everyone[:8]
         for members in (staying, everyone, staying, everyone):
-            zone.believe(members, everyone)
-            zone.run(SETTLE_S, check=lambda: self.assert_rows_stay(zone, staying))
-        self.assert_whole(zone)
+            zone.set_members(members, everyone)
+            zone.run(SETTLE_S, check=lambda: self.assert_rows_complete(zone, staying))
+        self.assert_complete(zone)
 
-    def test_outage_of_the_platform_is_followed_by_a_whole_status(self):
-        zone = self.settled(20)
+    def test_status_is_complete_after_a_platform_outage(self):
+        zone = self.make_settled_zone(20)
         zone.outage = True
         zone.run(120.0)
         zone.outage = False
         zone.run(SETTLE_S)
-        self.assert_whole(zone)
+        self.assert_complete(zone)
         before = zone.revision
         zone.run(30.0)
         self.assertGreater(zone.revision, before)
--- a/endivepick/cli/timeline.py
+++ b/endivepick/cli/timeline.py
@@ -1,4 +1,4 @@
-"""Command that merges the logs of all processes."""
+"""Command that merges logs into a timeline."""
 
 from collections.abc import Iterator
 from datetime import UTC, datetime
@@ -20,12 +20,12 @@
 
 __all__ = ["TimelineOptions", "show_timeline"]
 
-_LOG_PATTERN = "*.jsonl"
+_LOG_FILE_PATTERN = "*.jsonl"
 _FORMATS = ("text", "json", "html")
 
 
 class TimelineOptions:
-    """Filter and format as given on the command line, all as text."""
+    """Filter and format, parsed from the text of the command-line options."""
 
     def __init__(
         self,
@@ -41,21 +41,21 @@
             message = f"--format: use one of {', '.join(_FORMATS)}."
             raise CommandError(message, ExitCode.USAGE)
         self.format = format
-        # Flows of forwarders go by their addresses.
+        # Flows of forwarders are identified by addresses, those of instances by id.
         flow_key = flow if "." in flow else ""
         with option_values("--flow"):
-            flow_id = None if flow_key else _flow_id(flow)
+            flow_id = None if flow_key else _parse_flow_id(flow)
         with option_values("--request"):
             key = RequestKey.parse(request) if request else None
         with option_values("--since or --until"):
-            since_s, until_s = _time_s(since), _time_s(until)
+            since_s, until_s = _parse_time_s(since), _parse_time_s(until)
         self.filter = EventFilter(
             *(flow_id, key, target or None, record or None, since_s, until_s),
             flow_key,
         )
 
 
-def _flow_id(text: str) -> int | None:
+def _parse_flow_id(text: str) -> int | None:
     try:
         return int(text, 16) if text else None
     except ValueError:
@@ -63,30 +63,34 @@
         raise ValueError(message) from None
 
 
-def _time_s(text: str) -> float | None:
-    """Read seconds since 1970 or an ISO time, which is UTC unless it says else."""
+def _parse_time_s(text: str) -> float | None:
+    """Parse seconds since 1970 or an ISO time, which is UTC without an offset."""
     if not text:
         return None
     try:
         return float(text)
     except ValueError:
-        moment = _moment(text)
+        moment = _parse_iso_time(text)
     zoned = moment if moment.tzinfo else moment.replace(tzinfo=UTC)
     return zoned.timestamp()
 
 
-def _moment(text: str) -> datetime:
+def _parse_iso_time(text: str) -> datetime:
     try:
         return datetime.fromisoformat(text)
     except ValueError:
-        raise ValueError("write seconds or a time as 2026-07-01T02:00:00") from None
+        raise ValueError(
+            "write seconds since 1970 or a time such as 2026-07-01T02:00:00"
+        ) from None
 
 
 def show_timeline(paths: tuple[str, ...], options: TimelineOptions, out: str) -> None:
-    """Merge logs and print them, or write them to a file."""
-    logs = list(_log_files(paths))
+    """Merge logs and print the timeline or write it to a file."""
+    logs = list(_find_log_files(paths))
     if not logs:
-        message = f"No logs found. Name log files, or folders with {_LOG_PATTERN}."
+        message = (
+            f"No logs found. Name log files, or directories with {_LOG_FILE_PATTERN}."
+        )
         raise CommandError(message, ExitCode.USAGE)
     try:
         timeline = select_events(merge_logs(logs), options.filter)
@@ -99,10 +103,10 @@
         raise CommandError(f"{error}. Check the path.", ExitCode.FAILURE) from error
 
 
-def _log_files(paths: tuple[str, ...]) -> Iterator[Path]:
+def _find_log_files(paths: tuple[str, ...]) -> Iterator[Path]:
     for path in map(Path, paths):
         if path.is_dir():
-            yield from sorted(path.rglob(_LOG_PATTERN))
+            yield from sorted(path.rglob(_LOG_FILE_PATTERN))
         else:
             yield path
 
--- a/endivepick/cli/writing.py
+++ b/endivepick/cli/writing.py
@@ -1,4 +1,4 @@
-"""Conditional writes of the command line."""
+"""Conditional writes of the commands."""
 
 import uuid
 from collections.abc import Callable, Mapping
@@ -18,17 +18,19 @@
 
 @dataclass(frozen=True)
 class ObjectName:
-    """Kind and name of an object."""
+    """Kind and name that identify an object."""
 
     kind: str
     name: str
 
 
 def read_object(client: PlatformClient, name: ObjectName) -> StoredObject:
-    """Read an object that must exist."""
+    """Read an object; raise CommandError if it does not exist."""
     stored = value_of(client.get(name.kind, name.name))
     if stored is None:
-        message = f"There is no {name.kind} {name.name}. Look with: records list."
+        message = (
+            f"There is no {name.kind} {name.name}. List records with: records list."
+        )
         raise CommandError(message, ExitCode.NOT_FOUND)
     return stored
 
@@ -39,7 +41,7 @@
     body: Mapping[str, Any],
     base: StoredObject | None,
 ) -> StoredObject:
-    """Write a body over the version that was read; None if there was no object."""
+    """Replace the version ``base`` by a body; None creates the object."""
     content = {**body, "write_id": uuid.uuid4().hex}
     return value_of(
         client.put(
@@ -57,22 +59,22 @@
     name: ObjectName,
     change: Callable[[StoredObject | None], Mapping[str, Any] | None],
 ) -> StoredObject | None:
-    """Read, change and write; again if somebody else was first.
+    """Read, change and write an object; retry after a conflict with another writer.
 
     Parameters
     ----------
     client : PlatformClient
-        Connection.
+        Client of the object API.
     name : ObjectName
-        The object.
+        Kind and name of the object.
     change : callable
-        Gets what stands and gives the new body; None if nothing has to change.
-        It must be right whatever others changed.
+        Takes the stored object and returns the new body, or None if no change is
+        needed.  It must be valid for any change that other writers made.
 
     Returns
     -------
     StoredObject or None
-        The version written, or what stood if nothing had to change.
+        The written version, or the stored object if no change was needed.
     """
     for attempt in range(_UPDATE_ATTEMPTS):
         current = value_of(client.get(name.kind, name.name))
@@ -84,4 +86,4 @@
         except RecordConflictError:
             if attempt == _UPDATE_ATTEMPTS - 1:
                 raise
-    raise AssertionError("The last attempt returns or raises.")
+    raise AssertionError("the last attempt returned no result and raised no conflict")
--- a/endivepick/clock.py
+++ b/endivepick/clock.py
@@ -1,4 +1,4 @@
-"""The clock that the times of forwarders and store connections are read from."""
+"""Monotonic clock used by forwarders and store connections."""
 
 import time
 
@@ -6,5 +6,5 @@
 
 
 def steady_now_s() -> float:
-    """Return a time that never goes back and counts while the machine sleeps."""
+    """Return monotonic time that also advances while the machine is suspended."""
     return time.clock_gettime(time.CLOCK_BOOTTIME)
--- a/endivepick/errors.py
+++ b/endivepick/errors.py
@@ -1,4 +1,4 @@
-"""Errors and warnings of the package; each message names the remedy."""
+"""Exceptions of the package; each message states the remedy."""
 
 __all__ = [
     "ChartError",
@@ -16,7 +16,7 @@
 
 
 class EndivepickError(Exception):
-    """Base of all errors of this package."""
+    """Base class of all exceptions of this package."""
 
 
 class ChartError(EndivepickError):
@@ -24,12 +24,12 @@
 
 
 class PacketInvalidError(EndivepickError):
-    """A datagram is not a packet of this protocol.
+    """A datagram is not a valid packet of this protocol.
 
     Parameters
     ----------
     reason : str
-        Short name of the fault, used as a metric label.
+        Short name of the error, used as a metric label.
     remedy : str
         What the sender has to change.
     """
@@ -45,7 +45,7 @@
     Parameters
     ----------
     reason : str
-        Short name of the fault, used as a metric label.
+        Short name of the error, used as a metric label.
     remedy : str
         What the caller has to do.
     """
@@ -56,18 +56,18 @@
 
 
 class SettingsInvalidError(EndivepickError):
-    """A settings file is refused; the message names line, key and remedy."""
+    """A settings file is invalid; the message states line, key and remedy."""
 
 
 class RecordInvalidError(EndivepickError):
-    """A record is refused; the message names field and remedy.
+    """A record is invalid; the message states the field and the remedy.
 
     Parameters
     ----------
     message : str
         Record, field and remedy.
     field : str, default=""
-        Path of the field in the record, empty if the record as a whole is refused.
+        Path of the field in the record; empty if the record as a whole is invalid.
     """
 
     def __init__(self, message: str, field: str = "") -> None:
@@ -76,17 +76,17 @@
 
 
 class RecordConflictError(EndivepickError):
-    """Another writer changed the record first; nothing was written.
+    """A conditional write failed because another writer changed the record.
 
     Parameters
     ----------
     message : str
         What changed, and the remedy.
     current : object, default=None
-        The ``StoredObject`` that stands now, None if there is none.
+        The currently stored ``StoredObject``; None if there is none.
     differences : tuple, default=()
-        ``FieldDifference`` items from the version that the writer read to the
-        present one.
+        ``FieldDifference`` items between the version that the writer read and the
+        current one.
     """
 
     def __init__(
@@ -98,14 +98,14 @@
 
 
 class PlatformUnavailableError(EndivepickError):
-    """The object API did not take the call; nothing was written.
+    """The object API did not accept the call; nothing was written.
 
     Parameters
     ----------
     message : str
         Cause and remedy.
     retry_after_s : float, default=None
-        When the platform asked to come back, in seconds.
+        Delay before the next attempt that the platform requested, in seconds.
     """
 
     def __init__(self, message: str, retry_after_s: float | None = None) -> None:
@@ -114,12 +114,12 @@
 
 
 class PlatformAnswerError(EndivepickError):
-    """The object API refused a call or gave an answer outside its contract."""
+    """The object API rejected a call or sent an answer that violates its contract."""
 
 
 class WatchExpiredError(EndivepickError):
-    """The platform no longer has the changes after this revision: list again."""
+    """The platform no longer stores the changes after this revision: list again."""
 
 
 class WriteOutcomeUnknownError(EndivepickError):
-    """The answer to a write was lost and reading back did not tell its outcome."""
+    """The answer to a write was lost and reading back did not show its outcome."""
--- a/endivepick/platform/_http.py
+++ b/endivepick/platform/_http.py
@@ -1,4 +1,4 @@
-"""Calls to the object API by their paths and contents."""
+"""HTTP transport of the object API client."""
 
 import json
 from collections.abc import Mapping
@@ -8,16 +8,16 @@
 from endivepick.platform.settings import PlatformSettings
 from endivepick.store import CallLimits, CallOutcome, StoreCall, StorePool
 
-__all__ = ["HttpCaller"]
+__all__ = ["HttpTransport"]
 
 
-class HttpCaller:
-    """Paths, queries and bodies of the object API.
+class HttpTransport:
+    """Sends calls with path, query and JSON body to the object API.
 
     Parameters
     ----------
     settings : PlatformSettings
-        Address and limits.
+        Address and timeouts.
     """
 
     def __init__(self, settings: PlatformSettings) -> None:
@@ -34,24 +34,26 @@
         body: Any = None,
         wait_s: float = 0.0,
     ) -> CallOutcome:
-        """Make one call; ``wait_s`` is how long the platform may hold it."""
-        data = b"" if body is None else json.dumps(body).encode()
-        limit_s = self._settings.call_timeout_s + wait_s
-        # An answer that drips in must not hold the task for ever.
+        """Make one call; ``wait_s`` is how long the platform may delay its answer."""
+        request_body = b"" if body is None else json.dumps(body).encode()
+        timeout_s = self._settings.call_timeout_s + wait_s
+        # The total timeout ends a call whose answer arrives in small pieces.
         limits = CallLimits(
-            begin_s=limit_s,
-            pause_s=limit_s,
+            begin_s=timeout_s,
+            pause_s=timeout_s,
             connect_s=self._settings.connect_timeout_s,
-            whole_s=limit_s,
+            whole_s=timeout_s,
+        )
+        return self._pool.call(
+            StoreCall(method, _build_path(path, query), request_body), limits
         )
-        return self._pool.call(StoreCall(method, _path(path, query), data), limits)
 
     def close(self) -> None:
         """Close all connections."""
         self._pool.close()
 
 
-def _path(path: list[str], query: Mapping[str, Any] | None) -> str:
+def _build_path(path: list[str], query: Mapping[str, Any] | None) -> str:
     parts = "/".join(quote(part, safe="") for part in path)
     suffix = f"?{urlencode(query)}" if query else ""
     return f"/v1/{parts}{suffix}"
--- a/endivepick/platform/answers.py
+++ b/endivepick/platform/answers.py
@@ -1,4 +1,4 @@
-"""Answers of the object API: checked at the border, data classes inside."""
+"""Data classes of the object API's answers, and their validated decoding."""
 
 from dataclasses import dataclass
 from typing import Any, Literal, TypeVar
@@ -13,26 +13,26 @@
     "ListedInstance",
     "ObjectList",
     "WatchResult",
-    "read_conflict",
+    "decode_conflict",
     "read_instances",
-    "read_list",
-    "read_object",
-    "read_watch",
+    "decode_list",
+    "decode_object",
+    "decode_watch",
 ]
 
 
 @dataclass(frozen=True)
 class ObjectList:
-    """All objects of a kind.
+    """List of all objects of a kind.
 
     Attributes
     ----------
     kind : str
-        Kind that was listed.
+        Kind of the listed objects.
     revision : int
-        Revision of the store that the list shows.
+        Store revision that the list reflects.
     objects : tuple of StoredObject
-        Objects, none of them deleted.
+        Objects without tombstones.
     """
 
     kind: str
@@ -42,14 +42,14 @@
 
 @dataclass(frozen=True)
 class WatchResult:
-    """Changes after a revision.
+    """Changes after a store revision.
 
     Attributes
     ----------
     after, revision : int
-        The changes with ``after < version <= revision``.
+        The events cover all changes with ``after < version <= revision``.
     events : tuple of StoredObject
-        Versions and tombstones, oldest first.
+        New versions and tombstones, oldest first.
     """
 
     after: int
@@ -68,12 +68,12 @@
 
 
 class InstanceList(msgspec.Struct, frozen=True):
-    """The platform's lagging list of instances.
+    """The platform's list of instances, which may be out of date.
 
     Attributes
     ----------
     age_ms : int
-        Age that the platform gives its list, in milliseconds.
+        Age of the list as reported by the platform, in milliseconds.
     instances : tuple of ListedInstance
         Live and leaving instances.
     """
@@ -111,33 +111,35 @@
 T = TypeVar("T")
 
 
-def read_object(data: bytes) -> StoredObject:
-    """Read one object; PlatformAnswerError if it is malformed."""
-    return _stored(_decode(data, _Object))
+def decode_object(data: bytes) -> StoredObject:
+    """Decode one object; raise PlatformAnswerError if it is malformed."""
+    return _to_stored_object(_decode(data, _Object))
 
 
-def read_list(kind: str, data: bytes) -> ObjectList:
-    """Read the list of a kind; PlatformAnswerError if it is malformed."""
+def decode_list(kind: str, data: bytes) -> ObjectList:
+    """Decode the list of a kind; raise PlatformAnswerError if it is malformed."""
     answer = _decode(data, _List)
-    return ObjectList(kind, answer.revision, tuple(map(_stored, answer.objects)))
+    return ObjectList(
+        kind, answer.revision, tuple(map(_to_stored_object, answer.objects))
+    )
 
 
-def read_watch(after: int, data: bytes) -> WatchResult:
-    """Read the answer to a watch; PlatformAnswerError if it is malformed."""
+def decode_watch(after: int, data: bytes) -> WatchResult:
+    """Decode the answer to a watch; raise PlatformAnswerError if it is malformed."""
     answer = _decode(data, _Watch)
-    events = tuple(_changed(event) for event in answer.events)
+    events = tuple(_to_changed_object(event) for event in answer.events)
     return WatchResult(after, answer.revision, events)
 
 
 def read_instances(data: bytes) -> InstanceList:
-    """Read the instance list; PlatformAnswerError if it is malformed."""
+    """Decode the instance list; raise PlatformAnswerError if it is malformed."""
     return _decode(data, InstanceList)
 
 
-def read_conflict(data: bytes) -> StoredObject | None:
-    """Read what stands after a conflict; PlatformAnswerError if malformed."""
+def decode_conflict(data: bytes) -> StoredObject | None:
+    """Decode the stored object of a conflict; PlatformAnswerError if malformed."""
     current = _decode(data, _Conflict).current
-    return None if current is None else _stored(current)
+    return None if current is None else _to_stored_object(current)
 
 
 def _decode(data: bytes, kind: type[T]) -> T:
@@ -145,19 +147,19 @@
         return msgspec.json.decode(data, type=kind)
     except (msgspec.DecodeError, RecursionError) as error:
         raise PlatformAnswerError(
-            f"The platform's answer is outside its contract: {error}. "
+            f"The platform's answer violates its contract: {error}. "
             "Check that platform.address names the object API."
         ) from error
 
 
-def _stored(answer: _Object) -> StoredObject:
-    # A body that is no JSON object is kept as an empty one and refused later.
+def _to_stored_object(answer: _Object) -> StoredObject:
+    # A body that is not an object becomes an empty one, which validation rejects.
     body = answer.body if isinstance(answer.body, dict) else {}
     return StoredObject(answer.kind, answer.name, answer.version, body)
 
 
-def _changed(event: _Event) -> StoredObject:
-    stored = _stored(event.object)
+def _to_changed_object(event: _Event) -> StoredObject:
+    stored = _to_stored_object(event.object)
     if event.type == "put":
         return stored
     return StoredObject(stored.kind, stored.name, stored.version, None)
--- a/endivepick/platform/client.py
+++ b/endivepick/platform/client.py
@@ -13,16 +13,16 @@
     WatchExpiredError,
     WriteOutcomeUnknownError,
 )
-from endivepick.platform._http import HttpCaller
+from endivepick.platform._http import HttpTransport
 from endivepick.platform.answers import (
     InstanceList,
     ObjectList,
     WatchResult,
-    read_conflict,
+    decode_conflict,
+    decode_list,
+    decode_object,
+    decode_watch,
     read_instances,
-    read_list,
-    read_object,
-    read_watch,
 )
 from endivepick.platform.settings import PlatformSettings
 from endivepick.platform.writes import ConditionalWrite, ConditionalWriter, WriteError
@@ -40,30 +40,30 @@
 class PlatformClient:
     """Typed calls to the object API.
 
-    It never repeats a call by itself, but for a write whose answer was lost.
-    The caller runs it in a gevent task of its own.
+    The client retries only writes whose answer was lost.  Calls block; run them in a
+    separate gevent task.
 
     Parameters
     ----------
     settings : PlatformSettings
-        Address and limits.
+        Address and timeouts.
     pause : callable
-        Called with a number of seconds between two attempts of a write; give
-        ``gevent.sleep`` in a daemon.
+        Waits a number of seconds between two attempts of a write; ``gevent.sleep`` in a
+        daemon.
     random_share : callable
-        Returns random numbers from 0 to 1 that spread the attempts.
+        Returns random numbers from 0 to 1 for the jitter of the backoff.
     """
 
     def __init__(
         self,
         settings: PlatformSettings,
-        pause: Callable[[float], object],
+        sleep: Callable[[float], object],
         random_share: Callable[[], float],
     ) -> None:
         self._settings = settings
-        self._http = HttpCaller(settings)
+        self._http = HttpTransport(settings)
         self._writer = ConditionalWriter(
-            self._http, settings, self.watch, pause, random_share
+            self._http, settings, self.watch, sleep, random_share
         )
 
     def close(self) -> None:
@@ -71,46 +71,46 @@
         self._http.close()
 
     def get(self, kind: str, name: str) -> Result[StoredObject | None, ReadError]:
-        """Read one object; Success(None) if there is none."""
+        """Read one object; return Success(None) if it does not exist."""
         outcome = self._http.call("GET", ["objects", kind, name])
         match outcome:
             case Answer(status=404):
                 return Success(None)
             case _:
-                return _read(outcome, read_object)
+                return _decode_answer(outcome, decode_object)
 
     def list(self, kind: str) -> Result[ObjectList, ReadError]:
         """Read all objects of a kind."""
         outcome = self._http.call("GET", ["objects", kind])
-        return _read(outcome, lambda data: read_list(kind, data))
+        return _decode_answer(outcome, lambda data: decode_list(kind, data))
 
     def instances(self) -> Result[InstanceList, ReadError]:
-        """Read the lagging list of instances."""
-        return _read(self._http.call("GET", ["instances"]), read_instances)
+        """Read the list of instances, which may be out of date."""
+        return _decode_answer(self._http.call("GET", ["instances"]), read_instances)
 
     def watch(
         self, kinds: Iterable[str], after: int, wait_s: float | None = None
     ) -> Result[WatchResult, WatchError]:
-        """Wait until something is newer than a revision.
+        """Wait for changes after a revision.
 
         Parameters
         ----------
         kinds : iterable of str
             Kinds to watch.
         after : int
-            Revision that the caller already knows.
+            Revision up to which the changes are already known.
         wait_s : float, default=None
-            How long the platform may hold the call, in seconds;
-            ``settings.watch_wait_s`` by default.
+            How long the platform may delay its answer while nothing changes, in
+            seconds; ``settings.watch_wait_s`` by default.
 
         Returns
         -------
         Result of WatchResult
-            The events may be empty.  WatchExpiredError means: list again.
+            The events may be empty.  After WatchExpiredError, list again.
         """
-        held_s = self._settings.watch_wait_s if wait_s is None else wait_s
-        query = {"kinds": ",".join(kinds), "after": after, "wait_s": held_s}
-        outcome = self._http.call("GET", ["watch"], query, wait_s=held_s)
+        hold_s = self._settings.watch_wait_s if wait_s is None else wait_s
+        query = {"kinds": ",".join(kinds), "after": after, "wait_s": hold_s}
+        outcome = self._http.call("GET", ["watch"], query, wait_s=hold_s)
         match outcome:
             case Answer(status=410):
                 return Failure(
@@ -119,7 +119,7 @@
                     )
                 )
             case _:
-                return _read(outcome, lambda data: read_watch(after, data))
+                return _decode_answer(outcome, lambda data: decode_watch(after, data))
 
     def put(
         self,
@@ -131,25 +131,25 @@
     ) -> Result[StoredObject, EndivepickError]:
         """Write an object if its version is still the one that was read.
 
-        A lost answer is followed up until the outcome is known: sent again
-        under the same condition, a write takes effect at most once, and its
-        write id tells it from the writes of others.
+        After a lost answer the write is retried until its outcome is known.  The
+        version condition makes the retry idempotent, and the write id identifies the
+        versions that this write created.
 
         Parameters
         ----------
         kind, name : str
-            The object.
+            Kind and name of the object.
         body : mapping
-            New content; ``write_id`` has to be unique to this write.
+            New content with a ``write_id`` that is unique to this write.
         if_version : int
             Version that the writer read; 0 if there was no object.
         base : mapping, default=None
-            Content that the writer read, to show what changed in a conflict.
+            Content that the writer read; used to report the changes in a conflict.
 
         Returns
         -------
         Result of StoredObject
-            The version that this write made, or RecordConflictError,
+            The version that this write created, or RecordConflictError,
             PlatformUnavailableError (nothing was written) or
             WriteOutcomeUnknownError.
 
@@ -159,7 +159,9 @@
             If the body has no write id.
         """
         if not body.get("write_id"):
-            raise ValueError("Put a unique write_id into the body of each write.")
+            raise ValueError(
+                "the body has no write_id; add a unique one for each write"
+            )
         write = ConditionalWrite(kind, name, body, if_version, base)
         return self._writer.put(write)
 
@@ -168,8 +170,8 @@
     ) -> Result[None, EndivepickError]:
         """Delete an object if its version is still the one that was read.
 
-        After a lost answer it reads back: if there is no object, the deletion
-        counts as done.
+        After a lost answer the object is read back; if it does not exist, the deletion
+        counts as successful.
         """
         path = ["objects", kind, name]
         outcome = self._http.call("DELETE", path, {"if_version": if_version})
@@ -177,13 +179,13 @@
             case Answer(status=200 | 404):
                 return Success(None)
             case Answer(status=409, data=data):
-                return _delete_conflict(kind, name, data)
+                return _to_deletion_conflict(kind, name, data)
             case AnswerLost() | Answer(status=500 | 502 | 504):
-                return self._delete_outcome(kind, name, if_version)
+                return self._resolve_deletion(kind, name, if_version)
             case _:
                 return Failure(call_error(outcome))
 
-    def _delete_outcome(
+    def _resolve_deletion(
         self, kind: str, name: str, if_version: int
     ) -> Result[None, EndivepickError]:
         match self.get(kind, name):
@@ -194,34 +196,36 @@
                     WriteOutcomeUnknownError(
                         f"The answer to the deletion of {kind} {name} at version "
                         f"{if_version} was lost. Read it and delete it again if it "
-                        "still stands."
+                        "still exists."
                     )
                 )
 
 
-def _delete_conflict(
+def _to_deletion_conflict(
     kind: str, name: str, data: bytes
 ) -> Result[None, EndivepickError]:
     try:
-        current = read_conflict(data)
+        current = decode_conflict(data)
     except PlatformAnswerError as error:
         return Failure(error)
     if current is None:
         return Success(None)
     return Failure(
         RecordConflictError(
-            f"{kind} {name} was changed to version {current.version} meanwhile. "
-            "Read it and decide again.",
+            f"{kind} {name} has been changed to version {current.version}. "
+            "Read it and repeat the deletion if it still applies.",
             current,
         )
     )
 
 
-def _read(outcome: CallOutcome, read: Callable[[bytes], T]) -> Result[T, Any]:
+def _decode_answer(
+    outcome: CallOutcome, decode: Callable[[bytes], T]
+) -> Result[T, Any]:
     match outcome:
         case Answer(status=200, data=data):
             try:
-                return Success(read(data))
+                return Success(decode(data))
             except PlatformAnswerError as error:
                 return Failure(error)
         case _:
--- a/endivepick/platform/settings.py
+++ b/endivepick/platform/settings.py
@@ -1,4 +1,4 @@
-"""Settings of the client of the object API."""
+"""Settings of the object API client."""
 
 from dataclasses import dataclass, field
 
@@ -9,26 +9,27 @@
 
 @dataclass(frozen=True)
 class PlatformSettings:
-    """How to reach the object API.
+    """Address, timeouts and retries of the object API client.
 
     Attributes
     ----------
     address : str
         ``host:port`` of the object API.
     source_host : str
-        IPv4 address that calls come from; empty lets the system choose.
+        Source IPv4 address of calls; empty lets the system choose.
     connect_timeout_s : float
-        Longest time to connect, in seconds.
+        Timeout of establishing a connection, in seconds.
     call_timeout_s : float
-        Longest time of one call, in seconds; a watch gets its wait on top.
+        Timeout of one call, in seconds; for a watch its wait is added.
     watch_wait_s : float
-        How long the platform holds a watch while nothing changes, in seconds.
+        How long the platform delays its answer to a watch while nothing changes, in
+        seconds.
     write_attempts : int
-        How often a write whose answer was lost is checked or sent again.
+        Maximum number of attempts of a write whose answers are lost.
     connections : int
-        Connections kept open.
+        Number of connections kept open.
     backoff : BackoffSettings
-        Waits between attempts.
+        Delays between attempts.
     """
 
     address: str
--- a/endivepick/platform/tests/test_client.py
+++ b/endivepick/platform/tests/test_client.py
@@ -26,11 +26,11 @@
 from standins.platformcontrol import PlatformHandle
 from standins.process import ChildProcess, wait_until
 
-RACERS = 6
+WRITERS = 6
 
 
 class TestWithProcess(unittest.TestCase):
-    """The client against a platform process with faults switched on."""
+    """Client against a platform process with injected faults."""
 
     name = "notes"
 
@@ -84,13 +84,13 @@
             version = stored.version
         self.assertEqual(len(self.versions()), 3)
 
-    def test_lost_answer_with_stale_reads_is_found_out_too(self):
+    def test_lost_answer_with_stale_reads_is_resolved(self):
         base = self.put("a", 0).unwrap()
         self.control(lose_answers=1, stale_reads=1)
         self.put("b", base.version).unwrap()
         self.assertEqual(len(self.versions()), 2)
 
-    def test_lost_answers_beyond_the_attempts_end_typed(self):
+    def test_exhausted_attempts_return_an_unknown_outcome(self):
         self.control(lose_answers=1)
 
         def outage(wait_s):
@@ -128,16 +128,16 @@
 
         self.control(lose_answers=3)
         gevent.joinall(
-            [gevent.spawn(add_one, n) for n in range(RACERS)], raise_error=True
+            [gevent.spawn(add_one, n) for n in range(WRITERS)], raise_error=True
         )
         last = self.versions()[-1]
-        self.assertEqual(last.body["count"], RACERS)
-        self.assertEqual(len(self.versions()), RACERS + 1)
+        self.assertEqual(last.body["count"], WRITERS)
+        self.assertEqual(len(self.versions()), WRITERS + 1)
         self.assertGreater(last.version, first.version)
         for conflict in conflicts:
             self.assertEqual(conflict.differences[0].field, "count")
 
-    def test_outages_are_typed_and_write_nothing(self):
+    def test_outages_return_typed_errors_and_write_nothing(self):
         for outage in ("unavailable", "refuse", "hang"):
             self.control(outage=outage)
             error = self.client.get("service", self.name).failure()
@@ -147,12 +147,12 @@
         self.control(outage=None)
         self.assertIsNone(self.client.get("service", self.name).unwrap())
 
-    def test_unreachable_address_is_typed(self):
+    def test_unreachable_address_returns_a_typed_error(self):
         self.settings = PlatformSettings("127.0.0.1:1")
         result = self.new_client().put("service", "a", {"write_id": "a"}, 0)
         self.assertIsInstance(result.failure(), PlatformUnavailableError)
 
-    def test_call_outside_the_contract_is_typed(self):
+    def test_rejected_call_returns_a_typed_error(self):
         result = self.put("a", 0, text="x" * 1_100_000)
         self.assertIsInstance(result.failure(), PlatformAnswerError)
 
@@ -170,7 +170,7 @@
         self.client.list("service").unwrap()
         self.assertIn("127.0.0.9", self.platform.stats()["sources"])
 
-    def watch_into(self, cache, after, events):
+    def start_watcher(self, cache, after, events):
         def deliver(event):
             events.append(event)
             match event:
@@ -180,10 +180,10 @@
                     for stored in changed:
                         cache.offer(stored)
                     cache.advance(after, revision)
-            held = cache.get("service", self.name)
-            self.held_versions.append(held.version if held else 0)
+            cached = cache.get("service", self.name)
+            self.cached_versions.append(cached.version if cached else 0)
 
-        self.held_versions = []
+        self.cached_versions = []
         watcher = Watcher(
             self.settings, self.new_client(), deliver, gevent.sleep, random.random
         )
@@ -194,7 +194,7 @@
     def test_watcher_goes_on_after_an_outage(self):
         cache, events = RecordCache(), []
         first = self.put("a", 0).unwrap()
-        self.watch_into(cache, 0, events)
+        self.start_watcher(cache, 0, events)
         wait_until(lambda: cache.get("service", self.name), "the first version")
         self.control(outage="unavailable")
         wait_until(lambda: isinstance(events[-1], WatchFailed), "the outage")
@@ -204,15 +204,15 @@
         self.client.delete("service", self.name, second.version).unwrap()
         wait_until(lambda: cache.get("service", self.name).deleted, "the deletion")
 
-    def test_stale_lists_move_no_cache_back(self):
+    def test_stale_lists_do_not_revert_the_cache(self):
         cache, events = RecordCache(), []
         first = self.put("a", 0).unwrap()
         second = self.put("b", first.version).unwrap()
         cache.offer(second)
         third = self.put("c", second.version).unwrap()
         self.control(stale_reads=2)
-        self.watch_into(cache, 0, events)
+        self.start_watcher(cache, 0, events)
         wait_until(lambda: cache.get("service", self.name) == third, "the third")
         self.assertEqual(events[0].revision, first.version)
-        for version in self.held_versions:
+        for version in self.cached_versions:
             self.assertGreaterEqual(version, second.version)
--- a/endivepick/platform/tests/test_watcher.py
+++ b/endivepick/platform/tests/test_watcher.py
@@ -8,15 +8,15 @@
 from endivepick.platform.watcher import Watcher, WatchFailed
 from endivepick.records.cache import CACHED_KINDS
 
-ROUNDS = 6
+FAILED_WATCHES = 6
 
 
-class Stopped(Exception):
+class StopWatcherError(Exception):
     pass
 
 
 class LaggingPlatform:
-    """Lists from before the history that its watches still have."""
+    """Lists at a revision older than the history that watches can return."""
 
     def __init__(self, watch_error):
         self.watch_error = watch_error
@@ -31,30 +31,30 @@
 
 
 class TestWatcher(unittest.TestCase):
-    def run_rounds(self, watch_error):
+    def run_until_failures(self, watch_error):
         platform, events, waits_s = LaggingPlatform(watch_error), [], []
 
-        def pause(wait_s):
+        def sleep(wait_s):
             waits_s.append(wait_s)
-            if len(waits_s) == ROUNDS:
-                raise Stopped
+            if len(waits_s) == FAILED_WATCHES:
+                raise StopWatcherError
 
         settings = PlatformSettings("127.0.0.1:1")
-        watcher = Watcher(settings, platform, events.append, pause, lambda: 1.0)
-        with self.assertRaises(Stopped):
+        watcher = Watcher(settings, platform, events.append, sleep, lambda: 1.0)
+        with self.assertRaises(StopWatcherError):
             watcher.run(0)
         return platform, events, waits_s
 
     def test_expired_watch_lists_again_with_growing_waits(self):
-        _, events, waits_s = self.run_rounds(WatchExpiredError("gone"))
+        _, events, waits_s = self.run_until_failures(WatchExpiredError("gone"))
         lists = [event for event in events if isinstance(event, ObjectList)]
-        self.assertEqual(len(lists), ROUNDS * len(CACHED_KINDS))
+        self.assertEqual(len(lists), FAILED_WATCHES * len(CACHED_KINDS))
         self.assertEqual(waits_s, sorted(waits_s))
         self.assertGreater(waits_s[-1], waits_s[0])
 
-    def test_failed_watch_goes_on_from_its_place_without_a_list(self):
+    def test_failed_watch_resumes_at_its_revision_without_a_list(self):
         error = PlatformUnavailableError("Try again later.", retry_after_s=20.0)
-        platform, events, waits_s = self.run_rounds(error)
-        self.assertEqual(platform.watched, [3] * ROUNDS)
-        self.assertEqual(events.count(WatchFailed(error)), ROUNDS)
+        platform, events, waits_s = self.run_until_failures(error)
+        self.assertEqual(platform.watched, [3] * FAILED_WATCHES)
+        self.assertEqual(events.count(WatchFailed(error)), FAILED_WATCHES)
         self.assertGreaterEqual(min(waits_s), 20.0)
--- a/endivepick/platform/tests/test_writes.py
+++ b/endivepick/platform/tests/test_writes.py
@@ -15,15 +15,15 @@
 from endivepick.store import Answer, AnswerLost, NotSent
 
 
-class Store:
-    """Object store with a script of faults, one for each call.
+class FaultyStore:
+    """Object store with one injected fault per call.
 
-    ``lost`` takes effect without an answer, ``cut`` has no effect and no answer,
-    a callable runs first.
+    With ``lost`` the call takes effect and its answer is lost, with ``cut`` it has
+    neither effect nor answer.  A callable runs before the call.
     """
 
-    def __init__(self, *script):
-        self.script = list(script)
+    def __init__(self, *faults):
+        self.faults = list(faults)
         self.events = []
 
     def write(self, write_id):
@@ -37,7 +37,7 @@
         return self.events[-1] if live else None
 
     def call(self, method, path, query=None, body=None, wait_s=0.0):
-        fault = self.script.pop(0) if self.script else "ok"
+        fault = self.faults.pop(0) if self.faults else "ok"
         if isinstance(fault, NotSent | Answer):
             return fault
         if callable(fault):
@@ -48,8 +48,8 @@
     def _run(self, method, body):
         if method == "GET":
             return self._show() if self.current else Answer(404, b"", None)
-        standing = self.current.version if self.current else 0
-        if body["if_version"] != standing:
+        current_version = self.current.version if self.current else 0
+        if body["if_version"] != current_version:
             current = self._show().data if self.current else b"null"
             return Answer(409, b'{"current":' + current + b"}", None)
         self.write(body["body"]["write_id"])
@@ -72,7 +72,7 @@
         store,
         PlatformSettings("127.0.0.1:1"),
         history or store.history,
-        pause=lambda wait_s: None,
+        sleep=lambda wait_s: None,
         random_share=lambda: 0.5,
     )
     body = {"write_id": "mine"}
@@ -80,9 +80,9 @@
 
 
 class TestPut(unittest.TestCase):
-    def test_lost_answer_after_the_effect_is_found_out(self):
+    def test_lost_answer_after_the_effect_is_resolved(self):
         for if_version in (0, 1):
-            store = Store("lost")
+            store = FaultyStore("lost")
             for _ in range(if_version):
                 store.write("other")
             with self.subTest(if_version=if_version):
@@ -90,9 +90,9 @@
                 self.assertEqual(version, if_version + 1)
                 self.assertEqual(len(store.events), if_version + 1)
 
-    def test_call_cut_before_the_effect_is_sent_again(self):
+    def test_call_lost_before_the_effect_is_retried(self):
         for if_version in (0, 1):
-            store = Store("cut", "cut")
+            store = FaultyStore("cut", "cut")
             for _ in range(if_version):
                 store.write("other")
             with self.subTest(if_version=if_version):
@@ -101,27 +101,27 @@
                 )
 
     def test_lost_answer_and_a_later_writer(self):
-        store = Store("lost", lambda store: store.write("other"))
+        store = FaultyStore("lost", lambda store: store.write("other"))
         store.write("first")
         self.assertEqual(put(store, 1).unwrap().version, 2)
 
-    def test_later_writer_and_no_history_leaves_it_unknown(self):
-        store = Store("lost", lambda store: store.write("other"))
+    def test_later_writer_without_history_leaves_the_outcome_unknown(self):
+        store = FaultyStore("lost", lambda store: store.write("other"))
         store.write("first")
         result = put(store, 1, lambda *args: Failure(WatchExpiredError("gone")))
         self.assertIsInstance(result.failure(), WriteOutcomeUnknownError)
 
-    def test_platform_gone_after_a_lost_answer_leaves_it_unknown(self):
-        store = Store("lost", *[NotSent("refused")] * 9)
+    def test_unreachable_platform_after_a_lost_answer_leaves_the_outcome_unknown(self):
+        store = FaultyStore("lost", *[NotSent("refused")] * 9)
         self.assertIsInstance(put(store, 0).failure(), WriteOutcomeUnknownError)
 
-    def test_platform_gone_from_the_start_wrote_nothing(self):
+    def test_unreachable_platform_writes_nothing(self):
         for outcome in (NotSent("refused"), Answer(429, b"", 2.0), Answer(503, b"", 1)):
-            result = put(Store(outcome), 0)
+            result = put(FaultyStore(outcome), 0)
             self.assertIsInstance(result.failure(), PlatformUnavailableError)
 
-    def test_loser_of_a_race_sees_what_changed(self):
-        store = Store()
+    def test_conflict_reports_the_stored_version(self):
+        store = FaultyStore()
         store.write("first")
         store.write("other")
         error = put(store, 1).failure()
--- a/endivepick/platform/watcher.py
+++ b/endivepick/platform/watcher.py
@@ -1,4 +1,4 @@
-"""Task that lists and watches the platform."""
+"""Task that lists and watches the platform's objects."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -18,12 +18,12 @@
 
 @dataclass(frozen=True)
 class WatchFailed:
-    """A list or a watch failed; the watcher goes on after a wait.
+    """A list or watch call failed; the watcher retries after a delay.
 
     Attributes
     ----------
     error : EndivepickError
-        The cause.
+        Error of the failed call.
     """
 
     error: EndivepickError
@@ -33,18 +33,18 @@
 
 
 class Watcher:
-    """Delivers what the platform lists and what it changes.
+    """Delivers lists and changes of the platform's objects.
 
-    Run it in a gevent task of its own and kill the task to stop it.
+    Run it in a separate gevent task, and kill the task to stop it.
 
     Parameters
     ----------
     settings : PlatformSettings
-        Back-off.
+        Settings of the backoff.
     client : PlatformClient
-        Calls the platform.
+        Client of the object API.
     deliver : callable
-        Takes each ``ObjectList``, ``WatchResult`` and ``WatchFailed``.
+        Receives each ``ObjectList``, ``WatchResult`` and ``WatchFailed``.
     pause : callable
         Waits a number of seconds, for example ``gevent.sleep``.
     random_share : callable
@@ -56,23 +56,23 @@
         settings: PlatformSettings,
         client: PlatformClient,
         deliver: Callable[[WatcherEvent], Any],
-        pause: Callable[[float], object],
+        sleep: Callable[[float], object],
         random_share: Callable[[], float],
     ) -> None:
         self._client = client
         self._deliver = deliver
-        self._pause = pause
+        self._sleep = sleep
         self._random_share = random_share
         self._backoff = Backoff(settings.backoff)
 
     def run(self, after: int) -> None:
-        """Watch after a revision until the task is killed; list first if it is 0."""
+        """Watch changes after a revision until killed; list first if it is 0."""
         revision: int | None = after or None
         while True:
             revision = self._list() if revision is None else self._watch(revision)
 
     def _list(self) -> int | None:
-        """List all kinds; the watch starts after the oldest of the lists."""
+        """List all kinds and return the lowest revision, where the watch starts."""
         revisions = []
         for kind in CACHED_KINDS:
             match self._client.list(kind):
@@ -80,7 +80,7 @@
                     revisions.append(listed.revision)
                     self._deliver(listed)
                 case Failure(error):
-                    self._failed(error)
+                    self._report_failure(error)
                     return None
         return min(revisions)
 
@@ -89,18 +89,18 @@
             case Success(result):
                 self._backoff = self._backoff.succeeded()
                 self._deliver(result)
-                # A lagging answer must not move the watch back.
+                # An answer from a lagging replica must not move the revision back.
                 return max(after, result.revision)
             case Failure(WatchExpiredError() as error):
-                # A list that lags behind the history would expire again at once.
-                self._failed(error)
+                # Without a delay, a list older than the history causes a busy loop.
+                self._report_failure(error)
                 return None
             case Failure(error):
-                self._failed(error)
+                self._report_failure(error)
         return after
 
-    def _failed(self, error: EndivepickError) -> None:
+    def _report_failure(self, error: EndivepickError) -> None:
         self._deliver(WatchFailed(error))
         retry_after_s = getattr(error, "retry_after_s", None) or 0.0
         self._backoff = self._backoff.failed(self._random_share(), retry_after_s)
-        self._pause(self._backoff.wait_s)
+        self._sleep(self._backoff.wait_s)
--- a/endivepick/settings/__init__.py
+++ b/endivepick/settings/__init__.py
@@ -1,4 +1,4 @@
-"""Settings of an instance: JSON with comments, checked, with an explanation."""
+"""Settings of an instance: parsing, validation and reference documentation."""
 
 from endivepick.addresses import parse_address
 from endivepick.settings.explain import explain, explain_markdown
--- a/endivepick/settings/_border.py
+++ b/endivepick/settings/_border.py
@@ -1,4 +1,4 @@
-"""What all groups of a settings file share: strictness and kinds of addresses."""
+"""Base model and address types of all groups of a settings file."""
 
 from typing import Annotated
 
@@ -41,12 +41,12 @@
 ListenAddress = Annotated[str, AfterValidator(_check_listen_address)]
 RemoteAddress = Annotated[str, AfterValidator(_check_remote_address)]
 RemoteAddresses = Annotated[tuple[RemoteAddress, ...], Strict(False)]
-"""Tuple made from the list of a file."""
+"""Tuple of addresses; a list in the file is converted."""
 OptionalHost = Annotated[str, AfterValidator(_check_optional_host)]
 OptionalAddress = Annotated[str, AfterValidator(_check_optional_address)]
 
 
 class Group(BaseModel):
-    """Refuses unknown keys, converted types, infinities and NaN."""
+    """Base model that rejects unknown keys, type coercion, infinities and NaN."""
 
     model_config = ConfigDict(extra="forbid", strict=True, allow_inf_nan=False)
--- a/endivepick/settings/_combinations.py
+++ b/endivepick/settings/_combinations.py
@@ -1,4 +1,4 @@
-"""Combinations of settings that cannot work together."""
+"""Validation of constraints between settings."""
 
 from collections.abc import Iterator
 from dataclasses import dataclass
@@ -6,20 +6,20 @@
 from endivepick.addresses import parse_address
 from endivepick.settings.model import DaemonSettings
 
-__all__ = ["CombinationFault", "combination_faults"]
+__all__ = ["SettingsConflict", "find_conflicts"]
 
 
 @dataclass(frozen=True)
-class CombinationFault:
-    """Two keys that contradict each other; ``path`` names the one to change."""
+class SettingsConflict:
+    """Two settings that contradict each other; ``path`` is the key to change."""
 
     path: tuple[str, ...]
     problem: str
     remedy: str
 
 
-def combination_faults(settings: DaemonSettings) -> Iterator[CombinationFault]:
-    """List what cannot work although each key is valid by itself."""
+def find_conflicts(settings: DaemonSettings) -> Iterator[SettingsConflict]:
+    """Yield the conflicts between settings that are valid individually."""
     membership, dispatch = settings.membership, settings.dispatch
     for group, values, low, high in (
         ("membership", membership, "probe_timeout_s", "probe_deadline_s"),
@@ -31,30 +31,30 @@
         ("dispatch", dispatch, "ejection_s", "ejection_limit_s"),
     ):
         if getattr(values, low) > getattr(values, high):
-            yield CombinationFault(
+            yield SettingsConflict(
                 (group, high),
-                f"it is less than {group}.{low}",
+                f"the value is less than {group}.{low}",
                 f"Use at least {getattr(values, low):g}, or lower {group}.{low}.",
             )
-    yield from _flow_faults(settings)
-    yield from _listen_faults(settings)
+    yield from _find_flow_conflicts(settings)
+    yield from _find_listen_conflicts(settings)
 
 
-def _flow_faults(settings: DaemonSettings) -> Iterator[CombinationFault]:
+def _find_flow_conflicts(settings: DaemonSettings) -> Iterator[SettingsConflict]:
     flow = settings.flow
     if flow.outstanding_requests_max > flow.window_size:
-        yield CombinationFault(
+        yield SettingsConflict(
             ("flow", "outstanding_requests_max"),
             "the replay window cannot track that many requests",
             "Use at most flow.window_size.",
         )
 
 
-def _listen_faults(settings: DaemonSettings) -> Iterator[CombinationFault]:
+def _find_listen_conflicts(settings: DaemonSettings) -> Iterator[SettingsConflict]:
     listen = settings.listen
     _, port = parse_address(listen.http_address)
     if port and listen.http_address == listen.peer_address:
-        yield CombinationFault(
+        yield SettingsConflict(
             ("listen", "http_address"),
             "peer_address uses the same TCP port",
             "Use another port, or 0.",
--- a/endivepick/settings/_coordination_models.py
+++ b/endivepick/settings/_coordination_models.py
@@ -1,4 +1,4 @@
-"""Groups about instances together: membership, records, status and keys."""
+"""Groups for coordination of instances: membership, records, status and keys."""
 
 from pydantic import Field
 
--- a/endivepick/settings/_flow_models.py
+++ b/endivepick/settings/_flow_models.py
@@ -1,4 +1,4 @@
-"""Groups about flows and their requests."""
+"""Groups for flows, requests and dispatch."""
 
 from pydantic import Field
 
--- a/endivepick/settings/_positions.py
+++ b/endivepick/settings/_positions.py
@@ -1,14 +1,14 @@
-"""Lines of the keys of a JSON5 text.
+"""Line numbers of the keys of a JSON5 text.
 
-The json5 library does not report where a value stood, so a scan over the tokens
-of a text that it has already accepted finds the line of each key.
+The json5 library does not report positions.  This module scans the tokens of a text
+that json5 has accepted and finds the line of each key.
 """
 
 import re
 from collections.abc import Iterator
 from dataclasses import dataclass
 
-__all__ = ["KeyPath", "KeyPosition", "key_positions"]
+__all__ = ["KeyPath", "KeyPosition", "find_key_positions"]
 
 KeyPath = tuple[str, ...]
 
@@ -25,20 +25,20 @@
 
 @dataclass(frozen=True)
 class KeyPosition:
-    """One key, with the names of the objects around it, and its line from 1."""
+    """Path of a key through its enclosing objects, and its line number from 1."""
 
     path: KeyPath
     line: int
 
 
-def _tokens(text: str) -> Iterator[tuple[str, int]]:
+def _iter_tokens(text: str) -> Iterator[tuple[str, int]]:
     for match in _TOKEN.finditer(text):
         if match.lastgroup != "comment":
             yield match.group(), text.count("\n", 0, match.start()) + 1
 
 
-def key_positions(text: str) -> list[KeyPosition]:
-    r"""List the keys of a JSON5 text in order, duplicates included.
+def find_key_positions(text: str) -> list[KeyPosition]:
+    r"""List the keys of a JSON5 text in order, including duplicates.
 
     Parameters
     ----------
@@ -48,18 +48,18 @@
     Returns
     -------
     list of KeyPosition
-        Keys written with escapes appear as they were written.
+        Escape sequences in keys are not decoded.
 
     Examples
     --------
-    >>> key_positions('{\n  // Note\n  "a": {b: 1},\n}')
+    >>> find_key_positions('{\n  // Note\n  "a": {b: 1},\n}')
     [KeyPosition(path=('a',), line=3), KeyPosition(path=('a', 'b'), line=3)]
     """
     found = []
     parents: list[str] = []
     key = ""
     previous = ("", 0)
-    for token, line in _tokens(text):
+    for token, line in _iter_tokens(text):
         if token == ":":
             key = previous[0].strip("\"'")
             found.append(KeyPosition((*parents[1:], key), previous[1]))
--- a/endivepick/settings/_process_models.py
+++ b/endivepick/settings/_process_models.py
@@ -1,4 +1,4 @@
-"""Groups about one process: who it is, what it binds, what it talks to."""
+"""Groups for one process: identity, addresses, connections, log and secrets."""
 
 from pydantic import Field
 
--- a/endivepick/settings/explain.py
+++ b/endivepick/settings/explain.py
@@ -1,4 +1,4 @@
-"""Reference text of all settings, made from the border models."""
+"""Reference documentation of all settings, generated from the validation models."""
 
 from collections.abc import Iterator
 from typing import Any, Literal, get_args, get_origin
@@ -23,7 +23,7 @@
     "_address": "host:port",
     "_addresses": "list of host:port",
 }
-_TITLE = """# Settings
+_PAGE_HEADER = """# Settings
 
 A settings file is JSON with comments. Unknown keys, wrong types, values outside
 their range and impossible combinations are refused with line, key and remedy.
@@ -32,7 +32,7 @@
 """
 
 
-def _unit(name: str) -> str:
+def _find_unit(name: str) -> str:
     suffixes = sorted(_UNITS, key=len, reverse=True)
     for suffix in suffixes:
         if f"_{name}".endswith(suffix):
@@ -40,7 +40,7 @@
     return ""
 
 
-def _range(field: FieldInfo) -> str:
+def _format_range(field: FieldInfo) -> str:
     if get_origin(field.annotation) is Literal:
         return ", ".join(get_args(field.annotation))
     low, high = "", ""
@@ -57,36 +57,36 @@
     return f"{low} to {high}" if low else ""
 
 
-def _default(field: FieldInfo) -> str:
+def _format_default(field: FieldInfo) -> str:
     if field.is_required():
         return "required"
-    return _literal(field.default)
+    return _format_literal(field.default)
 
 
-def _literal(value: Any) -> str:
+def _format_literal(value: Any) -> str:
     match value:
         case str():
             return f'"{value}"'
         case tuple():
-            return f"[{', '.join(map(_literal, value))}]"
+            return f"[{', '.join(map(_format_literal, value))}]"
         case _:
             return f"{value:.10g}"
 
 
-def _sections() -> Iterator[tuple[str, Any]]:
+def _iter_sections() -> Iterator[tuple[str, Any]]:
     for name, field in SettingsModel.model_fields.items():
         yield name, field.annotation
 
 
 def explain() -> str:
-    """Describe all keys with meaning, unit, default and range as plain text."""
+    """Describe meaning, unit, default and range of all keys as plain text."""
     lines = []
-    for section, group in _sections():
+    for section, group in _iter_sections():
         lines.append(f"{section}: {(group.__doc__ or '').strip()}")
         for name, field in group.model_fields.items():
-            facts = [f"default: {_default(field)}"]
-            facts += [f"unit: {_unit(name)}"] if _unit(name) else []
-            facts += [f"range: {_range(field)}"] if _range(field) else []
+            facts = [f"default: {_format_default(field)}"]
+            facts += [f"unit: {_find_unit(name)}"] if _find_unit(name) else []
+            facts += [f"range: {_format_range(field)}"] if _format_range(field) else []
             lines.append(f"  {section}.{name} ({'; '.join(facts)})")
             lines.append(f"      {field.description}")
         lines.append("")
@@ -94,9 +94,9 @@
 
 
 def explain_markdown() -> str:
-    """Describe all keys as the operators' page ``docs/operators/settings.md``."""
-    lines = [_TITLE]
-    for section, group in _sections():
+    """Describe all keys as Markdown, the content of ``docs/operators/settings.md``."""
+    lines = [_PAGE_HEADER]
+    for section, group in _iter_sections():
         lines.append(f"## {section}\n\n{(group.__doc__ or '').strip()}\n")
         lines.append("| key | meaning | unit | default | range |")
         lines.append("| --- | --- | --- | --- | --- |")
@@ -104,9 +104,9 @@
             cells = (
                 f"`{name}`",
                 str(field.description),
-                _unit(name),
-                _default(field),
-                _range(field),
+                _find_unit(name),
+                _format_default(field),
+                _format_range(field),
             )
             lines.append(f"| {' | '.join(cells)} |")
         lines.append("")
--- a/endivepick/settings/model.py
+++ b/endivepick/settings/model.py
@@ -1,8 +1,8 @@
-"""Settings of one instance as plain frozen data classes.
+"""Settings of one instance as frozen data classes.
 
-The defaults stand here, or in the settings of the part that a group belongs to,
-and only there; ``endivepick.settings.schema`` adds the ranges and descriptions
-that are checked when a file is read.
+The defaults are defined here or in the settings module of the package that a group
+belongs to, and nowhere else.  ``endivepick.settings.schema`` adds the ranges and
+descriptions for the validation of a file.
 """
 
 from dataclasses import dataclass, field
@@ -34,7 +34,7 @@
 ]
 
 LogLevel = Literal["debug", "info", "warning", "error"]
-"""Severity of a log event, least severe first."""
+"""Severity of a log event, in ascending order."""
 
 
 @dataclass(frozen=True)
@@ -47,9 +47,10 @@
 
 @dataclass(frozen=True)
 class ListenSettings:
-    """Addresses that this instance binds, as ``host:port``; port 0 lets it pick.
+    """Addresses that this instance binds, as ``host:port``.
 
-    ``advertised_peer_address`` is not bound: other instances connect to it.
+    With port 0 the system chooses a free port.  ``advertised_peer_address`` is not
+    bound: other instances connect to it.
     """
 
     data_address: str
@@ -60,20 +61,20 @@
 
 @dataclass(frozen=True)
 class PlatformAccessSettings(PlatformSettings):
-    """How to call the platform's object API and how often to list instances."""
+    """Client settings of the platform's object API, and the list interval."""
 
     list_every_s: float = 1.0
 
 
 @dataclass(frozen=True)
 class FabricSettings:
-    """How datagrams leave towards callers.
+    """Return path of datagrams to callers.
 
     Attributes
     ----------
     return_address : str
-        ``host:port`` that takes datagrams for callers; empty to answer the sender
-        of the datagram.
+        ``host:port`` that receives datagrams for callers; if empty, answers go to the
+        sender of the datagram.
     """
 
     return_address: str = ""
@@ -81,7 +82,7 @@
 
 @dataclass(frozen=True)
 class LogSettings:
-    """Where log lines go and how many of them."""
+    """Path and minimum level of the log."""
 
     path: str = ""
     level: LogLevel = "info"
@@ -89,7 +90,7 @@
 
 @dataclass(frozen=True)
 class SecretsSettings:
-    """Secrets shared by all instances of one installation."""
+    """Secrets that all instances of an installation share."""
 
     peer_secret_hex: str = field(repr=False)
 
@@ -101,7 +102,7 @@
 
 @dataclass(frozen=True)
 class TargetSettings:
-    """How targets are probed and connected to."""
+    """Probe intervals and timeouts of targets."""
 
     probe_every_s: float = 1.0
     quiet_probe_every_s: float = 2.0
@@ -111,7 +112,7 @@
 
 @dataclass(frozen=True)
 class DaemonSettings:
-    """All settings of one instance, passed whole to constructors.
+    """All settings of one instance, passed as a whole to constructors.
 
     Examples
     --------
--- a/endivepick/settings/reader.py
+++ b/endivepick/settings/reader.py
@@ -1,4 +1,4 @@
-"""Reading and checking a settings file."""
+"""Reading and validation of a settings file."""
 
 import dataclasses
 import difflib
@@ -12,8 +12,8 @@
 
 from endivepick.errors import SettingsInvalidError
 from endivepick.settings import model
-from endivepick.settings._combinations import combination_faults
-from endivepick.settings._positions import KeyPath, key_positions
+from endivepick.settings._combinations import find_conflicts
+from endivepick.settings._positions import KeyPath, find_key_positions
 from endivepick.settings.schema import SettingsModel
 
 __all__ = ["load_settings", "parse_settings"]
@@ -22,8 +22,8 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class _Fault:
-    """One reason to refuse a file."""
+class _ValidationIssue:
+    """One validation error of a settings file."""
 
     line: int
     path: KeyPath
@@ -46,12 +46,12 @@
     Returns
     -------
     DaemonSettings
-        Checked settings.
+        Validated settings.
 
     Raises
     ------
     SettingsInvalidError
-        If the file cannot be read or is refused; the message has one line per fault
+        If the file cannot be read or is invalid; the message has one line per error
         with line number, key and remedy.
     """
     try:
@@ -71,80 +71,82 @@
 def parse_settings(
     text: str, source: str = "settings"
 ) -> Result[model.DaemonSettings, SettingsInvalidError]:
-    """Check the text of a settings file.
+    """Parse and validate the text of a settings file.
 
     Parameters
     ----------
     text : str
         JSON with comments.
     source : str
-        Name of the file for messages.
+        File name for error messages.
 
     Returns
     -------
     Result of DaemonSettings or SettingsInvalidError
-        The error's message has one line per fault.
+        The message of the error has one line per validation error.
     """
     try:
         tree = json5.loads(text)
     except (ValueError, RecursionError) as error:
         remedy = "Write JSON; comments and trailing commas are allowed."
-        place = str(error).replace("<string>", source, 1)
-        return Failure(SettingsInvalidError(f"{place}. {remedy}"))
-    faults = _duplicate_faults(text) or _model_faults(text, tree)
-    if faults:
-        message = "\n".join(fault.text(source) for fault in faults)
+        location = str(error).replace("<string>", source, 1)
+        return Failure(SettingsInvalidError(f"{location}. {remedy}"))
+    issues = _find_duplicate_keys(text) or _validate_model(text, tree)
+    if issues:
+        message = "\n".join(issue.text(source) for issue in issues)
         return Failure(SettingsInvalidError(message))
     return Success(_to_settings(SettingsModel.model_validate(tree)))
 
 
-def _duplicate_faults(text: str) -> list[_Fault]:
+def _find_duplicate_keys(text: str) -> list[_ValidationIssue]:
     first_lines: dict[KeyPath, int] = {}
-    faults = []
-    for position in key_positions(text):
+    issues = []
+    for position in find_key_positions(text):
         if position.path not in first_lines:
             first_lines[position.path] = position.line
             continue
-        problem = f"the key stands already in line {first_lines[position.path]}"
-        faults.append(
-            _Fault(position.line, position.path, problem, "Keep one of them.")
+        problem = f"duplicate key; first defined in line {first_lines[position.path]}"
+        issues.append(
+            _ValidationIssue(position.line, position.path, problem, "Keep one of them.")
         )
-    return faults
+    return issues
 
 
-def _model_faults(text: str, tree: Any) -> list[_Fault]:
-    lines = {position.path: position.line for position in key_positions(text)}
+def _validate_model(text: str, tree: Any) -> list[_ValidationIssue]:
+    lines = {position.path: position.line for position in find_key_positions(text)}
     try:
         checked = SettingsModel.model_validate(tree)
     except ValidationError as error:
-        return [_model_fault(details, lines) for details in error.errors()]
+        return [_to_issue(details, lines) for details in error.errors()]
     return [
-        _Fault(_line_of(fault.path, lines), fault.path, fault.problem, fault.remedy)
-        for fault in combination_faults(_to_settings(checked))
+        _ValidationIssue(
+            _find_line(issue.path, lines), issue.path, issue.problem, issue.remedy
+        )
+        for issue in find_conflicts(_to_settings(checked))
     ]
 
 
-def _line_of(path: KeyPath, lines: dict[KeyPath, int]) -> int:
-    """Find the line of a key, or of the nearest group around it."""
+def _find_line(path: KeyPath, lines: dict[KeyPath, int]) -> int:
+    """Find the line of a key, or of its nearest enclosing group."""
     for length in range(len(path), 0, -1):
         if path[:length] in lines:
             return lines[path[:length]]
     return _FIRST_LINE
 
 
-def _model_fault(details: ErrorDetails, lines: dict[KeyPath, int]) -> _Fault:
+def _to_issue(details: ErrorDetails, lines: dict[KeyPath, int]) -> _ValidationIssue:
     path = tuple(str(part) for part in details["loc"])
-    problem, remedy = _explain_fault(details, path)
-    return _Fault(_line_of(path, lines), path, problem, remedy)
+    problem, remedy = _describe_issue(details, path)
+    return _ValidationIssue(_find_line(path, lines), path, problem, remedy)
 
 
-def _explain_fault(details: ErrorDetails, path: KeyPath) -> tuple[str, str]:
+def _describe_issue(details: ErrorDetails, path: KeyPath) -> tuple[str, str]:
     context = details.get("ctx", {})
     match details["type"]:
         case "extra_forbidden":
-            return "unknown key", _remedy_for_unknown(path)
+            return "unknown key", _suggest_known_key(path)
         case "missing":
-            return "the key is missing", f"Add it: {_description(path)}"
+            return "the key is missing", f"Add it: {_find_description(path)}"
         case "greater_than":
             return "the value is too small", f"Use more than {context['gt']:g}."
         case "less_than":
@@ -157,7 +159,7 @@
             reason = str(context["error"])
             return "the value is not allowed", f"{reason[:1].upper()}{reason[1:]}."
         case "string_pattern_mismatch":
-            return "the value is not allowed", f"Expected: {_description(path)}"
+            return "the value is not allowed", f"Expected: {_find_description(path)}"
         case "literal_error":
             return "the value is not allowed", f"Use {context['expected']}."
         case "model_type":
@@ -173,7 +175,7 @@
     return f"wrong type ({found})", f"Write {wanted}."
 
 
-def _group_at(path: KeyPath) -> type[BaseModel] | None:
+def _find_group(path: KeyPath) -> type[BaseModel] | None:
     group: type[BaseModel] = SettingsModel
     for name in path:
         field = group.model_fields.get(name)
@@ -184,33 +186,33 @@
     return group
 
 
-def _description(path: KeyPath) -> str:
-    group = _group_at(path[:-1])
+def _find_description(path: KeyPath) -> str:
+    group = _find_group(path[:-1])
     field = group.model_fields.get(path[-1]) if group else None
     if field is not None and field.description:
         return field.description
-    section = _group_at(path)
+    section = _find_group(path)
     return (section.__doc__ or "").strip() if section else "see settings --explain."
 
 
-def _remedy_for_unknown(path: KeyPath) -> str:
-    group = _group_at(path[:-1])
+def _suggest_known_key(path: KeyPath) -> str:
+    group = _find_group(path[:-1])
     known = list(group.model_fields) if group else []
-    near = difflib.get_close_matches(path[-1], known, n=1)
-    if near:
-        return f"Did you mean {near[0]}?"
+    close_matches = difflib.get_close_matches(path[-1], known, n=1)
+    if close_matches:
+        return f"Did you mean {close_matches[0]}?"
     return f"Remove it, or use one of: {', '.join(known)}."
 
 
 def _to_settings(checked: SettingsModel) -> model.DaemonSettings:
-    """Convert the border model into the classes used inside."""
+    """Convert the validated model to the internal data classes."""
     groups = {
         item.name: item.type(**getattr(checked, item.name).model_dump())
         for item in dataclasses.fields(model.DaemonSettings)
         if callable(item.type)
     }
     settings = model.DaemonSettings(**groups)
-    # Hand-overs have to be remembered while a token can name the giver.
+    # Handovers are kept as long as a valid token can refer to the source instance.
     membership = dataclasses.replace(
         settings.membership, departed_kept_s=settings.flow.token_lifetime_s
     )
--- a/endivepick/settings/schema.py
+++ b/endivepick/settings/schema.py
@@ -1,4 +1,4 @@
-"""Border model: what a settings file may contain, with ranges and meaning."""
+"""Validation model of a settings file, with ranges and descriptions."""
 
 from pydantic import Field
 
--- a/endivepick/settings/tests/test_reader.py
+++ b/endivepick/settings/tests/test_reader.py
@@ -13,7 +13,7 @@
   secrets: {peer_secret_hex: "000102030405060708090a0b0c0d0e0f"},
 """
 
-# Text of line 6 and after, line of the fault, key, part of problem and remedy.
+# Text from line 6 on, line of the error, key, part of the problem or remedy.
 REFUSED = [
     ("flow: {\n token_lifetime: 3}", 7, "flow.token_lifetime", "token_lifetime_s?"),
     ("extra: 1", 6, "extra", "use one of: instance, listen"),
@@ -74,11 +74,11 @@
     def test_whole_file_of_another_type(self):
         self.assertIn("the whole file: wrong type (list)", failure_text("[]"))
 
-    def test_all_faults_are_listed(self):
+    def test_all_errors_are_listed(self):
         message = failure_text(REQUIRED + "a: 1, b: 2}")
         self.assertEqual(len(message.splitlines()), 2)
 
-    def test_file_that_is_not_there(self):
+    def test_missing_file(self):
         with self.assertRaisesRegex(SettingsInvalidError, "Name a readable"):
             load_settings("/nonexistent/settings.json5")
 
@@ -89,15 +89,15 @@
         self.assertEqual(settings.instance.zone, "fukuoka")
         self.assertEqual(settings.secrets.peer_secret, bytes(range(16)))
 
-    def test_hand_overs_are_remembered_while_a_token_is_valid(self):
+    def test_handovers_are_kept_for_the_token_lifetime(self):
         settings = parse_settings(REQUIRED + "flow: {token_lifetime_s: 60}}").unwrap()
         self.assertEqual(settings.membership.departed_kept_s, 60)
 
-    def test_secret_stays_out_of_the_representation(self):
+    def test_repr_hides_the_secret(self):
         settings = parse_settings(REQUIRED + "}").unwrap()
         self.assertNotIn("0001", repr(settings))
 
-    def test_border_models_match_the_data_classes(self):
+    def test_validation_models_match_the_data_classes(self):
         for group in dataclasses.fields(DaemonSettings):
             inside = set(inspect.signature(group.type).parameters)
             border = SettingsModel.model_fields[group.name].annotation
--- a/endivepick/timeline/__init__.py
+++ b/endivepick/timeline/__init__.py
@@ -1,8 +1,8 @@
-"""Logs of all processes merged into one time line."""
+"""Merge of the logs of all processes into one timeline."""
 
 from endivepick.timeline.clock import HybridClock, stamp_to_s
 from endivepick.timeline.events import LogEvent, RequestKey, read_log
-from endivepick.timeline.flows import FlowScope, scope_of_flow, trace_flow
+from endivepick.timeline.flows import FlowScope, find_flow_scope, trace_flow
 from endivepick.timeline.merge import (
     Timeline,
     TimelineEvent,
@@ -10,7 +10,7 @@
     merge_logs,
 )
 from endivepick.timeline.render import (
-    fields_text,
+    format_fields,
     render_html,
     render_json,
     render_text,
@@ -25,14 +25,14 @@
     "RequestKey",
     "Timeline",
     "TimelineEvent",
-    "fields_text",
+    "format_fields",
     "merge_events",
     "merge_logs",
     "read_log",
     "render_html",
     "render_json",
     "render_text",
-    "scope_of_flow",
+    "find_flow_scope",
     "select_events",
     "stamp_to_s",
     "trace_flow",
--- a/endivepick/timeline/events.py
+++ b/endivepick/timeline/events.py
@@ -1,4 +1,4 @@
-"""Events read from the log files of instances, callers, targets and the platform."""
+"""Events in the log files of instances, callers, targets and the platform."""
 
 import re
 from collections.abc import Iterator, Mapping
@@ -18,7 +18,7 @@
 
 @dataclass(frozen=True, order=True)
 class RequestKey:
-    """Flow, binding and number: the name of one request in every process.
+    """Flow, binding and sequence number, which identify a request in all processes.
 
     Examples
     --------
@@ -35,12 +35,12 @@
 
     @classmethod
     def parse(cls, text: str) -> "RequestKey":
-        """Read ``<flow hex>-<binding hex>-<seq>``.
+        """Parse ``<flow hex>-<binding hex>-<seq>``.
 
         Raises
         ------
         ValueError
-            If the text has another form.
+            If the text is not a valid request key.
         """
         match = _KEY_PATTERN.fullmatch(text)
         if match is None:
@@ -51,26 +51,26 @@
 
 @dataclass(frozen=True)
 class LogEvent:
-    """One line of a log.
+    """One event of a log file.
 
     Attributes
     ----------
     source : str
-        Log file that it stood in.
+        Path of the log file.
     line : int
-        Its line there, from 1.
+        Line number in the file, from 1.
     process : str
-        Instance, caller, target or platform.
+        Name of the instance, caller, target or platform.
     at_s : float
-        Wall time of that process, in seconds since 1970.
+        Wall time of the process, in seconds since 1970.
     clock : int or None
-        Hybrid logical clock, None in logs of processes that have none.
+        Hybrid logical timestamp; None in logs of processes without that clock.
     event, message : str
-        Name and sentence.
+        Name of the event and its description.
     fields : mapping of str to object
         All other fields.
     request : RequestKey or None
-        Request that it is about.
+        Request that the event refers to.
     """
 
     source: str
@@ -85,38 +85,38 @@
 
     @property
     def flow(self) -> int | None:
-        """Flow that it is about."""
+        """Flow that the event refers to."""
         if self.request is not None:
             return self.request.flow
-        return _hex_id(self.fields.get("flow"))
+        return _parse_hex_id(self.fields.get("flow"))
 
     @property
     def flow_key(self) -> str:
-        """Addresses of the forwarders' flow that it is about, if any."""
+        """Addresses of the forwarder flow that the event refers to; empty if none."""
         key = self.fields.get("flow_key", "")
         return key if isinstance(key, str) else ""
 
     @property
     def record(self) -> str | None:
-        """Record that it is about: a service's, or another object's name."""
+        """Name of the service record or other object that the event refers to."""
         if "kind" in self.fields and "name" in self.fields:
             return self.fields["name"]
         return self.fields.get("record", self.fields.get("service"))
 
     @property
     def target(self) -> str | None:
-        """Target that it is about."""
+        """Target that the event refers to."""
         return self.fields.get("target")
 
 
 def read_log(path: str | Path) -> Iterator[LogEvent]:
-    """Read the events of one log; lines that are no events are left out.
+    """Read the events of one log; other lines are ignored.
 
     Parameters
     ----------
     path : str or Path
-        File with one JSON object per line; what a collector of logs writes before it
-        is passed over.  A torn last line is normal after a process was killed.
+        File with one JSON object per line.  A prefix added by a log collector is
+        skipped.  The last line may be incomplete if the process was killed.
 
     Yields
     ------
@@ -130,12 +130,12 @@
     """
     with open(path, "rb") as lines:
         for number, line in enumerate(lines, start=1):
-            entry = _decode(line)
+            entry = _decode_line(line)
             if entry is not None:
                 yield _to_event(Path(path), number, entry)
 
 
-def _decode(line: bytes) -> dict[str, Any] | None:
+def _decode_line(line: bytes) -> dict[str, Any] | None:
     _, brace, rest = line.partition(b"{")
     try:
         entry = _decoder.decode(brace + rest)
@@ -157,23 +157,26 @@
         event=str(entry["event"]),
         message=str(entry.get("message", entry["event"])),
         fields={k: v for k, v in entry.items() if k not in _STAMP_FIELDS},
-        request=_request_of(entry),
+        request=_find_request_key(entry),
     )
 
 
-def _request_of(entry: dict[str, Any]) -> RequestKey | None:
+def _find_request_key(entry: dict[str, Any]) -> RequestKey | None:
     for name in _KEY_FIELDS:
         text = entry.get(name)
         if isinstance(text, str) and _KEY_PATTERN.fullmatch(text):
             return RequestKey.parse(text)
-    flow, binding = _hex_id(entry.get("flow")), _hex_id(entry.get("binding"))
+    flow, binding = (
+        _parse_hex_id(entry.get("flow")),
+        _parse_hex_id(entry.get("binding")),
+    )
     seq = entry.get("seq")
     if flow is not None and binding is not None and isinstance(seq, int):
         return RequestKey(flow, binding, seq)
     return None
 
 
-def _hex_id(value: Any) -> int | None:
+def _parse_hex_id(value: Any) -> int | None:
     match value:
         case int():
             return value
--- a/endivepick/timeline/flows.py
+++ b/endivepick/timeline/flows.py
@@ -1,7 +1,7 @@
-"""What concerns one flow in the logs of forwarders.
+"""Events related to one flow in the logs of forwarders.
 
-The lines of a flow name its target; what was believed of that target, and what
-happened to the processes that saw the flow, stands in other lines.
+Events of a flow name its target.  Related events are those about the state of that
+target, and about the processes that forwarded the flow.
 """
 
 from collections.abc import Sequence
@@ -9,29 +9,36 @@
 
 from endivepick.timeline.events import LogEvent
 
-__all__ = ["AFTER_S", "BEFORE_S", "FlowScope", "scope_of_flow", "trace_flow"]
+__all__ = [
+    "SCOPE_AFTER_S",
+    "SCOPE_BEFORE_S",
+    "FlowScope",
+    "find_flow_scope",
+    "trace_flow",
+]
 
-BEFORE_S = 10.0
-"""How long before a flow its targets and processes are shown: longer than the store
+SCOPE_BEFORE_S = 10.0
+"""Time before a flow for events of its targets and processes; longer than the store
 keeps the entry of a target that has ended."""
-AFTER_S = 2.0
-"""How long after it: what a flow's loss told of its target is known by then."""
+SCOPE_AFTER_S = 2.0
+"""Time after a flow for the same; the evidence that the loss of a flow gives about its
+target has been evaluated by then."""
 _PROCESS_PARTS = frozenset({"start", "stop", "store", "config", "settings", "clock"})
-"""Parts whose lines are about a process and not about a flow or target."""
+"""Parts whose events refer to a process and not to a flow or target."""
 
 
 @dataclass(frozen=True)
 class FlowScope:
-    """Events that concern a flow.
+    """Criteria for events related to a flow.
 
     Attributes
     ----------
     flow_key : str
         ``caller:port>host:port`` or a part of it.
     targets, processes : frozenset of str
-        Targets that got its packets, and forwarders that saw it.
+        Targets that received packets of the flow, and forwarders that handled it.
     from_s, until_s : float
-        Bounds for events of these, in seconds since 1970.
+        Time bounds for events of these targets and processes, in seconds since 1970.
     """
 
     flow_key: str
@@ -40,43 +47,43 @@
     from_s: float
     until_s: float
 
-    def holds(self, event: LogEvent) -> bool:
-        """Tell whether an event concerns the flow."""
+    def contains(self, event: LogEvent) -> bool:
+        """Return whether an event is related to the flow."""
         if event.flow_key:
             return self.flow_key in event.flow_key
         if event.process not in self.processes:
             return False
         if not self.from_s <= event.at_s <= self.until_s:
             return False
-        about_process = event.fields.get("part") in _PROCESS_PARTS
-        return about_process or event.target in self.targets
+        is_process_event = event.fields.get("part") in _PROCESS_PARTS
+        return is_process_event or event.target in self.targets
 
 
-def scope_of_flow(
+def find_flow_scope(
     events: Sequence[LogEvent],
     flow_key: str,
-    before_s: float = BEFORE_S,
-    after_s: float = AFTER_S,
+    before_s: float = SCOPE_BEFORE_S,
+    after_s: float = SCOPE_AFTER_S,
 ) -> FlowScope | None:
-    """Return what concerns a flow, None if no event names it.
+    """Return the scope of a flow; None if no event names the flow.
 
     Parameters
     ----------
     events : sequence of LogEvent
         Events of all processes.
     flow_key : str
-        ``caller:port>host:port``; a part of it, such as ``caller:port``, finds all
-        flows that hold it.
+        ``caller:port>host:port``; a substring, such as ``caller:port``, selects all
+        flows that contain it.
     before_s, after_s : float
-        How long before the flow's first and after its last event the events of its
-        targets and processes are wanted, in seconds.
+        Time before the first and after the last event of the flow in which events of
+        its targets and processes are included, in seconds.
     """
-    own = [event for event in events if flow_key in event.flow_key]
-    if not own:
+    flow_events = [event for event in events if flow_key in event.flow_key]
+    if not flow_events:
         return None
-    times_s = [event.at_s for event in own]
-    targets = {event.target for event in own if event.target}
-    processes = {event.process for event in own}
+    times_s = [event.at_s for event in flow_events]
+    targets = {event.target for event in flow_events if event.target}
+    processes = {event.process for event in flow_events}
     return FlowScope(
         flow_key,
         frozenset(targets),
@@ -89,11 +96,11 @@
 def trace_flow(
     events: Sequence[LogEvent],
     flow_key: str,
-    before_s: float = BEFORE_S,
-    after_s: float = AFTER_S,
+    before_s: float = SCOPE_BEFORE_S,
+    after_s: float = SCOPE_AFTER_S,
 ) -> list[LogEvent]:
-    """Return the events that concern a flow, in order of their time."""
-    scope = scope_of_flow(events, flow_key, before_s, after_s)
+    """Return the events related to a flow, ordered by time."""
+    scope = find_flow_scope(events, flow_key, before_s, after_s)
     if scope is None:
         return []
-    return sorted(filter(scope.holds, events), key=lambda event: event.at_s)
+    return sorted(filter(scope.contains, events), key=lambda event: event.at_s)
--- a/endivepick/timeline/measure.py
+++ b/endivepick/timeline/measure.py
@@ -1,4 +1,4 @@
-"""Cost of log events and of the merge: ``python -m endivepick.timeline.measure``."""
+"""Benchmark of log events and the merge: ``python -m endivepick.timeline.measure``."""
 
 import statistics
 import tempfile
@@ -20,22 +20,24 @@
 _US_PER_S = 1e6
 
 
-def _event_costs_us(level: LogLevel, write: Callable[[int], None]) -> list[float]:
-    """Measure one log event, in microseconds, once per run."""
+def _measure_event_costs_us(
+    level: LogLevel, write: Callable[[int], None]
+) -> list[float]:
+    """Measure the cost of a log event in microseconds, once per run."""
     costs = []
     with tempfile.TemporaryDirectory() as folder:
         settings = LogSettings(path=str(Path(folder) / "log.jsonl"), level=level)
         with process_log(settings, "entry-1", HybridClock()):
             for _ in range(_RUNS):
-                began_s = time.perf_counter()
+                start_s = time.perf_counter()
                 for number in range(_EVENTS):
                     write(number)
-                costs.append((time.perf_counter() - began_s) / _EVENTS * _US_PER_S)
+                costs.append((time.perf_counter() - start_s) / _EVENTS * _US_PER_S)
     return costs
 
 
-def _request_events(count: int) -> list[LogEvent]:
-    """Make the events of requests at a caller, an owner and a target."""
+def _make_request_events(count: int) -> list[LogEvent]:
+    """Create the events of requests at a caller, an owner and a target."""
     clock = HybridClock()
     events = []
     steps = (
@@ -51,9 +53,9 @@
         for number, (process, name, skew_s) in enumerate(steps):
             at_s = 1e9 + seq + number / len(steps) + skew_s
             stamp = clock.tick(at_s) if process == "entry-1" else None
-            stands = (process, seq * len(steps) + number, process, at_s, stamp)
+            location = (process, seq * len(steps) + number, process, at_s, stamp)
             key = RequestKey(1, 1, seq)
-            events.append(LogEvent(*stands, name, name, {"target": "a"}, key))
+            events.append(LogEvent(*location, name, name, {"target": "a"}, key))
     return events
 
 
@@ -73,14 +75,16 @@
     def write_action(number: int) -> None:
         eliot.log_message("request_accepted", flow=number, seq=number)
 
-    _print_costs("event written", _event_costs_us("debug", write))
-    _print_costs("event below the level", _event_costs_us("info", write))
-    _print_costs("eliot message with an action", _event_costs_us("debug", write_action))
+    _print_costs("event written", _measure_event_costs_us("debug", write))
+    _print_costs("event below the level", _measure_event_costs_us("info", write))
+    _print_costs(
+        "eliot message with an action", _measure_event_costs_us("debug", write_action)
+    )
     for count in _MERGED_REQUESTS:
-        events = _request_events(count)
-        began_s = time.perf_counter()
+        events = _make_request_events(count)
+        start_s = time.perf_counter()
         merge_events(events)
-        cost_us = (time.perf_counter() - began_s) / len(events) * _US_PER_S
+        cost_us = (time.perf_counter() - start_s) / len(events) * _US_PER_S
         print(f"merge of {len(events)} events: {cost_us:.1f} microseconds an event")
 
 
--- a/endivepick/timeline/merge.py
+++ b/endivepick/timeline/merge.py
@@ -1,4 +1,4 @@
-"""One ordered list of events out of the logs of all processes."""
+"""Merge of the logs of all processes into one ordered list of events."""
 
 import heapq
 from collections.abc import Iterable, Sequence
@@ -7,7 +7,7 @@
 from itertools import pairwise
 from pathlib import Path
 
-from endivepick.timeline.causes import Edge, cross_edges, order_edges
+from endivepick.timeline.causes import Edge, find_cross_log_edges, find_log_edges
 from endivepick.timeline.events import LogEvent, read_log
 from endivepick.timeline.offsets import estimate_times_s
 
@@ -16,16 +16,16 @@
 
 @dataclass(frozen=True)
 class TimelineEvent:
-    """An event with its place.
+    """An event with its estimated time and its causes.
 
     Attributes
     ----------
     time_s : float
-        Time on the instances' common scale, in seconds since 1970.
+        Time on the common time scale of the instances, in seconds since 1970.
     log : LogEvent
         The event.
     causes : tuple of int
-        Positions in the time line of events in other logs that came before.
+        Timeline positions of events in other logs that happened before.
     """
 
     time_s: float
@@ -35,14 +35,14 @@
 
 @dataclass(frozen=True)
 class Timeline:
-    """Events in an order that respects causes.
+    """Events in causal order.
 
     Attributes
     ----------
     events : tuple of TimelineEvent
-        In order.
+        Ordered events.
     contradictions : int
-        Edges that were left out because the logs contradict each other, for
+        Number of edges that were ignored because the logs contradict each other, for
         example after a log was edited or two runs share a file.
     """
 
@@ -61,7 +61,7 @@
     Returns
     -------
     Timeline
-        All events.
+        Events of all logs.
 
     Raises
     ------
@@ -72,40 +72,42 @@
 
 
 def merge_events(events: Sequence[LogEvent]) -> Timeline:
-    """Order events that were read from any number of logs."""
-    between = list(cross_edges(events))
-    times_s = estimate_times_s(events, between)
-    order, used = _sort(times_s, list(order_edges(events)), between)
+    """Order events of any number of logs."""
+    cross_edges = list(find_cross_log_edges(events))
+    times_s = estimate_times_s(events, cross_edges)
+    order, accepted_edges = _sort_events(
+        times_s, list(find_log_edges(events)), cross_edges
+    )
     positions = {index: position for position, index in enumerate(order)}
     causes: dict[int, list[int]] = {}
-    for edge in used:
+    for edge in accepted_edges:
         causes.setdefault(edge.effect, []).append(positions[edge.cause])
     merged = tuple(
         TimelineEvent(times_s[index], events[index], tuple(causes.get(index, ())))
         for index in order
     )
-    return Timeline(merged, len(between) - len(used))
+    return Timeline(merged, len(cross_edges) - len(accepted_edges))
 
 
-def _sort(
-    times_s: Sequence[float], fixed: Sequence[Edge], between: Sequence[Edge]
+def _sort_events(
+    times_s: Sequence[float], log_edges: Sequence[Edge], cross_edges: Sequence[Edge]
 ) -> tuple[list[int], list[Edge]]:
-    """Sort by cause, then by time; drop edges between logs that form a cycle."""
-    used = list(between)
+    """Sort by causal order, then by time; ignore cross-log edges that form a cycle."""
+    accepted_edges = list(cross_edges)
     while True:
         sorter = TopologicalSorter({index: () for index in range(len(times_s))})
-        for edge in (*fixed, *used):
+        for edge in (*log_edges, *accepted_edges):
             sorter.add(edge.effect, edge.cause)
         try:
             sorter.prepare()
         except CycleError as error:
             cycle = {Edge(cause, effect) for cause, effect in pairwise(error.args[1])}
-            used = [edge for edge in used if edge not in cycle]
+            accepted_edges = [edge for edge in accepted_edges if edge not in cycle]
             continue
-        return _earliest_first(sorter, times_s), used
+        return _order_by_time(sorter, times_s), accepted_edges
 
 
-def _earliest_first(sorter: TopologicalSorter, times_s: Sequence[float]) -> list[int]:
+def _order_by_time(sorter: TopologicalSorter, times_s: Sequence[float]) -> list[int]:
     order = []
     ready: list[tuple[float, int]] = []
     while sorter.is_active():
--- a/endivepick/timeline/offsets.py
+++ b/endivepick/timeline/offsets.py
@@ -1,7 +1,7 @@
-"""Clock offsets of logs that have no hybrid clock.
+"""Estimation of clock offsets of logs without a hybrid clock.
 
-An edge from an instance's event to an unclocked one bounds the offset of that
-log from below, an edge back from above.
+An edge from an instance's event to an event of such a log is a lower bound of the
+log's offset; an edge in the other direction is an upper bound.
 """
 
 import math
@@ -18,19 +18,19 @@
 def estimate_offsets_s(
     events: Sequence[LogEvent], edges: Iterable[Edge]
 ) -> dict[str, float]:
-    """Estimate what to add to the wall time of each unclocked log.
+    """Estimate the offset of the wall time of each log without a hybrid clock.
 
     Parameters
     ----------
     events : sequence of LogEvent
         All events.
     edges : iterable of Edge
-        Causes between logs.
+        Edges between logs.
 
     Returns
     -------
     dict of str to float
-        Seconds to add for each log file; zero wherever the bounds allow it.
+        Seconds to add by log file; zero if the bounds allow it.
     """
     lows: dict[str, float] = defaultdict(lambda: -math.inf)
     highs: dict[str, float] = defaultdict(lambda: math.inf)
@@ -43,12 +43,12 @@
             bound_s = stamp_to_s(effect.clock) - cause.at_s
             highs[cause.source] = min(highs[cause.source], bound_s)
     return {
-        source: _offset_s(lows[source], highs[source])
+        source: _choose_offset_s(lows[source], highs[source])
         for source in lows.keys() | highs.keys()
     }
 
 
-def _offset_s(low_s: float, high_s: float) -> float:
+def _choose_offset_s(low_s: float, high_s: float) -> float:
     if low_s <= 0 <= high_s:
         return 0.0
     if math.isinf(low_s):
@@ -59,7 +59,7 @@
 
 
 def estimate_times_s(events: Sequence[LogEvent], edges: Iterable[Edge]) -> list[float]:
-    """Give the time of each event on the instances' common scale, in seconds."""
+    """Return the time of each event on the instances' common scale, in seconds."""
     offsets_s = estimate_offsets_s(events, edges)
     return [
         event.at_s + offsets_s.get(event.source, 0.0)
--- a/endivepick/timeline/select.py
+++ b/endivepick/timeline/select.py
@@ -1,10 +1,10 @@
-"""Choice of events of a time line."""
+"""Filter of timeline events."""
 
 from collections.abc import Sequence
 from dataclasses import dataclass
 
 from endivepick.timeline.events import RequestKey
-from endivepick.timeline.flows import scope_of_flow
+from endivepick.timeline.flows import find_flow_scope
 from endivepick.timeline.merge import Timeline, TimelineEvent
 
 __all__ = ["EventFilter", "select_events"]
@@ -12,23 +12,23 @@
 
 @dataclass(frozen=True)
 class EventFilter:
-    """What to keep; empty fields keep everything.
+    """Criteria for events; empty fields match everything.
 
     Attributes
     ----------
     flow : int or None
         Flow id.
     request : RequestKey or None
-        One request.
+        Key of a request.
     target : str or None
         Name of a target.
     record : str or None
         Name of a service record.
     since_s, until_s : float or None
-        Bounds of the time, in seconds since 1970.
+        Time bounds, in seconds since 1970.
     flow_key : str
-        Addresses of a flow of forwarders, or a part of them; events of its targets
-        and processes around it are kept as well.
+        Addresses of a forwarder flow, or a substring of them; events of its targets
+        and processes around that time match as well.
     """
 
     flow: int | None = None
@@ -39,8 +39,8 @@
     until_s: float | None = None
     flow_key: str = ""
 
-    def keeps(self, event: TimelineEvent) -> bool:
-        """Tell whether an event is wanted."""
+    def matches(self, event: TimelineEvent) -> bool:
+        """Return whether an event matches all criteria except ``flow_key``."""
         log = event.log
         return (
             (self.flow is None or log.flow == self.flow)
@@ -52,24 +52,28 @@
         )
 
 
-def select_events(timeline: Timeline, wanted: EventFilter) -> Timeline:
-    """Keep the wanted events, with causes among them."""
+def select_events(timeline: Timeline, event_filter: EventFilter) -> Timeline:
+    """Keep the matching events and the causes among them."""
     events = timeline.events
     scope = None
-    if wanted.flow_key:
-        scope = scope_of_flow([event.log for event in events], wanted.flow_key)
+    if event_filter.flow_key:
+        scope = find_flow_scope([event.log for event in events], event_filter.flow_key)
         if scope is None:
             return Timeline((), timeline.contradictions)
     kept = [
-        place
-        for place, event in enumerate(events)
-        if wanted.keeps(event) and (scope is None or scope.holds(event.log))
+        index
+        for index, event in enumerate(events)
+        if event_filter.matches(event) and (scope is None or scope.contains(event.log))
     ]
-    places = {old: new for new, old in enumerate(kept)}
-    moved = tuple(_moved(events[old], places) for old in kept)
-    return Timeline(moved, timeline.contradictions)
+    new_indices = {old: new for new, old in enumerate(kept)}
+    renumbered = tuple(_renumber_causes(events[old], new_indices) for old in kept)
+    return Timeline(renumbered, timeline.contradictions)
 
 
-def _moved(event: TimelineEvent, places: dict[int, int]) -> TimelineEvent:
-    causes: Sequence[int] = [places[old] for old in event.causes if old in places]
+def _renumber_causes(
+    event: TimelineEvent, new_indices: dict[int, int]
+) -> TimelineEvent:
+    causes: Sequence[int] = [
+        new_indices[old] for old in event.causes if old in new_indices
+    ]
     return TimelineEvent(event.time_s, event.log, tuple(causes))
--- a/endivepick/timeline/tests/test_clock.py
+++ b/endivepick/timeline/tests/test_clock.py
@@ -7,7 +7,7 @@
 
 DAY_S = 86400.0
 SKEW_S = st.lists(st.floats(-600, 600), min_size=3, max_size=3)
-# Each step: time that passes, process, and the peer it hears from (or itself).
+# Each step: elapsed time, process, and the peer that sends to it (or itself).
 STEPS = st.lists(
     st.tuples(st.floats(-1, 1), st.integers(0, 2), st.integers(0, 2)), max_size=60
 )
@@ -33,7 +33,7 @@
         clock = HybridClock()
         self.assertAlmostEqual(stamp_to_s(clock.tick(1e9)), 1e9, delta=0.001)
 
-    def test_a_broken_peer_clock_does_not_spread(self):
+    def test_timestamp_far_ahead_is_ignored(self):
         clock = HybridClock()
         far = HybridClock().tick(1e9 + 2 * DAY_S)
         self.assertLess(clock.observe(far, 1e9), far)
--- a/endivepick/timeline/tests/test_flows.py
+++ b/endivepick/timeline/tests/test_flows.py
@@ -46,7 +46,7 @@
 
 
 class TestFlows(unittest.TestCase):
-    """A flow's way over two forwarders, with its target's history beside it."""
+    """A flow over two forwarders, with the related events of its target."""
 
     def setUp(self):
         folder = Path(self.enterContext(tempfile.TemporaryDirectory()))
@@ -59,23 +59,23 @@
     def events(self):
         return [event for path in self.paths for event in read_log(path)]
 
-    def test_the_lines_of_a_flow_its_target_and_its_forwarders(self):
+    def test_events_of_a_flow_its_target_and_its_forwarders(self):
         found = trace_flow(self.events(), "100.64.0.7:40001")
         self.assertEqual([(e.process, e.event) for e in found], WANTED)
 
-    def test_the_time_line_shows_the_same(self):
+    def test_timeline_filter_selects_the_same_events(self):
         wanted = EventFilter(flow_key="100.64.0.7:40001")
         shown = select_events(merge_logs(self.paths), wanted)
         found = [(e.log.process, e.log.event) for e in shown.events]
         self.assertEqual(sorted(found), sorted(WANTED))
         self.assertEqual(len(render_text(shown).splitlines()), len(WANTED))
 
-    def test_a_flow_that_no_line_names(self):
+    def test_unknown_flow(self):
         self.assertEqual(trace_flow(self.events(), "100.64.0.9:1"), [])
         wanted = EventFilter(flow_key="100.64.0.9:1")
         self.assertEqual(select_events(merge_logs(self.paths), wanted).events, ())
 
-    def test_what_a_collector_of_logs_writes_before_a_line(self):
+    def test_prefix_of_a_log_collector_is_skipped(self):
         path = self.paths[0].with_name("collected")
         path.write_text(f"12.5 front-9 {LINES['front-3'][0]}\n")
         (event,) = read_log(path)
--- a/endivepick/timeline/tests/test_merge.py
+++ b/endivepick/timeline/tests/test_merge.py
@@ -22,8 +22,8 @@
 CLOCKED = ("entry-1", "entry-2")
 
 
-class World:
-    """Writes events in their true order with each process's own wrong clock."""
+class SimulatedProcesses:
+    """Logs events in true order with a skewed clock per process."""
 
     def __init__(self, skews_s):
         self.skews_s = skews_s
@@ -43,14 +43,14 @@
             )
         )
 
-    def tell_peer(self, giver, taker):
-        stamp = self.clocks[giver].tick(self.true_s + self.skews_s[giver])
-        self.clocks[taker].observe(stamp, self.true_s + self.skews_s[taker])
+    def send_to_peer(self, sender, receiver):
+        stamp = self.clocks[sender].tick(self.true_s + self.skews_s[sender])
+        self.clocks[receiver].observe(stamp, self.true_s + self.skews_s[receiver])
 
     def serve_request(self, seq):
         self.log("caller", "request_sent", seq)
         self.log("entry-1", "request_relayed", seq)
-        self.tell_peer("entry-1", "entry-2")
+        self.send_to_peer("entry-1", "entry-2")
         self.log("entry-2", "request_accepted", seq)
         self.log("entry-2", "attempt_started", seq, target="a")
         self.log("a", "start", seq, target="a")
@@ -65,65 +65,65 @@
 
 class MergeTest(unittest.TestCase):
     def test_one_request_is_in_true_order_under_any_skew(self):
-        draw = random.Random(5)
+        random_source = random.Random(5)
         for trial in range(100):
-            skews_s = {name: draw.uniform(-500, 500) for name in SKEWS_S}
-            world = World(skews_s)
-            world.serve_request(1)
-            shuffled = draw.sample(world.events, len(world.events))
+            skews_s = {name: random_source.uniform(-500, 500) for name in SKEWS_S}
+            processes = SimulatedProcesses(skews_s)
+            processes.serve_request(1)
+            shuffled = random_source.sample(processes.events, len(processes.events))
             with self.subTest(trial):
-                self.assertEqual(merged_order(shuffled), world.events)
+                self.assertEqual(merged_order(shuffled), processes.events)
 
-    def test_requests_in_turn_are_in_true_order(self):
-        world = World(SKEWS_S)
+    def test_consecutive_requests_are_in_true_order(self):
+        processes = SimulatedProcesses(SKEWS_S)
         for seq in range(1, 20):
-            world.serve_request(seq)
-        self.assertEqual(merged_order(world.events[::-1]), world.events)
+            processes.serve_request(seq)
+        self.assertEqual(merged_order(processes.events[::-1]), processes.events)
 
     def test_the_answer_follows_the_last_attempt(self):
-        world = World(SKEWS_S | {"b": -70.0})
-        world.log("entry-1", "request_accepted")
-        world.log("entry-1", "attempt_started", target="b")
-        world.log("b", "start", target="b")
-        world.log("entry-1", "attempt_failed")
-        world.log("entry-1", "attempt_started", target="a")
-        world.log("a", "start", target="a")
-        world.log("a", "end", target="a")
-        world.log("entry-1", "request_answered")
-        world.log("b", "end", target="b")
-        self.assertEqual(merged_order(world.events[::-1]), world.events)
+        processes = SimulatedProcesses(SKEWS_S | {"b": -70.0})
+        processes.log("entry-1", "request_accepted")
+        processes.log("entry-1", "attempt_started", target="b")
+        processes.log("b", "start", target="b")
+        processes.log("entry-1", "attempt_failed")
+        processes.log("entry-1", "attempt_started", target="a")
+        processes.log("a", "start", target="a")
+        processes.log("a", "end", target="a")
+        processes.log("entry-1", "request_answered")
+        processes.log("b", "end", target="b")
+        self.assertEqual(merged_order(processes.events[::-1]), processes.events)
 
     def test_record_is_in_force_after_its_write(self):
-        world = World(SKEWS_S)
+        processes = SimulatedProcesses(SKEWS_S)
         record = {"kind": "service", "name": "notes", "version": 4}
-        world.log("platform", "write", None, **record)
-        world.log("entry-1", "record_in_force", None, record="notes", version=4)
-        self.assertEqual(merged_order(world.events[::-1]), world.events)
-
-    def test_equal_clocks_are_left_alone(self):
-        world = World(dict.fromkeys(SKEWS_S, 0.0))
-        world.serve_request(1)
-        times_s = [e.time_s for e in merge_events(world.events).events]
-        for time_s, event in zip(times_s, world.events, strict=True):
+        processes.log("platform", "write", None, **record)
+        processes.log("entry-1", "record_in_force", None, record="notes", version=4)
+        self.assertEqual(merged_order(processes.events[::-1]), processes.events)
+
+    def test_equal_clocks_are_not_adjusted(self):
+        processes = SimulatedProcesses(dict.fromkeys(SKEWS_S, 0.0))
+        processes.serve_request(1)
+        times_s = [e.time_s for e in merge_events(processes.events).events]
+        for time_s, event in zip(times_s, processes.events, strict=True):
             self.assertAlmostEqual(time_s, event.at_s, delta=0.002)
 
     def test_contradicting_logs_are_merged_and_counted(self):
-        world = World(SKEWS_S)
-        world.log("caller", "answer_received")
-        world.log("caller", "request_sent")
-        world.log("entry-1", "request_answered")
-        timeline = merge_events(world.events)
+        processes = SimulatedProcesses(SKEWS_S)
+        processes.log("caller", "answer_received")
+        processes.log("caller", "request_sent")
+        processes.log("entry-1", "request_answered")
+        timeline = merge_events(processes.events)
         self.assertEqual(len(timeline.events), 3)
         self.assertGreater(timeline.contradictions, 0)
 
 
 class SelectTest(unittest.TestCase):
     def setUp(self):
-        world = World(SKEWS_S)
-        world.serve_request(1)
-        world.serve_request(2)
-        world.log("entry-1", "role_taken", None, service="notes")
-        self.timeline = merge_events(world.events)
+        processes = SimulatedProcesses(SKEWS_S)
+        processes.serve_request(1)
+        processes.serve_request(2)
+        processes.log("entry-1", "role_taken", None, service="notes")
+        self.timeline = merge_events(processes.events)
 
     def count(self, **wanted):
         return len(select_events(self.timeline, EventFilter(**wanted)).events)
@@ -139,7 +139,7 @@
         self.assertEqual(self.count(since_s=middle_s), 9)
         self.assertEqual(self.count(until_s=middle_s, flow=FLOW), 9)
 
-    def test_causes_move_along(self):
+    def test_causes_are_renumbered(self):
         wanted = EventFilter(request=RequestKey(FLOW, BINDING, 2))
         events = select_events(self.timeline, wanted).events
         self.assertEqual(events[1].causes, (0,))
--- a/endivepick/timeline/tests/test_real_run.py
+++ b/endivepick/timeline/tests/test_real_run.py
@@ -27,7 +27,7 @@
 
 
 class RealRunTest(unittest.TestCase):
-    """Logs of real processes, merged."""
+    """Merged logs of real processes."""
 
     @classmethod
     def setUpClass(cls):
@@ -55,7 +55,7 @@
             cls.timeline = merge_logs(logs)
 
     def steps(self):
-        """Return the events of each request in the order of the time line."""
+        """Return the events of each request in timeline order."""
         steps = defaultdict(list)
         for event in self.timeline.events:
             if event.log.request is not None:
@@ -71,7 +71,7 @@
     def test_no_contradiction(self):
         self.assertEqual(self.timeline.contradictions, 0)
 
-    def test_each_request_shows_in_the_order_of_its_causes(self):
+    def test_events_of_each_request_are_in_causal_order(self):
         steps = self.steps()
         self.assertGreater(len(steps), 20)
         for request, events in steps.items():
