--- a/endivepick/bench/_capacity_lines.py
+++ b/endivepick/bench/_capacity_lines.py
@@ -7,7 +7,7 @@
 
 from endivepick.bench._fleet import Fleet, Limits
 from endivepick.bench._slopes import Measured
-from endivepick.core.flow_table import CLOCK_SKEW_MARGIN_S, LOOK_EVERY_S
+from endivepick.core.flow_table import CLOCK_SKEW_MARGIN_S, EXPIRY_SCAN_PERIOD_S
 from endivepick.core.instance import EXPIRY_EVERY_S
 from endivepick.core.roles import RoleSettings
 from endivepick.core.settings import FlowSettings
@@ -273,7 +273,7 @@
         opens_per_s = self._fleet.opens_per_s / self._fleet.instances
         closed = opens_per_s * (settings.unacknowledged_s + EXPIRY_EVERY_S)
         yield self._memory(role, f"closed flows ({closed:,.0f})", flow_bytes * closed)
-        kept_s = settings.token_lifetime_s + CLOCK_SKEW_MARGIN_S + LOOK_EVERY_S
+        kept_s = settings.token_lifetime_s + CLOCK_SKEW_MARGIN_S + EXPIRY_SCAN_PERIOD_S
         left = ABANDONED_SHARE * opens_per_s * kept_s
         what = f"flows left open, {100 * ABANDONED_SHARE:.0f} % ({left:,.0f})"
         line = self._memory(role, what, flow_bytes * left)
@@ -374,7 +374,7 @@
         yield CapacityLine(role, "writes", writes, "1/s", limits.writes_per_s)
 
 
-def _tiers(fleet: Fleet, changes_per_s: float) -> cost.SpreadCost:
+def _tiers(fleet: Fleet, changes_per_s: float) -> cost.DisseminationCost:
     """Return the cost of the tiers of watchers and feeders."""
     shape = cost.Fleet(
         "",
@@ -384,7 +384,7 @@
         fleet.targets_per_record,
         changes_per_s,
     )
-    ways = cost.spread_costs(shape, DisseminationSettings())
+    ways = cost.estimate_dissemination_costs(shape, DisseminationSettings())
     return next(way for way in ways if "chosen" in way.way)
 
 
--- a/endivepick/bench/_control_slopes.py
+++ b/endivepick/bench/_control_slopes.py
@@ -19,10 +19,10 @@
 )
 from endivepick.bench._slopes import Measured, measure, traced
 from endivepick.core.events import InstancesListed, ObjectsChanged
-from endivepick.core.wire import Envelope, encode_envelope
-from endivepick.core.zone_status import PARTS_PER_EXPIRY
+from endivepick.core.peer_envelope import Envelope, encode_envelope
+from endivepick.core.zone_status import STATUS_SENDS_PER_EXPIRY
 from endivepick.daemon.metrics import DaemonMetrics
-from endivepick.daemon.status import instance_status, role_gauges
+from endivepick.daemon.status import build_instance_status, compute_role_gauges
 from endivepick.membership import ListedInstance
 from endivepick.membership.peer_messages import MemberUpdate, Phase, Ping
 from endivepick.membership.view import InstanceView, PeerState
@@ -34,10 +34,15 @@
     SubtreeReport,
     TargetStatus,
 )
-from endivepick.records.roles import hash_names, zone_roles
+from endivepick.records.roles import compute_zone_roles, hash_names
 from endivepick.records.settings import DisseminationSettings, StatusSettings
-from endivepick.records.status import ShownRows, StatusView, StatusWriter, WriteStatus
-from endivepick.records.status_groups import status_group
+from endivepick.records.status import (
+    RowSelection,
+    StatusView,
+    StatusWriter,
+    WriteStatus,
+)
+from endivepick.records.status_groups import find_status_group
 
 __all__ = ["measure_changes", "measure_fleet", "measure_lists", "measure_status"]
 
@@ -83,13 +88,13 @@
         "messages_sent_per_s": sum(node.sent.values()) / IDLE_S,
         "metrics_read_ms": _busy_ms(lambda: _read_metrics(metrics, node)),
         "status_page_bytes": float(
-            len(msgspec.json.encode(instance_status(node.core, node.now_s)))
+            len(msgspec.json.encode(build_instance_status(node.core, node.now_s)))
         ),
     }
 
 
 def _read_metrics(metrics: DaemonMetrics, node: DrivenNode) -> None:
-    metrics.set_roles(role_gauges(node.core))
+    metrics.set_role_gauges(compute_role_gauges(node.core))
     metrics.render([])
 
 
@@ -205,12 +210,12 @@
     """Let a writer write while records and load change."""
     written = _Written()
     writer.step(view_at(0), 0.0, 0.5)
-    writer.was_read(None)
+    writer.on_read(None)
     for second in range(round(STATUS_S)):
         view = view_at(second)
         for name in view.rows(()):
             number = int(name.rpartition("-")[2])
-            writer.note(name, _part(TWO_YEARS, number, 1, second), float(second))
+            writer.record_part(name, _part(TWO_YEARS, number, 1, second), float(second))
         started_s = time.process_time()
         action = writer.step(view, float(second), 0.5)
         written.busy_s += time.process_time() - started_s
@@ -218,7 +223,7 @@
             written.size = len(msgspec.json.encode(action.body))
             written.total += written.size
             stored = StoredObject("status", action.name, second + 1, action.body)
-            writer.was_written(stored)
+            writer.on_written(stored)
     return written
 
 
@@ -240,7 +245,7 @@
             records[at] = replace(records[at], version=version)
         reported = fleet.records + round((second - 2) * fleet.changes_per_s)
         report = SubtreeReport(reported, len(names), names_hash)
-        shown = ShownRows((), names, groups) if groups else ShownRows()
+        shown = RowSelection((), names, groups) if groups else RowSelection()
         return StatusView(list(records), report, names, {}, shown)
 
     return view_at
@@ -253,9 +258,10 @@
     members = [m for m in range(instances) if fleet.zone_of(m) == "zone-0"]
     names = [instance_name(number) for number in members]
     peers = [InstanceView(name, "zone-0", 1, "", PeerState.ALIVE) for name in names]
-    roles = zone_roles("zone-0", peers, DisseminationSettings())
+    roles = compute_zone_roles("zone-0", peers, DisseminationSettings())
     of_names = [
-        status_group(name, "zone-0", roles, settings.group_instances) for name in names
+        find_status_group(name, "zone-0", roles, settings.group_instances)
+        for name in names
     ]
     found = [group for group in of_names if group is not None]
     groups = max((group.groups for group in found), default=0)
@@ -267,13 +273,13 @@
         largest = max(found, key=lambda one: len(one.members))
         report = SubtreeReport(1, len(names), 0)
         listed = sorted(largest.members)
-        shown = ShownRows(listed, group=largest.number)
+        shown = RowSelection(listed, group=largest.number)
         view = StatusView((), report, names, {}, shown)
         slowdown, told = largest.slowdown, len(listed)
         writer = StatusWriter(settings, "zone-0", largest.object_name, slowdown)
         group = _write_status(writer, lambda _: view)
     part = len(_enveloped(_part(fleet, 1, 1, 0)))
-    period_s = settings.part_expiry_s * slowdown / PARTS_PER_EXPIRY
+    period_s = settings.part_expiry_s * slowdown / STATUS_SENDS_PER_EXPIRY
     return {
         "status_objects": 1.0 + groups,
         "status_zone_bytes": float(zone.size),
--- a/endivepick/cli/records.py
+++ b/endivepick/cli/records.py
@@ -18,7 +18,7 @@
     FieldDifference,
     ServiceRecord,
     StoredObject,
-    body_differences,
+    compare_bodies,
     parse_service,
 )
 
@@ -206,7 +206,7 @@
 def _compare_bodies(
     current: StoredObject | None, record: RecordFile
 ) -> tuple[FieldDifference, ...]:
-    return body_differences(current.body if current else None, record.body)
+    return compare_bodies(current.body if current else None, record.body)
 
 
 def _check_base_version(
--- a/endivepick/platform/_http.py
+++ b/endivepick/platform/_http.py
@@ -39,10 +39,10 @@
         timeout_s = self._settings.call_timeout_s + wait_s
         # The total timeout ends a call whose answer arrives in small pieces.
         limits = CallLimits(
-            begin_s=timeout_s,
-            pause_s=timeout_s,
+            first_byte_s=timeout_s,
+            read_s=timeout_s,
             connect_s=self._settings.connect_timeout_s,
-            whole_s=timeout_s,
+            total_s=timeout_s,
         )
         return self._pool.call(
             StoreCall(method, _build_path(path, query), request_body), limits
--- a/endivepick/platform/writes.py
+++ b/endivepick/platform/writes.py
@@ -17,7 +17,7 @@
 from endivepick.platform._http import HttpTransport
 from endivepick.platform.answers import WatchResult, decode_conflict, decode_object
 from endivepick.platform.settings import PlatformSettings
-from endivepick.records.difference import body_differences
+from endivepick.records.difference import compare_bodies
 from endivepick.records.objects import StoredObject
 from endivepick.store import (
     Answer,
@@ -195,7 +195,7 @@
 ) -> WriteResult:
     if current is not None and write.is_author_of(current):
         return Success(current)
-    differences = body_differences(write.base, current.body if current else None)
+    differences = compare_bodies(write.base, current.body if current else None)
     changed = "; ".join(map(str, differences)) or "only its version"
     now = f"version {current.version}" if current else "deleted"
     return Failure(
