--- a/endivepick/bench/_control_slopes.py
+++ b/endivepick/bench/_control_slopes.py
@@ -26,7 +26,7 @@
 from endivepick.membership import ListedInstance
 from endivepick.membership.peer_messages import MemberUpdate, Phase, Ping
 from endivepick.membership.view import InstanceView, PeerState
-from endivepick.platform.answers import WatchResult, read_instances
+from endivepick.platform.answers import WatchResult, decode_instances
 from endivepick.records.model import Affinity, ServiceRecord
 from endivepick.records.objects import StoredObject
 from endivepick.records.peer_messages import (
@@ -336,7 +336,7 @@
     entries = tuple(ListedInstance(u.name, u.zone, u.peer_address) for u in updates)
     return {
         "list_bytes": float(len(data)),
-        "list_read_ms": _busy_ms(lambda: read_instances(data)),
+        "list_read_ms": _busy_ms(lambda: decode_instances(data)),
         "list_taken_ms": _busy_ms(lambda: node.handle(InstancesListed(entries, 0.0))),
     }
 
--- a/endivepick/forwarding/target_checks.py
+++ b/endivepick/forwarding/target_checks.py
@@ -6,7 +6,7 @@
 target with an excessive number of slots would attract all flows.
 """
 
-from endivepick.addresses import host_number
+from endivepick.addresses import ipv4_to_int
 from endivepick.forwarding.model import Target
 
 __all__ = ["check_target", "parse_target_number"]
@@ -81,7 +81,7 @@
         raise ValueError("number must be the one that the name ends with")
     if not target.service or not target.zone:
         raise ValueError("service and zone must not be empty")
-    if host_number(target.host) not in _HOSTS or target.port not in _PORTS:
+    if ipv4_to_int(target.host) not in _HOSTS or target.port not in _PORTS:
         raise ValueError("host must be a unicast address and port from 1 to 65535")
     if not 1 <= target.slots <= MAX_SLOTS:
         raise ValueError(f"slots must be from 1 to {MAX_SLOTS}")
--- a/endivepick/platform/answers.py
+++ b/endivepick/platform/answers.py
@@ -14,7 +14,7 @@
     "ObjectList",
     "WatchResult",
     "decode_conflict",
-    "read_instances",
+    "decode_instances",
     "decode_list",
     "decode_object",
     "decode_watch",
@@ -131,7 +131,7 @@
     return WatchResult(after, answer.revision, events)
 
 
-def read_instances(data: bytes) -> InstanceList:
+def decode_instances(data: bytes) -> InstanceList:
     """Decode the instance list; raise PlatformAnswerError if it is malformed."""
     return _decode(data, InstanceList)
 
--- a/endivepick/platform/client.py
+++ b/endivepick/platform/client.py
@@ -19,10 +19,10 @@
     ObjectList,
     WatchResult,
     decode_conflict,
+    decode_instances,
     decode_list,
     decode_object,
     decode_watch,
-    read_instances,
 )
 from endivepick.platform.settings import PlatformSettings
 from endivepick.platform.writes import ConditionalWrite, ConditionalWriter, WriteError
@@ -86,7 +86,7 @@
 
     def instances(self) -> Result[InstanceList, ReadError]:
         """Read the list of instances, which may be out of date."""
-        return _decode_answer(self._http.call("GET", ["instances"]), read_instances)
+        return _decode_answer(self._http.call("GET", ["instances"]), decode_instances)
 
     def watch(
         self, kinds: Iterable[str], after: int, wait_s: float | None = None
--- a/endivepick/settings/reader.py
+++ b/endivepick/settings/reader.py
@@ -12,7 +12,7 @@
 
 from endivepick.errors import SettingsInvalidError
 from endivepick.settings import model
-from endivepick.settings._combinations import find_conflicts
+from endivepick.settings._conflicts import find_conflicts
 from endivepick.settings._positions import KeyPath, find_key_positions
 from endivepick.settings.schema import SettingsModel
 
