--- a/endivepick/bench/__init__.py
+++ b/endivepick/bench/__init__.py
@@ -1,1 +1,1 @@
-"""Load and experiment tool."""
+"""Benchmarks, capacity measurements and simulations of placement policies."""
--- a/endivepick/bench/_cluster_slopes.py
+++ b/endivepick/bench/_cluster_slopes.py
@@ -1,4 +1,4 @@
-"""Slopes of real instances against the number of instances, idle and under load."""
+"""Costs of real instances by number of instances, idle and under load."""
 
 import statistics
 import time
@@ -7,9 +7,9 @@
 from dataclasses import dataclass
 from typing import Any
 
-from endivepick.bench._instances import SETTLE_S, flat_shape, running_cluster
-from endivepick.bench._processes import cpu_s, rss_bytes
-from endivepick.bench._slopes import Measured
+from endivepick.bench._instances import SETTLE_S, make_uniform_shape, running_cluster
+from endivepick.bench._processes import read_cpu_s, read_rss_bytes
+from endivepick.bench._slopes import Measurement
 
 __all__ = ["measure_clusters"]
 
@@ -19,12 +19,12 @@
 ZONES = 3
 SERVICES = 2
 LOAD_FLOWS = 8
-"""Flows of each service, held by one caller process."""
+"""Flows per service, opened by one caller process."""
 
 
 @dataclass(frozen=True)
-class _Reading:
-    """Totals over all instances at one moment."""
+class _ClusterCounters:
+    """Cumulative counters of all instances."""
 
     at_s: float
     cpu_s: float
@@ -33,30 +33,30 @@
     platform_calls: float
 
 
-def _read(cluster: Any) -> _Reading:
-    metrics = [_metrics(one.http_address) for one in cluster.instances.values()]
+def _read_counters(cluster: Any) -> _ClusterCounters:
+    metrics = [_read_metrics(one.http_address) for one in cluster.instances.values()]
     total = cluster.platform.stats()["total"]
-    return _Reading(
+    return _ClusterCounters(
         time.monotonic(),
-        sum(cpu_s(one.process.pid) for one in cluster.instances.values()),
+        sum(read_cpu_s(one.process.pid) for one in cluster.instances.values()),
         sum(one["endivepick_peer_messages_sent"] for one in metrics),
         sum(one["endivepick_peer_bytes_sent"] for one in metrics),
         total["reads"] + total["writes"],
     )
 
 
-def _metrics(address: str) -> dict[str, float]:
+def _read_metrics(address: str) -> dict[str, float]:
     with urllib.request.urlopen(f"http://{address}/metrics") as answer:
         lines = answer.read().decode().splitlines()
     pairs = [line.rpartition(" ") for line in lines if not line.startswith("#")]
     return {name: float(value) for name, _, value in pairs if name}
 
 
-def _window(cluster: Any, prefix: str) -> dict[str, float]:
-    """Return what one instance costs each second, as a mean over all."""
-    before = _read(cluster)
+def _measure_window(cluster: Any, prefix: str) -> dict[str, float]:
+    """Return the mean costs per instance and second over one window."""
+    before = _read_counters(cluster)
     time.sleep(WINDOW_S)
-    after = _read(cluster)
+    after = _read_counters(cluster)
     elapsed_s = after.at_s - before.at_s
     each = len(cluster.instances) * elapsed_s
     return {
@@ -85,24 +85,24 @@
     cluster.launcher.spawn("caller", "standins.load", arguments).wait_ready()
 
 
-def _cluster_runs(instances: int) -> list[dict[str, float]]:
-    """Start an installation and return the figures of each window."""
-    with running_cluster(flat_shape(instances, SERVICES, ZONES)) as cluster:
+def _measure_cluster(instances: int) -> list[dict[str, float]]:
+    """Start an installation and return the values of each window."""
+    with running_cluster(make_uniform_shape(instances, SERVICES, ZONES)) as cluster:
         time.sleep(SETTLE_S)
-        idle = [_window(cluster, "idle") for _ in range(WINDOWS)]
-        memory = [rss_bytes(one.process.pid) for one in cluster.instances.values()]
+        idle = [_measure_window(cluster, "idle") for _ in range(WINDOWS)]
+        memory = [read_rss_bytes(one.process.pid) for one in cluster.instances.values()]
         _start_load(cluster)
         time.sleep(1.0)
-        loaded = [_window(cluster, "loaded") for _ in range(WINDOWS)]
+        loaded = [_measure_window(cluster, "loaded") for _ in range(WINDOWS)]
     held = {"memory_bytes": statistics.mean(memory)}
     return [{**held, **quiet, **busy} for quiet, busy in zip(idle, loaded, strict=True)]
 
 
-def measure_clusters(sizes: Sequence[int] = CLUSTER_SIZES) -> dict[str, Measured]:
-    """Measure installations of several sizes; the spread is that of the windows.
+def measure_clusters(sizes: Sequence[int] = CLUSTER_SIZES) -> dict[str, Measurement]:
+    """Measure installations of several sizes; each window is one repetition.
 
-    Figures are means over all instances but for the platform's calls, which are
-    those of the whole installation.  Bytes are encoded messages that were sent.
+    Values are means over all instances, except platform calls, which are counted over
+    the whole installation. Bytes are those of encoded messages sent.
     """
     units = {"memory_bytes": "B"}
     for prefix in ("idle", "loaded"):
@@ -110,9 +110,9 @@
         units[f"{prefix}_peer_messages_per_s"] = "1/s"
         units[f"{prefix}_peer_bytes_per_s"] = "B/s"
         units[f"{prefix}_platform_calls_per_s"] = "1/s"
-    runs = [_cluster_runs(size) for size in sizes]
+    runs = [_measure_cluster(size) for size in sizes]
     return {
-        name: Measured(
+        name: Measurement(
             name,
             unit,
             "instance",
--- a/endivepick/bench/_control_slopes.py
+++ b/endivepick/bench/_control_slopes.py
@@ -1,7 +1,7 @@
-"""Slopes of control work against the size of the fleet.
+"""Costs of control-plane work by fleet size.
 
-Instances and services grow together, in the proportion of the fleet that is
-planned for, up to that fleet itself.
+The number of services grows in proportion to the number of instances, as in the planned
+fleet, up to the size of the planned fleet.
 """
 
 import time
@@ -17,7 +17,7 @@
     member_update,
     record_object,
 )
-from endivepick.bench._slopes import Measured, measure, traced
+from endivepick.bench._slopes import Measurement, measure, trace_memory
 from endivepick.core.events import InstancesListed, ObjectsChanged
 from endivepick.core.wire import Envelope, encode_envelope
 from endivepick.core.zone_status import PARTS_PER_EXPIRY
@@ -44,44 +44,45 @@
 FLEET_SIZES = (64, 512, 2_048, 8_000)
 STATUS_SIZES = (8, 64, 512, 2_048, 8_000)
 STATUS_S = 120.0
-"""How long the writers of a status write, by a clock that only counts."""
+"""Simulated time during which status is written, in seconds."""
 IDLE_S = 30.0
 SETTLE_S = 12.0
 CHANGES = 20
 _MS = 1e3
 
 
-def _busy_ms(call: Callable[[], object]) -> float:
+def _time_ms(call: Callable[[], object]) -> float:
     started_s = time.process_time()
     call()
     return (time.process_time() - started_s) * _MS
 
 
-def _fleet_once(instances: int) -> dict[str, float]:
+def _measure_fleet_at(instances: int) -> dict[str, float]:
     fleet = TWO_YEARS.scaled(instances)
-    with traced() as held:
+    with trace_memory() as traced:
         node = DrivenNode(fleet)
         node.join()
     node = DrivenNode(fleet)
-    node.take_members()
-    node.reset()
-    node.take_records()
-    records_ms = node.busy_s * _MS
+    node.deliver_members()
+    node.reset_counters()
+    node.deliver_records()
+    records_ms = node.processor_s * _MS
     node.run(SETTLE_S)
-    node.reset()
+    node.reset_counters()
     node.run(IDLE_S)
     sent = node.sent_bytes
     metrics = DaemonMetrics()
     return {
-        "core_memory_bytes": float(held.held),
-        "idle_core_percent": 100 * node.busy_s / IDLE_S,
-        "idle_longest_ms": node.longest_s * _MS,
+        "core_memory_bytes": float(traced.retained_bytes),
+        "idle_core_percent": 100 * node.processor_s / IDLE_S,
+        "idle_longest_ms": node.longest_event_s * _MS,
         "records_taken_ms": records_ms,
-        "membership_sent_bytes_per_s": _sum(sent, ("Ping", "Ack", "Sync")) / IDLE_S,
-        "records_sent_bytes_per_s": _sum(sent, ("Config",)) / IDLE_S,
-        "status_part_bytes_per_s": _sum(sent, ("InstanceStatus",)) / IDLE_S,
+        "membership_sent_bytes_per_s": _sum_by_prefix(sent, ("Ping", "Ack", "Sync"))
+        / IDLE_S,
+        "records_sent_bytes_per_s": _sum_by_prefix(sent, ("Config",)) / IDLE_S,
+        "status_part_bytes_per_s": _sum_by_prefix(sent, ("InstanceStatus",)) / IDLE_S,
         "messages_sent_per_s": sum(node.sent.values()) / IDLE_S,
-        "metrics_read_ms": _busy_ms(lambda: _read_metrics(metrics, node)),
+        "metrics_read_ms": _time_ms(lambda: _read_metrics(metrics, node)),
         "status_page_bytes": float(
             len(msgspec.json.encode(instance_status(node.core, node.now_s)))
         ),
@@ -93,14 +94,14 @@
     metrics.render([])
 
 
-def _sum(counted: dict[str, int], prefixes: tuple[str, ...]) -> float:
+def _sum_by_prefix(counted: dict[str, int], prefixes: tuple[str, ...]) -> float:
     return float(sum(n for kind, n in counted.items() if kind.startswith(prefixes)))
 
 
 def measure_fleet(
     sizes: Sequence[int] = FLEET_SIZES, repeats: int = 2
-) -> dict[str, Measured]:
-    """Measure the whole core of a node that is no watcher, nothing changing."""
+) -> dict[str, Measurement]:
+    """Measure the core of a node that is not a watcher, without any changes."""
     units = {
         "core_memory_bytes": "B",
         "idle_core_percent": "%",
@@ -113,65 +114,68 @@
         "metrics_read_ms": "ms",
         "status_page_bytes": "B",
     }
-    return measure("instance", sizes, units, _fleet_once, repeats)
+    return measure("instance", sizes, units, _measure_fleet_at, repeats)
 
 
-def _changes_once(instances: int) -> dict[str, float]:
+def _measure_changes_at(instances: int) -> dict[str, float]:
     fleet = TWO_YEARS.scaled(instances)
     node = DrivenNode(fleet)
     node.join()
     node.run(1.0)
     numbers = range(1, 1 + min(CHANGES, instances // 3))
-    leaving = [_advanced(node.update_of(n), Phase.LEAVING) for n in numbers]
+    leaving = [_set_phase(node.update_of(n), Phase.LEAVING) for n in numbers]
     lost = range(fleet.zones, instances, fleet.zones)
-    stopped = [_advanced(node.update_of(n), Phase.STOPPED) for n in lost]
+    stopped = [_set_phase(node.update_of(n), Phase.STOPPED) for n in lost]
     return {
-        "peer_change_ms": _cost_of_updates(node, leaving) / len(leaving),
-        "record_change_ms": _cost_of_records(node),
-        "zone_lost_ms": _cost_of_zone(node, stopped),
+        "peer_change_ms": _measure_updates_ms(node, leaving) / len(leaving),
+        "record_change_ms": _measure_records_ms(node),
+        "zone_lost_ms": _measure_zone_loss_ms(node, stopped),
         "zone_lost_peers": float(len(stopped)),
-        "zone_lost_longest_ms": node.longest_s * _MS,
+        "zone_lost_longest_ms": node.longest_event_s * _MS,
     }
 
 
-def _advanced(update: MemberUpdate, phase: Phase) -> MemberUpdate:
+def _set_phase(update: MemberUpdate, phase: Phase) -> MemberUpdate:
     return msgspec.structs.replace(update, phase=phase)
 
 
-def _cost_of_updates(node: DrivenNode, updates: Sequence[MemberUpdate]) -> float:
-    """Return the processor time of changes that come one by one, in ms."""
-    node.reset()
+def _measure_updates_ms(node: DrivenNode, updates: Sequence[MemberUpdate]) -> float:
+    """Return the processor time of updates that arrive one by one, in ms."""
+    node.reset_counters()
     node.run(0.05 * len(updates))
-    quiet_s = node.busy_s
-    node.reset()
+    baseline_s = node.processor_s
+    node.reset_counters()
     for update in updates:
         node.tell(Ping(1, 1, 0, [update], []))
         node.run(0.05)
-    return max(0.0, node.busy_s - quiet_s) * _MS
+    return max(0.0, node.processor_s - baseline_s) * _MS
 
 
-def _cost_of_zone(node: DrivenNode, updates: Sequence[MemberUpdate]) -> float:
-    """Return the processor time of a zone's end, news coming six at a time."""
-    node.reset()
+def _measure_zone_loss_ms(node: DrivenNode, updates: Sequence[MemberUpdate]) -> float:
+    """Return the processor time of the loss of a zone, in ms.
+
+    Updates arrive six at a time.
+    """
+    node.reset_counters()
     for start in range(0, len(updates), 6):
         node.tell(Ping(1, 1, 0, list(updates[start : start + 6]), []))
         if start % 12 == 0:
             node.run(0.05)
-    return node.busy_s * _MS
+    return node.processor_s * _MS
 
 
-def _cost_of_records(node: DrivenNode) -> float:
+def _measure_records_ms(node: DrivenNode) -> float:
     revision = node.core.configuration.cache.revision
-    node.reset()
+    node.reset_counters()
     for step in range(CHANGES):
         after = revision + step
         changed = record_object(node.fleet, step % node.fleet.records, after + 1)
         node.handle(ObjectsChanged(WatchResult(after, after + 1, (changed,))))
-    return node.busy_s * _MS / CHANGES
+    return node.processor_s * _MS / CHANGES
 
 
-def measure_changes(sizes: Sequence[int] = FLEET_SIZES) -> dict[str, Measured]:
-    """Measure what changes of peers and records, and a lost zone, cost a node."""
+def measure_changes(sizes: Sequence[int] = FLEET_SIZES) -> dict[str, Measurement]:
+    """Measure the costs of changed peers and records, and of a lost zone, at a node."""
     units = {
         "peer_change_ms": "ms",
         "record_change_ms": "ms",
@@ -179,10 +183,10 @@
         "zone_lost_peers": "peers",
         "zone_lost_longest_ms": "ms",
     }
-    return measure("instance", sizes, units, _changes_once)
+    return measure("instance", sizes, units, _measure_changes_at)
 
 
-def _part(fleet: Fleet, number: int, records: int, load: int) -> InstanceStatus:
+def _make_part(fleet: Fleet, number: int, records: int, load: int) -> InstanceStatus:
     targets = tuple(
         TargetStatus(f"service-{number:05d}", f"target-{n}", "ready", load % 3, 0, 2)
         for n in range(records * fleet.targets_per_record)
@@ -191,29 +195,29 @@
 
 
 @dataclass
-class _Written:
-    """What the writer of one object wrote while a minute passed."""
+class _WriteTotals:
+    """Totals of the writer of one status object."""
 
     size: int = 0
     total: int = 0
-    busy_s: float = 0.0
+    processor_s: float = 0.0
 
 
 def _write_status(
     writer: StatusWriter, view_at: Callable[[int], StatusView]
-) -> _Written:
-    """Let a writer write while records and load change."""
-    written = _Written()
+) -> _WriteTotals:
+    """Run a status writer while records and load change."""
+    written = _WriteTotals()
     writer.step(view_at(0), 0.0, 0.5)
     writer.was_read(None)
     for second in range(round(STATUS_S)):
         view = view_at(second)
         for name in view.rows(()):
             number = int(name.rpartition("-")[2])
-            writer.note(name, _part(TWO_YEARS, number, 1, second), float(second))
+            writer.note(name, _make_part(TWO_YEARS, number, 1, second), float(second))
         started_s = time.process_time()
         action = writer.step(view, float(second), 0.5)
-        written.busy_s += time.process_time() - started_s
+        written.processor_s += time.process_time() - started_s
         if isinstance(action, WriteStatus):
             written.size = len(msgspec.json.encode(action.body))
             written.total += written.size
@@ -222,10 +226,10 @@
     return written
 
 
-def _zone_views(
+def _make_zone_views(
     fleet: Fleet, names: Sequence[str], groups: int
 ) -> Callable[[int], StatusView]:
-    """Return views of the zone's writer: each change is in force 2 s later."""
+    """Return the views of the writer of a zone; changes take effect after 2 s."""
     records = [
         ServiceRecord(f"service-{n:05d}", n + 1, 2, "", Affinity.FLOW, ())
         for n in range(fleet.records)
@@ -246,33 +250,33 @@
     return view_at
 
 
-def _status_once(instances: int) -> dict[str, float]:
-    """Let the writers of a zone write, with the zone's share of the targets."""
+def _measure_status_at(instances: int) -> dict[str, float]:
+    """Run the status writers of a zone, with its part of the targets."""
     fleet = TWO_YEARS.scaled(instances)
     settings = StatusSettings()
     members = [m for m in range(instances) if fleet.zone_of(m) == "zone-0"]
     names = [instance_name(number) for number in members]
     peers = [InstanceView(name, "zone-0", 1, "", PeerState.ALIVE) for name in names]
     roles = zone_roles("zone-0", peers, DisseminationSettings())
-    of_names = [
+    group_of_names = [
         status_group(name, "zone-0", roles, settings.group_instances) for name in names
     ]
-    found = [group for group in of_names if group is not None]
-    groups = max((group.groups for group in found), default=0)
+    grouped = [group for group in group_of_names if group is not None]
+    groups = max((group.groups for group in grouped), default=0)
     zone = _write_status(
-        StatusWriter(settings, "zone-0"), _zone_views(fleet, names, groups)
+        StatusWriter(settings, "zone-0"), _make_zone_views(fleet, names, groups)
     )
-    group, slowdown, told = zone, 1.0, len(names)
-    if found:
-        largest = max(found, key=lambda one: len(one.members))
+    group, slowdown, receivers = zone, 1.0, len(names)
+    if grouped:
+        largest = max(grouped, key=lambda one: len(one.members))
         report = SubtreeReport(1, len(names), 0)
         listed = sorted(largest.members)
         shown = ShownRows(listed, group=largest.number)
         view = StatusView((), report, names, {}, shown)
-        slowdown, told = largest.slowdown, len(listed)
+        slowdown, receivers = largest.slowdown, len(listed)
         writer = StatusWriter(settings, "zone-0", largest.object_name, slowdown)
         group = _write_status(writer, lambda _: view)
-    part = len(_enveloped(_part(fleet, 1, 1, 0)))
+    part = len(_encode_in_envelope(_make_part(fleet, 1, 1, 0)))
     period_s = settings.part_expiry_s * slowdown / PARTS_PER_EXPIRY
     return {
         "status_objects": 1.0 + groups,
@@ -280,22 +284,22 @@
         "status_group_bytes": float(group.size),
         "status_zone_written_bytes_per_s": zone.total / STATUS_S,
         "status_group_written_bytes_per_s": group.total / STATUS_S,
-        "status_parts_bytes_per_s": part * (told - 1) / period_s,
-        "status_zone_step_ms": zone.busy_s * _MS / STATUS_S,
-        "status_group_step_ms": group.busy_s * _MS / STATUS_S,
+        "status_parts_bytes_per_s": part * (receivers - 1) / period_s,
+        "status_zone_step_ms": zone.processor_s * _MS / STATUS_S,
+        "status_group_step_ms": group.processor_s * _MS / STATUS_S,
         "part_bytes": float(part),
     }
 
 
-def _enveloped(message: InstanceStatus) -> bytes:
+def _encode_in_envelope(message: InstanceStatus) -> bytes:
     return encode_envelope(Envelope(instance_name(1), 2**63, 2**60, message))
 
 
-def measure_status(sizes: Sequence[int] = STATUS_SIZES) -> dict[str, Measured]:
+def measure_status(sizes: Sequence[int] = STATUS_SIZES) -> dict[str, Measurement]:
     """Measure the status of one zone against the instances of the fleet.
 
-    The group is the zone's largest; in a zone without groups its figures are those
-    of the zone's object.
+    Group values are those of the largest group, or of the zone object in a zone without
+    groups.
     """
     units = {
         "status_objects": "objects",
@@ -308,13 +312,13 @@
         "status_group_step_ms": "ms",
         "part_bytes": "B",
     }
-    return measure("instance", sizes, units, _status_once)
+    return measure("instance", sizes, units, _measure_status_at)
 
 
-def _lists_once(instances: int) -> dict[str, float]:
+def _measure_lists_at(instances: int) -> dict[str, float]:
     fleet = TWO_YEARS.scaled(instances)
     node = DrivenNode(fleet)
-    node.take_members()
+    node.deliver_members()
     updates = [member_update(fleet, number) for number in range(instances)]
     listed = [
         {
@@ -330,12 +334,12 @@
     entries = tuple(ListedInstance(u.name, u.zone, u.peer_address) for u in updates)
     return {
         "list_bytes": float(len(data)),
-        "list_read_ms": _busy_ms(lambda: read_instances(data)),
-        "list_taken_ms": _busy_ms(lambda: node.handle(InstancesListed(entries, 0.0))),
+        "list_read_ms": _time_ms(lambda: read_instances(data)),
+        "list_taken_ms": _time_ms(lambda: node.handle(InstancesListed(entries, 0.0))),
     }
 
 
-def measure_lists(sizes: Sequence[int] = FLEET_SIZES) -> dict[str, Measured]:
-    """Measure the platform's list of instances."""
+def measure_lists(sizes: Sequence[int] = FLEET_SIZES) -> dict[str, Measurement]:
+    """Measure the list of instances from the platform."""
     units = {"list_bytes": "B", "list_read_ms": "ms", "list_taken_ms": "ms"}
-    return measure("instance", sizes, units, _lists_once)
+    return measure("instance", sizes, units, _measure_lists_at)
--- a/endivepick/bench/_core_slopes.py
+++ b/endivepick/bench/_core_slopes.py
@@ -1,4 +1,4 @@
-"""Slopes of the decision core, driven directly: flows, packets and targets."""
+"""Costs of the instance core by flows, packets and targets, without sockets."""
 
 import time
 from collections.abc import Callable, Iterator, Sequence
@@ -8,7 +8,7 @@
 
 from endivepick.bench._fleet import TWO_YEARS
 from endivepick.bench._node import TICK_S, DrivenNode
-from endivepick.bench._slopes import Measured, measure, traced
+from endivepick.bench._slopes import Measurement, measure, trace_memory
 from endivepick.core.actions import Action, SendToCaller, SendToPeer, StartAttempt
 from endivepick.core.codec import encode_packet, encode_struct
 from endivepick.core.dispatch import (
@@ -56,9 +56,9 @@
 MEMORY_SIZES = (500, 1_000, 2_000, 4_000)
 CLOSED_SIZES = (1_000, 2_000, 4_000, 8_000)
 EXPIRIES = 360
-"""Expiries over which the time of one is averaged: an hour, a round over all flows."""
-SETTLED_S = 120.0
-"""Age of a closed flow of which nothing more is heard, in seconds."""
+"""Expiry calls that are averaged: one hour, which is one pass over all flows."""
+CLOSED_AGE_S = 120.0
+"""Age of a closed flow that receives no more packets, in seconds."""
 PACKET_FLEETS = (8, 64, 512, 2_048)
 TARGET_SIZES = (2, 8, 32, 128)
 KEY_SIZES = (1, 4, 16, 64)
@@ -68,33 +68,33 @@
 _US = 1e6
 
 
-def _timed_us(call: Callable[[], object], times: int) -> float:
-    """Return the processor time of one call, in microseconds."""
+def _time_us(call: Callable[[], object], times: int) -> float:
+    """Return the mean processor time of a call, in microseconds."""
     started_s = time.process_time()
     for _ in range(times):
         call()
     return (time.process_time() - started_s) / times * _US
 
 
-def _caller(number: int) -> CallerAddress:
+def _make_caller_address(number: int) -> CallerAddress:
     return f"10.{number >> 16}.{number >> 8 & 255}.{number & 255}", 40_000
 
 
-def _answers(actions: list[Action]) -> list[bytes]:
-    """Encode what goes to the caller, as the daemon does."""
+def _encode_answers(actions: list[Action]) -> list[bytes]:
+    """Encode the packets for callers, as the daemon does."""
     return [encode_packet(a.packet) for a in actions if isinstance(a, SendToCaller)]
 
 
 class _OwnerNode:
-    """One instance that owns a service with ready targets."""
+    """Instance that owns a service whose targets are ready."""
 
     def __init__(self, instances: int = 8) -> None:
         self.node = DrivenNode(TWO_YEARS.scaled(instances))
         self.node.join()
         self.core = self.node.core
-        self.service = self._own_service()
+        self.service = self._activate_service()
 
-    def _own_service(self) -> str:
+    def _activate_service(self) -> str:
         names = [name for name, _ in self.core.catalog.versions()]
         service = next(iter(self.core.roles.owned), names[0])
         self.core.roles.activate(service, self.node.now_s)
@@ -104,29 +104,31 @@
             dispatcher.on_probe(target.name, self.node.now_s, ready)
         return service
 
-    def send(self, packet: CallerPacket, caller: CallerAddress) -> list[Action]:
-        """Give the core a packet that another instance relayed to it."""
+    def relay_packet(self, packet: CallerPacket, caller: CallerAddress) -> list[Action]:
+        """Pass a packet relayed by another instance to the core."""
         relayed = RelayedPacket(caller, 1, encode_packet(packet))
         peer = self.node.update_of(1)
         event = PeerMessage(peer.name, peer.incarnation, relayed)
         return self.core.handle(event, self.node.now_s)
 
-    def receive(self, packet: CallerPacket) -> list[Action]:
-        """Give the core a packet that the fabric handed to it."""
+    def handle_packet(self, packet: CallerPacket) -> list[Action]:
+        """Pass a packet delivered by the fabric to the core."""
         datagram = encode_packet(packet)
         return self.core.handle(CallerDatagram(_CALLER, datagram), self.node.now_s)
 
-    def open(self, number: int = 1) -> bytes:
+    def open_flow(self, number: int = 1) -> bytes:
         """Open a flow and return its token."""
-        actions = self.send(Open(number, self.service), _caller(number))
+        actions = self.relay_packet(
+            Open(number, self.service), _make_caller_address(number)
+        )
         return next(
             action.packet.token
             for action in actions
             if isinstance(action, SendToCaller) and isinstance(action.packet, Opened)
         )
 
-    def foreign_token(self) -> bytes:
-        """Return a token of a flow that another instance owns."""
+    def make_foreign_token(self) -> bytes:
+        """Return a token of a flow owned by another instance."""
         peer = self.node.update_of(1)
         token = FlowToken(
             self.service, 1, 2, peer.name, peer.incarnation, "", int(self.node.now_s)
@@ -134,76 +136,76 @@
         codec = TokenCodec(self.core.catalog.keys, 86_400.0)
         return codec.seal(token)
 
-    def request(self, token: bytes, seq: int, number: int = 1) -> None:
-        """Run one request from its only part to the acknowledged answer."""
+    def run_request(self, token: bytes, seq: int, number: int = 1) -> None:
+        """Run a request of one part until its answer is acknowledged."""
         part = RequestPart(token, seq, 0, 1, False, 10_000, _HEAD)
-        actions = self.send(part, _caller(number))
-        _answers(actions)
+        actions = self.relay_packet(part, _make_caller_address(number))
+        _encode_answers(actions)
         start = next(a for a in actions if isinstance(a, StartAttempt))
         answered = AttemptAnswered(
             start.request_id, start.attempt, 200, [], bytes(300), 0.01
         )
-        _answers(self.core.handle(answered, self.node.now_s))
+        _encode_answers(self.core.handle(answered, self.node.now_s))
         done = Acknowledge(token, seq, 2, [], 64, True)
-        _answers(self.send(done, _caller(number)))
+        _encode_answers(self.relay_packet(done, _make_caller_address(number)))
 
 
-def _memory_once(flows: int) -> dict[str, float]:
+def _measure_memory_at(flows: int) -> dict[str, float]:
     owner = _OwnerNode()
-    owner.open()
-    with traced() as unused:
+    owner.open_flow()
+    with trace_memory() as unused:
         for number in range(flows):
-            owner.open(number)
+            owner.open_flow(number)
     owner = _OwnerNode()
-    owner.request(owner.open(), 1)
-    with traced() as used:
+    owner.run_request(owner.open_flow(), 1)
+    with trace_memory() as used:
         for number in range(flows):
-            owner.request(owner.open(number), 1, number)
+            owner.run_request(owner.open_flow(number), 1, number)
     return {
-        "flow_unused_bytes": float(unused.held),
-        "flow_used_bytes": float(used.held),
+        "flow_unused_bytes": float(unused.retained_bytes),
+        "flow_used_bytes": float(used.retained_bytes),
     }
 
 
-def measure_memory(sizes: Sequence[int] = MEMORY_SIZES) -> dict[str, Measured]:
-    """Measure the memory of flows, before and after a request."""
+def measure_memory(sizes: Sequence[int] = MEMORY_SIZES) -> dict[str, Measurement]:
+    """Measure the memory of flows without and with a request."""
     units = {"flow_unused_bytes": "B", "flow_used_bytes": "B"}
-    return measure("flow", sizes, units, _memory_once, repeats=2)
+    return measure("flow", sizes, units, _measure_memory_at, repeats=2)
 
 
 def _expire_us(owner: _OwnerNode) -> float:
-    """Return the processor time of one expiry, in microseconds."""
+    """Return the mean processor time of an expiry call, in microseconds."""
     table, now_s = owner.core.table, owner.node.now_s
     table.expire(now_s)
-    late_s = count(now_s + EXPIRY_EVERY_S, EXPIRY_EVERY_S)
-    return _timed_us(lambda: table.expire(next(late_s)), EXPIRIES)
+    expiry_times_s = count(now_s + EXPIRY_EVERY_S, EXPIRY_EVERY_S)
+    return _time_us(lambda: table.expire(next(expiry_times_s)), EXPIRIES)
 
 
-def _closed_in_turn(flows: int, times: int) -> tuple[_OwnerNode, int]:
-    """Return an owner of flows that were closed in turn, and the memory they hold."""
+def _make_closed_flows(flows: int, times: int) -> tuple[_OwnerNode, int]:
+    """Return an owner after ``times`` batches of closed flows, and their memory."""
     owner = _OwnerNode()
-    owner.request(owner.open(), 1)
-    with traced() as held:
+    owner.run_request(owner.open_flow(), 1)
+    with trace_memory() as traced:
         for _ in range(times):
-            _use_and_close(owner, flows)
-    return owner, held.held
+            _use_and_close_flows(owner, flows)
+    return owner, traced.retained_bytes
 
 
-def _use_and_close(owner: _OwnerNode, flows: int) -> None:
-    """Open flows, send a request on each, close them, and let some time pass."""
+def _use_and_close_flows(owner: _OwnerNode, flows: int) -> None:
+    """Open flows, send a request on each, close them, and advance the time."""
     for number in range(flows):
-        token = owner.open(number)
-        owner.request(token, 1, number)
-        owner.send(FlowClosed(token), _caller(number))
-    owner.node.now_s += SETTLED_S
+        token = owner.open_flow(number)
+        owner.run_request(token, 1, number)
+        owner.relay_packet(FlowClosed(token), _make_caller_address(number))
+    owner.node.now_s += CLOSED_AGE_S
     owner.core.table.expire(owner.node.now_s)
 
 
-def _closed_once(flows: int) -> dict[str, float]:
-    # Tables keep the room of as many flows as were there at once: this is what
-    # further flows add that come after those have gone.
-    _, once_bytes = _closed_in_turn(flows, 1)
-    owner, twice_bytes = _closed_in_turn(flows, 2)
+def _measure_closed_at(flows: int) -> dict[str, float]:
+    # Hash tables keep the capacity of their largest size, so the difference of two
+    # batches gives the memory of flows added after earlier ones have expired.
+    _, once_bytes = _make_closed_flows(flows, 1)
+    owner, twice_bytes = _make_closed_flows(flows, 2)
     return {
         "closed_flow_bytes": float(twice_bytes - once_bytes),
         "closed_flows_kept": float(len(owner.core.table)),
@@ -211,60 +213,60 @@
     }
 
 
-def measure_closed(sizes: Sequence[int] = CLOSED_SIZES) -> dict[str, Measured]:
-    """Measure what flows cost that were used and closed two minutes ago."""
+def measure_closed(sizes: Sequence[int] = CLOSED_SIZES) -> dict[str, Measurement]:
+    """Measure the cost of flows that were used, and closed two minutes ago."""
     units = {
         "closed_flow_bytes": "B",
         "closed_flows_kept": "flows",
         "closed_expire_us": "us",
     }
-    return measure("flow", sizes, units, _closed_once, repeats=2)
+    return measure("flow", sizes, units, _measure_closed_at, repeats=2)
 
 
-def _flows_once(flows: int) -> dict[str, float]:
+def _measure_flows_at(flows: int) -> dict[str, float]:
     owner = _OwnerNode()
     for number in range(flows):
-        owner.open(number)
+        owner.open_flow(number)
     for flow in owner.core.table:
         flow.window.claim(1)
     core, now_s = owner.core, owner.node.now_s
-    later_s = count(1)
+    offsets_s = count(1)
     return {
-        "sweep_us": _timed_us(lambda: core.owner.tick(now_s + next(later_s)), 3),
+        "sweep_us": _time_us(lambda: core.owner.tick(now_s + next(offsets_s)), 3),
         "expire_us": _expire_us(owner),
-        **_hand_over(owner, flows),
+        **_measure_hand_over(owner, flows),
     }
 
 
-def _hand_over(owner: _OwnerNode, flows: int) -> dict[str, float]:
-    """Stop the instance and take its flows over at a made-up peer."""
+def _measure_hand_over(owner: _OwnerNode, flows: int) -> dict[str, float]:
+    """Stop the instance and accept its flows at a simulated peer."""
     node = owner.node
-    node.reset()
+    node.reset_counters()
     waiting = node.handle(StopRequested())
     moved = 0
     while moved < flows:
-        for action in _handed_over(waiting):
+        for action in _iter_hand_overs(waiting):
             moved += len(action.message.flows)
             accepted = HandOverAccepted(action.message.transfer_id)
-            waiting += node.answer(action.name, accepted)
+            waiting += node.deliver_answer(action.name, accepted)
         node.now_s += TICK_S
         waiting = node.handle(Tick())
     return {
-        "hand_over_us": node.busy_s * _US,
-        "hand_over_stall_us": node.longest_s * _US,
+        "hand_over_us": node.processor_s * _US,
+        "hand_over_stall_us": node.longest_event_s * _US,
         "hand_over_bytes": float(node.sent_bytes["HandOver"]),
     }
 
 
-def _handed_over(actions: list[Action]) -> Iterator[SendToPeer]:
-    """Yield the hand-overs, those too that are added while iterating."""
+def _iter_hand_overs(actions: list[Action]) -> Iterator[SendToPeer]:
+    """Yield the hand-over messages, including those added during iteration."""
     for action in actions:
         if isinstance(action, SendToPeer) and isinstance(action.message, HandOver):
             yield action
 
 
-def measure_flows(sizes: Sequence[int] = FLOW_SIZES) -> dict[str, Measured]:
-    """Measure sweeps, expiry and hand-over against the flows held."""
+def measure_flows(sizes: Sequence[int] = FLOW_SIZES) -> dict[str, Measurement]:
+    """Measure sweeps, expiry and handover against the number of flows."""
     units = {
         "sweep_us": "us",
         "expire_us": "us",
@@ -272,34 +274,34 @@
         "hand_over_stall_us": "us",
         "hand_over_bytes": "B",
     }
-    return measure("flow", sizes, units, _flows_once)
+    return measure("flow", sizes, units, _measure_flows_at)
 
 
-def _packets_once(instances: int) -> dict[str, float]:
+def _measure_packets_at(instances: int) -> dict[str, float]:
     owner = _OwnerNode(instances)
-    own = owner.open()
-    other = owner.foreign_token()
+    own = owner.open_flow()
+    other = owner.make_foreign_token()
     seq = count(1)
     return {
-        "relay_us": _timed_us(lambda: owner.receive(Renew(other)), PACKETS),
-        "renew_us": _timed_us(
-            lambda: _answers(owner.send(Renew(own), _CALLER)), PACKETS
+        "relay_us": _time_us(lambda: owner.handle_packet(Renew(other)), PACKETS),
+        "renew_us": _time_us(
+            lambda: _encode_answers(owner.relay_packet(Renew(own), _CALLER)), PACKETS
         ),
-        "open_us": _timed_us(lambda: owner.open(), PACKETS),
-        "request_us": _timed_us(lambda: owner.request(own, next(seq)), PACKETS),
+        "open_us": _time_us(lambda: owner.open_flow(), PACKETS),
+        "request_us": _time_us(lambda: owner.run_request(own, next(seq)), PACKETS),
     }
 
 
-def measure_packets(sizes: Sequence[int] = PACKET_FLEETS) -> dict[str, Measured]:
-    """Measure processor time of packets against the instances of the fleet.
+def measure_packets(sizes: Sequence[int] = PACKET_FLEETS) -> dict[str, Measurement]:
+    """Measure the processor time per packet against the instances of the fleet.
 
-    Times are those of the core with decoding and encoding, without sockets.
+    Times include decoding and encoding, but no sockets.
     """
     names = ("relay_us", "renew_us", "open_us", "request_us")
-    return measure("instance", sizes, dict.fromkeys(names, "us"), _packets_once)
+    return measure("instance", sizes, dict.fromkeys(names, "us"), _measure_packets_at)
 
 
-def _record(targets: int) -> ServiceRecord:
+def _make_record(targets: int) -> ServiceRecord:
     return ServiceRecord(
         "notes",
         1,
@@ -313,10 +315,10 @@
     )
 
 
-def _dispatcher_once(targets: int) -> dict[str, float]:
+def _measure_dispatcher_at(targets: int) -> dict[str, float]:
     ready = ProbeResult(TargetHealth.READY, "notes", 7, slots=2)
-    record = _record(targets)
-    with traced() as held:
+    record = _make_record(targets)
+    with trace_memory() as traced:
         dispatcher = ServiceDispatcher(DispatchSettings(), record, "zone-0", 0.0)
         for target in record.targets:
             dispatcher.on_probe(target.name, 0.0, ready)
@@ -330,47 +332,47 @@
         dispatcher.finished(number, now_s, FinishKind.OK, 0.01)
 
     return {
-        "target_bytes": float(held.held),
-        "dispatch_request_us": _timed_us(request, PACKETS),
-        "dispatch_tick_us": _timed_us(lambda: dispatcher.tick(now_s), PACKETS),
-        "dispatch_probe_us": _timed_us(
+        "target_bytes": float(traced.retained_bytes),
+        "dispatch_request_us": _time_us(request, PACKETS),
+        "dispatch_tick_us": _time_us(lambda: dispatcher.tick(now_s), PACKETS),
+        "dispatch_probe_us": _time_us(
             lambda: dispatcher.on_probe("t0", now_s, ready), PACKETS
         ),
     }
 
 
-def measure_dispatcher(sizes: Sequence[int] = TARGET_SIZES) -> dict[str, Measured]:
-    """Measure the dispatcher of one service against its targets."""
+def measure_dispatcher(sizes: Sequence[int] = TARGET_SIZES) -> dict[str, Measurement]:
+    """Measure the dispatcher of one service against its number of targets."""
     units = {
         "target_bytes": "B",
         "dispatch_request_us": "us",
         "dispatch_tick_us": "us",
         "dispatch_probe_us": "us",
     }
-    return measure("target", sizes, units, _dispatcher_once)
+    return measure("target", sizes, units, _measure_dispatcher_at)
 
 
-def _tokens_once(keys: int) -> dict[str, float]:
+def _measure_tokens_at(keys: int) -> dict[str, float]:
     secrets = {n: TokenKey(n, bytes([n]) * 32, 0.0) for n in range(1, keys + 1)}
-    with traced() as held:
+    with trace_memory() as traced:
         keyring = Keyring(keys, dict(secrets))
     codec = TokenCodec(keyring, 86_400.0)
     token = FlowToken("service-00001", 2**63, 2**62, "entry-00001", 2**63, "t-1", 100)
     sealed = codec.seal(token)
     return {
         "keyring_bytes": float(len(msgspec.json.encode(keyring_to_body(keyring)))),
-        "keyring_held_bytes": float(held.held),
-        "seal_us": _timed_us(lambda: codec.seal(token), PACKETS),
-        "unseal_us": _timed_us(lambda: codec.unseal(sealed, 200.0), PACKETS),
+        "keyring_held_bytes": float(traced.retained_bytes),
+        "seal_us": _time_us(lambda: codec.seal(token), PACKETS),
+        "unseal_us": _time_us(lambda: codec.unseal(sealed, 200.0), PACKETS),
     }
 
 
-def measure_tokens(sizes: Sequence[int] = KEY_SIZES) -> dict[str, Measured]:
-    """Measure the keyring against the keys that it holds."""
+def measure_tokens(sizes: Sequence[int] = KEY_SIZES) -> dict[str, Measurement]:
+    """Measure the keyring against its number of keys."""
     units = {
         "keyring_bytes": "B",
         "keyring_held_bytes": "B",
         "seal_us": "us",
         "unseal_us": "us",
     }
-    return measure("key", sizes, units, _tokens_once)
+    return measure("key", sizes, units, _measure_tokens_at)
--- a/endivepick/bench/_fleet.py
+++ b/endivepick/bench/_fleet.py
@@ -1,4 +1,4 @@
-"""Sizes of an installation, and what follows from them by arithmetic alone."""
+"""Sizes of an installation and quantities derived from them."""
 
 from dataclasses import dataclass
 from math import exp
@@ -10,20 +10,21 @@
 
 @dataclass(frozen=True)
 class Fleet:
-    """An installation.
+    """Size of an installation.
 
     Attributes
     ----------
     instances, records, targets : int
-        Instances, services and backend servers in all.
+        Total number of instances, services and backend servers.
     regions, zones : int
-        Regions and availability zones; zones are dealt to the regions in turn.
+        Number of regions and of availability zones. Zones are assigned to the
+        regions in turn.
     flows : float
-        Open flows.
+        Number of open flows.
     opens_per_s : float
-        New flows a second.
+        New flows per second.
     changes_per_day, failures_per_day, restarts_per_day : float
-        Changes of records, instances that fail and that are replaced.
+        Changes of records, failures of instances and replaced instances per day.
     """
 
     instances: int
@@ -47,24 +48,25 @@
 
     @property
     def targets_per_record(self) -> int:
-        """Targets of one service, rounded."""
+        """Mean number of targets per service, rounded."""
         return max(1, round(self.targets / self.records))
 
     @property
     def instances_per_zone(self) -> float:
-        """Instances of one zone."""
+        """Mean number of instances per zone."""
         return self.instances / self.zones
 
     @property
     def records_per_instance(self) -> float:
-        """Services that an instance owns on average."""
+        """Mean number of services that an instance owns."""
         return self.records / self.instances
 
     @property
-    def most_records(self) -> int:
-        """Services that the busiest instance owns: expected once in the fleet.
+    def max_records_per_instance(self) -> int:
+        """Highest number of owned services expected at one instance of the fleet.
 
-        Rendezvous hashing deals services out as independent draws (Poisson).
+        Rendezvous hashing assigns services independently, so that the number per
+        instance follows a Poisson distribution.
         """
         mean = self.records_per_instance
         owned, share, rest = 0, exp(-mean), 1.0
@@ -76,11 +78,11 @@
 
     @property
     def changes_per_s(self) -> float:
-        """Changes of records each second."""
+        """Changes of records per second."""
         return self.changes_per_day / DAY_S
 
     def scaled(self, instances: int) -> "Fleet":
-        """Return a smaller fleet with as many services for each instance."""
+        """Return a fleet of another size in the same proportions."""
         share = instances / self.instances
         return Fleet(
             instances,
@@ -98,22 +100,23 @@
 
 @dataclass(frozen=True)
 class Limits:
-    """What a node may spend on control, and what the platform takes.
+    """Resource limits of control work at a node and at the platform.
 
     Attributes
     ----------
     core_share : float
-        Share of one core.
+        Fraction of one core.
     memory_bytes : float
-        Memory.
+        Memory, in bytes.
     bytes_per_s : float
-        Sent and received bytes a second.
+        Bytes sent and received per second.
     reads_per_s, writes_per_s : float
-        Calls that the platform takes; ``writes_per_s`` is "several hundred".
+        Calls per second that the platform accepts; the requirement for writes is
+        "several hundred".
     object_bytes : float
-        Largest object.
+        Size of the largest object, in bytes.
     spread_s : float
-        Time until a change is in force everywhere, in seconds.
+        Time until a change has taken effect at all instances, in seconds.
     """
 
     core_share: float = 0.017
@@ -122,7 +125,7 @@
     reads_per_s: float = 2_000.0
     writes_per_s: float = 300.0
     object_bytes: float = 1e6
-    spread_s: float = 14.0
+    propagation_s: float = 14.0
 
 
 TWO_YEARS = Fleet(
--- a/endivepick/bench/_instances.py
+++ b/endivepick/bench/_instances.py
@@ -1,19 +1,19 @@
-"""Real instances for the measurements; needs the stand-ins of a checkout."""
+"""Real instances for the benchmarks; requires ``standins`` from a checkout."""
 
 import time
 from collections.abc import Iterator
 from contextlib import contextmanager
 from typing import Any
 
-__all__ = ["flat_shape", "owner_first", "running_cluster"]
+__all__ = ["make_uniform_shape", "sort_owner_first", "running_cluster"]
 
-TARGETS = 2
+TARGETS_PER_SERVICE = 2
 SETTLE_S = 3.0
-"""Time in which instances that have just become ready agree on owners."""
+"""Time for instances that have become ready to agree on owners, in seconds."""
 
 
-def flat_shape(instances: int, services: int, zones: int = 1) -> Any:
-    """Return the shape of an installation whose parts are all alike."""
+def make_uniform_shape(instances: int, services: int, zones: int = 1) -> Any:
+    """Return the shape of an installation with equal services and instances."""
     from standins.shapes import InstancePlan, ServicePlan, Shape, TargetPlan
 
     names = tuple(f"zone{number + 1}" for number in range(zones))
@@ -36,10 +36,10 @@
                         f"service-{s}",
                         f"target-{s}-{t}",
                         names[t % zones],
-                        f"127.{t % zones + 1}.1.{s * TARGETS + t + 1}",
+                        f"127.{t % zones + 1}.1.{s * TARGETS_PER_SERVICE + t + 1}",
                         slots=2,
                     )
-                    for t in range(TARGETS)
+                    for t in range(TARGETS_PER_SERVICE)
                 ),
             )
             for s in range(services)
@@ -49,10 +49,11 @@
     )
 
 
-def owner_first(cluster: Any) -> list[Any]:
-    """Return the instances, the only owner of a service before the others.
+def sort_owner_first(cluster: Any) -> list[Any]:
+    """Return the instances, with the only owner of services first.
 
-    An instance that is ready before the others owns all services for a moment.
+    Waits until there is one owner, because an instance that becomes ready before the
+    others owns all services temporarily.
     """
     from standins.process import wait_until
 
@@ -70,7 +71,7 @@
 def running_cluster(
     shape: Any, instance_settings: dict[str, dict[str, Any]] | None = None
 ) -> Iterator[Any]:
-    """Run an installation while the context is open."""
+    """Run an installation for the duration of the context."""
     from standins.cluster import ClusterSettings, cluster
 
     settings = ClusterSettings(shape, instance_settings=instance_settings or {})
--- a/endivepick/bench/_membership_slopes.py
+++ b/endivepick/bench/_membership_slopes.py
@@ -1,10 +1,10 @@
-"""Slopes of the membership, by its own measurement."""
+"""Costs of the membership protocol by number of instances."""
 
 from collections.abc import Sequence
 
 from endivepick.bench._fleet import TWO_YEARS
 from endivepick.bench._node import DrivenNode
-from endivepick.bench._slopes import Measured, measure
+from endivepick.bench._slopes import Measurement, measure
 from endivepick.membership import MembershipSettings, PeerState
 from endivepick.membership.measure import measure_change, measure_cost, measure_join
 from endivepick.membership.peer_messages import (
@@ -20,43 +20,46 @@
 SETTLE_S = 12.0
 LIMIT_S = 60.0
 STEP_S = 0.125
-"""Time between two messages that bring news: one is sent and one answered."""
+"""Interval between messages with updates, in seconds.
+
+In each probe period, a node sends one probe and answers one.
+"""
 _MS = 1e3
 
 
-def _once(instances: int) -> dict[str, float]:
+def _measure_at(instances: int) -> dict[str, float]:
     return {
         "news_bytes": float(measure_change(instances)["sent_bytes_per_change"]),
         "join_bytes": float(measure_join(instances)["total_bytes"]),
         "link_partners": float(measure_cost(instances, 60.0)["partners"]),
-    } | _zone_lost(instances)
+    } | _measure_zone_loss(instances)
 
 
-def _zone_lost(instances: int) -> dict[str, float]:
-    """Tell one whole core that a zone is suspect, until it holds all of it dead."""
+def _measure_zone_loss(instances: int) -> dict[str, float]:
+    """Gossip the suspicion of a zone to one core until it regards it as dead."""
     fleet = TWO_YEARS.scaled(instances)
     node = DrivenNode(fleet)
     node.join()
     node.run(SETTLE_S)
     lost = [node.update_of(n) for n in range(fleet.zones, instances, fleet.zones)]
-    node.silence({update.name for update in lost})
-    node.reset()
-    began_s = node.now_s
-    for news in _messages(lost):
+    node.silence_peers({update.name for update in lost})
+    node.reset_counters()
+    started_s = node.now_s
+    for news in _make_suspicions(lost):
         node.tell(news, node.update_of(1))
         node.run(STEP_S)
-    while _dead(node, lost) < len(lost) and node.now_s < began_s + LIMIT_S:
+    while _count_dead(node, lost) < len(lost) and node.now_s < started_s + LIMIT_S:
         node.run(STEP_S)
-    duration_s = node.now_s - began_s
+    duration_s = node.now_s - started_s
     return {
         "zone_dead_s": duration_s,
-        "zone_dead_busy_ms": node.busy_s * _MS,
-        "zone_dead_longest_ms": node.longest_s * _MS,
+        "zone_dead_busy_ms": node.processor_s * _MS,
+        "zone_dead_longest_ms": node.longest_event_s * _MS,
         "zone_dead_sent_bytes_per_s": sum(node.sent_bytes.values()) / duration_s,
     }
 
 
-def _messages(lost: Sequence[MemberUpdate]) -> list[Ping]:
+def _make_suspicions(lost: Sequence[MemberUpdate]) -> list[Ping]:
     count = MembershipSettings().short_count
     short = [
         ShortUpdate(u.incarnation, u.phase, u.refutation, Liveness.SUSPECT)
@@ -66,15 +69,15 @@
     return [Ping(1, 1, 0, [], [], short[start : start + count]) for start in starts]
 
 
-def _dead(node: DrivenNode, lost: Sequence[MemberUpdate]) -> int:
+def _count_dead(node: DrivenNode, lost: Sequence[MemberUpdate]) -> int:
     view = node.core.membership.view()
     return sum(view[update.name].state is PeerState.DEAD for update in lost)
 
 
-def measure_membership(sizes: Sequence[int] = SIZES) -> dict[str, Measured]:
-    """Measure the bytes of news about one peer, the view on join and a lost zone.
+def measure_membership(sizes: Sequence[int] = SIZES) -> dict[str, Measurement]:
+    """Measure the bytes per changed peer and per join, and the loss of a zone.
 
-    All but the processor time are the same in each repetition.
+    All values except processor times are deterministic.
     """
     units = {
         "news_bytes": "B",
@@ -85,4 +88,4 @@
         "zone_dead_longest_ms": "ms",
         "zone_dead_sent_bytes_per_s": "B/s",
     }
-    return measure("instance", sizes, units, _once, repeats=1)
+    return measure("instance", sizes, units, _measure_at, repeats=1)
--- a/endivepick/bench/_node.py
+++ b/endivepick/bench/_node.py
@@ -1,4 +1,4 @@
-"""The decision core of one node in a made-up fleet, driven without sockets."""
+"""Instance core of one node in a simulated fleet, without sockets."""
 
 import time
 from collections import Counter
@@ -36,18 +36,18 @@
 __all__ = ["DrivenNode", "instance_name", "member_update", "record_object"]
 
 TICK_S = 0.05
-PING_EVERY_TICKS = 5
+PING_PERIOD_TICKS = 5
 START_S = 1_700_000_000.0
 _REVISION = 1_000_000
 
 
 def instance_name(number: int) -> str:
-    """Return the name of an instance of a made-up fleet."""
+    """Return the name of an instance of a simulated fleet."""
     return f"entry-{number:05d}"
 
 
 def member_update(fleet: Fleet, number: int) -> MemberUpdate:
-    """Return the news about an instance that is alive and ready."""
+    """Return the membership update of an instance that is alive and ready."""
     return MemberUpdate(
         instance_name(number),
         fleet.zone_of(number),
@@ -61,7 +61,7 @@
 
 
 def record_object(fleet: Fleet, number: int, version: int = 0) -> StoredObject:
-    """Return the record of a service whose targets stand in one region."""
+    """Return the record of a service whose targets are in one region."""
     zones = fleet.zones_of_region(number % fleet.regions)
     targets = [
         {
@@ -89,29 +89,29 @@
 
 
 class DrivenNode:
-    """One core whose peers answer each probe.
+    """Instance core whose simulated peers answer each probe.
 
     Parameters
     ----------
     fleet : Fleet
-        Instances and records that it knows.
+        Instances and records known to the node.
     seed : int
-        Seed of all random numbers.
+        Seed of the random number generator.
 
     Attributes
     ----------
     busy_s : float
-        Processor time of the core since the last ``reset``, in seconds.
+        Processor time of the core since the last `reset_counters`, in seconds.
     sent_bytes : Counter of str
-        Bytes of encoded envelopes, by type of the message.
+        Bytes of encoded envelopes, by message type.
     """
 
     def __init__(self, fleet: Fleet, seed: int = 1) -> None:
         self.fleet = fleet
         self.now_s = START_S
         self.random = Random(seed)
-        self.busy_s = 0.0
-        self.longest_s = 0.0
+        self.processor_s = 0.0
+        self.longest_event_s = 0.0
         self.sent: Counter[str] = Counter()
         self.sent_bytes: Counter[str] = Counter()
         self._ticks = count()
@@ -128,19 +128,19 @@
         self.core.start()
 
     def join(self) -> None:
-        """Give the core its peers and all records, and let it become ready."""
-        self.take_members()
-        self.take_records()
+        """Deliver the peers and all records, and run until the core is ready."""
+        self.deliver_members()
+        self.deliver_records()
         self.run(1.0)
 
-    def take_members(self) -> None:
-        """Give the core its peers, as on join."""
+    def deliver_members(self) -> None:
+        """Deliver the peers to the core, as on join."""
         entries = [ListedInstance(p.name, p.zone, p.peer_address) for p in self._peers]
         self.handle(InstancesListed(tuple(entries), 0.0))
         self.tell(SyncPage(0, [], self._peers, []))
 
-    def take_records(self) -> None:
-        """Give the core the keyring and all records."""
+    def deliver_records(self) -> None:
+        """Deliver the keyring and all records to the core."""
         keyring = keyring_to_body(first_keyring(bytes(32), 0.0))
         keys = StoredObject(KEYRING_KIND, "tokens", _REVISION, keyring)
         records = [record_object(self.fleet, n) for n in range(self.fleet.records)]
@@ -149,64 +149,64 @@
             listed = ObjectList(kind, _REVISION, tuple(objects.get(kind, ())))
             self.handle(ObjectsListed(listed))
 
-    def reset(self) -> None:
-        """Count anew."""
-        self.busy_s = self.longest_s = 0.0
+    def reset_counters(self) -> None:
+        """Reset the measured times and counts."""
+        self.processor_s = self.longest_event_s = 0.0
         self.sent.clear()
         self.sent_bytes.clear()
 
     def run(self, duration_s: float) -> None:
-        """Let time pass, with one probe by a peer in each period."""
+        """Advance the time, with one probe by a peer in each period."""
         for _ in range(round(duration_s / TICK_S)):
             self.now_s += TICK_S
             self.handle(Tick())
             number = next(self._ticks)
-            if number % PING_EVERY_TICKS == 0 and self._peers:
+            if number % PING_PERIOD_TICKS == 0 and self._peers:
                 self.tell(Ping(number, 1, 0, [], []))
 
     def tell(self, message: Any, sender: MemberUpdate | None = None) -> list[Action]:
-        """Give the core a message of a peer, a random one by default."""
+        """Deliver a message of a peer, by default a random one, to the core."""
         peer = sender or self.random.choice(self._peers)
         return self.handle(PeerMessage(peer.name, peer.incarnation, message))
 
     def update_of(self, number: int) -> MemberUpdate:
-        """Return the news about a peer; ``number`` is at least 1."""
+        """Return the membership update of a peer; ``number`` is at least 1."""
         return self._peers[number - 1]
 
     def handle(self, event: Event) -> list[Action]:
-        """Give the core an event; peers answer at once."""
+        """Pass an event to the core; peers answer immediately."""
         started_s = time.process_time()
         actions = self.core.handle(event, self.now_s)
-        took_s = time.process_time() - started_s
-        self.busy_s += took_s
-        self.longest_s = max(self.longest_s, took_s)
+        elapsed_s = time.process_time() - started_s
+        self.processor_s += elapsed_s
+        self.longest_event_s = max(self.longest_event_s, elapsed_s)
         for action in actions:
             if isinstance(action, SendToPeer):
-                self._sent(action)
+                self._record_sent(action)
         return actions
 
-    def _sent(self, action: SendToPeer) -> None:
+    def _record_sent(self, action: SendToPeer) -> None:
         kind = type(action.message).__name__
         envelope = Envelope(self.core.me.name, 2**63, 2**60, action.message)
         self.sent[kind] += 1
         self.sent_bytes[kind] += len(encode_envelope(envelope))
         match action.message:
             case Ping(sequence=sequence):
-                self.answer(action.name, Ack(sequence, [], []))
+                self.deliver_answer(action.name, Ack(sequence, [], []))
             case ConfigDigest(reply=True, question=question):
-                self.answer(action.name, self._digest(question))
+                self.deliver_answer(action.name, self._make_digest(question))
 
-    def silence(self, names: set[str]) -> None:
-        """Let peers answer no more."""
+    def silence_peers(self, names: set[str]) -> None:
+        """Stop the answers of the given peers."""
         self._silent |= names
 
-    def answer(self, name: str, message: Any) -> list[Action]:
-        """Give the core a message of the peer of this name."""
+    def deliver_answer(self, name: str, message: Any) -> list[Action]:
+        """Deliver a message of the named peer, unless it is silenced."""
         if name in self._silent:
             return []
         peer = self.update_of(int(name.rpartition("-")[2]))
         return self.handle(PeerMessage(peer.name, peer.incarnation, message))
 
-    def _digest(self, question: int) -> ConfigDigest:
+    def _make_digest(self, question: int) -> ConfigDigest:
         held = self.core.configuration.cache.digest
         return ConfigDigest(held.root, held.revision, ready=True, answered=question)
--- a/endivepick/bench/_peer_slopes.py
+++ b/endivepick/bench/_peer_slopes.py
@@ -1,4 +1,4 @@
-"""Slopes of the sockets: connections to peers, and probes of targets."""
+"""Costs of connections to peers, over real sockets."""
 
 import json
 import os
@@ -14,8 +14,8 @@
 import gevent
 import zmq
 
-from endivepick.bench._processes import rss_bytes
-from endivepick.bench._slopes import Measured, measure
+from endivepick.bench._processes import read_rss_bytes
+from endivepick.bench._slopes import Measurement, measure
 from endivepick.core.peer_messages import HandOverAccepted
 from endivepick.daemon.peers import curve_keys, peer_task
 from endivepick.settings import parse_settings
@@ -31,12 +31,12 @@
 _SECRET_HEX = "000102030405060708090a0b0c0d0e0f"
 _TCP_INFO_BYTES = 256
 _BYTES_ACKED_OFFSET = 120
-"""Of ``tcpi_bytes_acked`` and ``tcpi_bytes_received`` in ``struct tcp_info``."""
+"""Offset of ``tcpi_bytes_acked`` and ``tcpi_bytes_received`` in ``tcp_info``."""
 _US = 1e6
 
 
 def bench_settings() -> DaemonSettings:
-    """Return the settings of an instance that stands alone."""
+    """Return the settings of a standalone instance."""
     text = (
         '{instance: {name: "entry-1", zone: "z"},'
         ' listen: {data_address: "127.0.0.1:0", peer_address: "127.0.0.1:0"},'
@@ -47,7 +47,7 @@
 
 
 def serve_peers(count: int) -> None:
-    """Stand for many peers until the standard input is closed."""
+    """Listen as a number of peers until standard input is closed."""
     context = zmq.Context()
     keys = curve_keys(bytes.fromhex(_SECRET_HEX))
     routers = []
@@ -64,18 +64,18 @@
 
 
 @contextmanager
-def _peers(count: int) -> Iterator[list[str]]:
-    """Run a process that stands for many peers; yields their addresses."""
+def _run_peer_process(count: int) -> Iterator[list[str]]:
+    """Run a process that listens as a number of peers; yield their addresses."""
     command = [sys.executable, "-m", MODULE, "serve", str(count)]
     pipe = subprocess.PIPE
-    # At the end its input is closed, which ends it.
+    # Leaving the context closes standard input, which ends the process.
     with subprocess.Popen(command, stdin=pipe, stdout=pipe, text=True) as process:
         assert process.stdout is not None
         yield json.loads(process.stdout.readline())
 
 
-def _tcp_bytes() -> int:
-    """Return the bytes sent and received on all open TCP connections here."""
+def _count_tcp_bytes() -> int:
+    """Return the bytes sent and received on all TCP connections of this process."""
     total = 0
     for number in os.listdir("/proc/self/fd"):
         try:
@@ -85,26 +85,26 @@
         try:
             with socket.socket(fileno=duplicate) as opened:
                 if opened.family == socket.AF_INET:
-                    total += _payload_bytes(opened)
+                    total += _read_payload_bytes(opened)
         except OSError:
             os.close(duplicate)
     return total
 
 
-def _payload_bytes(opened: socket.socket) -> int:
+def _read_payload_bytes(opened: socket.socket) -> int:
     info = opened.getsockopt(socket.IPPROTO_TCP, socket.TCP_INFO, _TCP_INFO_BYTES)
     sent, received = struct.unpack_from("QQ", info, _BYTES_ACKED_OFFSET)
     return int(sent + received)
 
 
 def connect_peers(count: int) -> None:
-    """Connect to many peers, and print what that cost as JSON."""
+    """Connect to a number of peers and print the cost as JSON."""
     with (
-        _peers(count) as addresses,
+        _run_peer_process(count) as addresses,
         peer_task(bench_settings(), 1, HybridClock(), lambda message: None) as task,
     ):
         waiting = dict.fromkeys(addresses)
-        rss_before, busy_before = rss_bytes(os.getpid()), time.process_time()
+        rss_before, busy_before = read_rss_bytes(os.getpid()), time.process_time()
         end_s = time.monotonic() + CONNECT_LIMIT_S
         while waiting and time.monotonic() < end_s:
             for address in list(waiting):
@@ -113,8 +113,8 @@
             gevent.sleep(0.05)
         gevent.sleep(0.5)
         setup_us = (time.process_time() - busy_before) * _US
-        rss = rss_bytes(os.getpid()) - rss_before
-        setup_bytes, busy_before = _tcp_bytes(), time.process_time()
+        rss = read_rss_bytes(os.getpid()) - rss_before
+        setup_bytes, busy_before = _count_tcp_bytes(), time.process_time()
         gevent.sleep(IDLE_S)
         idle_us = (time.process_time() - busy_before) * _US
         found = {
@@ -122,13 +122,13 @@
             "connection_setup_us": setup_us,
             "connection_setup_bytes": float(setup_bytes),
             "connection_idle_us_per_s": idle_us / IDLE_S,
-            "connection_idle_bytes_per_s": (_tcp_bytes() - setup_bytes) / IDLE_S,
+            "connection_idle_bytes_per_s": (_count_tcp_bytes() - setup_bytes) / IDLE_S,
         }
         print(json.dumps(found), flush=True)
 
 
-def _connections_once(count: int) -> dict[str, float]:
-    """Connect in a new process: memory freed earlier would hide what is used."""
+def _measure_connections_at(count: int) -> dict[str, float]:
+    """Measure in a new process, because reused memory would hide the growth."""
     command = [sys.executable, "-m", MODULE, "connect", str(count)]
     done = subprocess.run(command, capture_output=True, check=True, text=True)
     found: dict[str, float] = json.loads(done.stdout)
@@ -137,11 +137,11 @@
 
 def measure_connections(
     sizes: Sequence[int] = CONNECTION_SIZES, repeats: int = 2
-) -> dict[str, Measured]:
-    """Measure what connections to peers cost the connecting side.
+) -> dict[str, Measurement]:
+    """Measure the cost of connections to peers at the connecting side.
 
-    Bytes are those that TCP carries in both directions, without its headers;
-    memory is the growth of the process's resident set.
+    Bytes are the TCP payload in both directions; memory is the growth of the resident
+    set of the process.
     """
     units = {
         "connection_memory_bytes": "B",
@@ -150,7 +150,7 @@
         "connection_idle_us_per_s": "us/s",
         "connection_idle_bytes_per_s": "B/s",
     }
-    return measure("connection", sizes, units, _connections_once, repeats)
+    return measure("connection", sizes, units, _measure_connections_at, repeats)
 
 
 if __name__ == "__main__":
--- a/endivepick/bench/_sender.py
+++ b/endivepick/bench/_sender.py
@@ -1,4 +1,4 @@
-"""Caller that sends many packets straight to one instance, with a bound."""
+"""Load generator that sends packets to one instance with a bounded window."""
 
 import socket
 import time
@@ -12,29 +12,29 @@
 __all__ = ["Sender"]
 
 WINDOW_PACKETS = 128
-"""Packets without an answer that may be under way."""
-SILENCE_S = 0.2
-"""Silence after which what is under way counts as lost, in seconds."""
-GIVE_UP_S = 30.0
+"""Maximum number of unanswered packets."""
+LOSS_TIMEOUT_S = 0.2
+"""Time without an answer after which packets in flight count as lost, in seconds."""
+OPEN_TIMEOUT_S = 30.0
 _BUFFER_BYTES = 4 << 20
 
 
 class Sender:
-    """Stands for fabric and callers at once; bind it before the instances start.
+    """Simulates the fabric and its callers; create it before the instances start.
 
     Attributes
     ----------
     address : str
-        Where instances answer: their ``fabric.return_address``.
+        Address for answers, the ``fabric.return_address`` of the instances.
     lost : int
-        Packets without an answer.
+        Number of packets without an answer.
     """
 
     def __init__(self) -> None:
         self._socket = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
         self._socket.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, _BUFFER_BYTES)
         self._socket.bind(("127.0.0.1", 0))
-        self._socket.settimeout(SILENCE_S)
+        self._socket.settimeout(LOSS_TIMEOUT_S)
         host, port = self._socket.getsockname()
         self.address = f"{host}:{port}"
         self._prefix = pack_prefix((host, port))
@@ -47,15 +47,17 @@
     def open(self, to: CallerAddress, service: str, count: int) -> list[bytes]:
         """Open flows and return their tokens."""
         tokens: list[bytes] = []
-        end_s = time.monotonic() + GIVE_UP_S
+        end_s = time.monotonic() + OPEN_TIMEOUT_S
         while len(tokens) < count and time.monotonic() < end_s:
             wanted = count - len(tokens)
             opens = (encode_packet(Open(n, service)) for n in range(wanted))
-            self._exchange(to, opens, lambda answer: tokens.extend(_token(answer)))
+            self._exchange(
+                to, opens, lambda answer: tokens.extend(_extract_token(answer))
+            )
         return tokens[:count]
 
     def flood(self, to: CallerAddress, tokens: list[bytes], duration_s: float) -> int:
-        """Ask for renewed tokens for a while; returns the answers."""
+        """Request renewed tokens for a duration and return the number of answers."""
         end_s = time.monotonic() + duration_s
         renews = cycle([encode_packet(Renew(token)) for token in tokens])
         answers = 0
@@ -75,29 +77,29 @@
         self,
         to: CallerAddress,
         packets: Iterable[bytes],
-        take: Callable[[bytes], None],
+        on_answer: Callable[[bytes], None],
     ) -> None:
-        """Send all packets, at most ``WINDOW_PACKETS`` ahead of the answers."""
-        under_way = 0
+        """Send all packets, with at most ``WINDOW_PACKETS`` unanswered ones."""
+        in_flight = 0
         for packet in packets:
             self._socket.sendto(self._prefix + packet, to)
-            under_way += 1
-            while under_way >= WINDOW_PACKETS:
-                under_way = self._receive(under_way, take)
-        while under_way:
-            under_way = self._receive(under_way, take)
+            in_flight += 1
+            while in_flight >= WINDOW_PACKETS:
+                in_flight = self._receive(in_flight, on_answer)
+        while in_flight:
+            in_flight = self._receive(in_flight, on_answer)
 
-    def _receive(self, under_way: int, take: Callable[[bytes], None]) -> int:
+    def _receive(self, in_flight: int, on_answer: Callable[[bytes], None]) -> int:
         try:
             datagram = self._socket.recv(2048)
         except TimeoutError:
-            self.lost += under_way
+            self.lost += in_flight
             return 0
-        take(datagram[PREFIX_SIZE_BYTES:])
-        return under_way - 1
+        on_answer(datagram[PREFIX_SIZE_BYTES:])
+        return in_flight - 1
 
 
-def _token(answer: bytes) -> Iterable[bytes]:
+def _extract_token(answer: bytes) -> Iterable[bytes]:
     match decode_instance_packet(answer):
         case Opened(token=token):
             yield token
--- a/endivepick/bench/_target_slopes.py
+++ b/endivepick/bench/_target_slopes.py
@@ -1,4 +1,4 @@
-"""Slopes of probes of targets and of calls of the platform, over real sockets."""
+"""Costs of target probes and platform calls, over real sockets."""
 
 import json
 import socket
@@ -14,7 +14,7 @@
 import gevent
 
 from endivepick.bench._peer_slopes import bench_settings
-from endivepick.bench._slopes import Measured, measure
+from endivepick.bench._slopes import Measurement, measure
 from endivepick.core.actions import Probe
 from endivepick.daemon.probes import probe_tasks
 from endivepick.platform.client import PlatformClient
@@ -35,13 +35,13 @@
 
 
 class _Server:
-    """Answers plain HTTP and counts the bytes of requests and answers."""
+    """HTTP server that counts the bytes of requests and responses."""
 
     def __init__(self) -> None:
         self.counted_bytes = 0
 
     def listen(self) -> str:
-        """Listen at one more address and return it."""
+        """Listen at an additional address and return it."""
         listener = socket.create_server(("127.0.0.1", 0))
         threading.Thread(target=self._accept, args=(listener,), daemon=True).start()
         return "{}:{}".format(*listener.getsockname())
@@ -83,7 +83,7 @@
 
 
 def serve() -> None:
-    """Serve, and print the bytes counted for each line of the standard input."""
+    """Serve, and print the counted bytes for each line of standard input."""
     server = _Server()
     print(json.dumps([server.listen() for _ in range(TARGET_SIZES[-1])]), flush=True)
     for _ in sys.stdin:
@@ -91,38 +91,38 @@
 
 
 @dataclass(frozen=True)
-class _Serving:
-    """A serving process.
+class _ServerProcess:
+    """Handle of a server process.
 
     Attributes
     ----------
     addresses : list of str
         ``host:port``, one for each target.
     process : subprocess.Popen
-        The process.
+        Process.
     """
 
     addresses: list[str]
     process: "subprocess.Popen[str]"
 
     def counted_bytes(self) -> int:
-        """Return the bytes of all requests and answers so far."""
+        """Return the bytes of all requests and responses so far."""
         assert self.process.stdin is not None and self.process.stdout is not None
         print(file=self.process.stdin, flush=True)
         return int(self.process.stdout.readline())
 
 
 @contextmanager
-def _serving() -> Iterator[_Serving]:
+def _run_server() -> Iterator[_ServerProcess]:
     command = [sys.executable, "-m", __name__]
     pipe = subprocess.PIPE
-    # At the end its input is closed, which ends it.
+    # Leaving the context closes standard input, which ends the process.
     with subprocess.Popen(command, stdin=pipe, stdout=pipe, text=True) as process:
         assert process.stdout is not None
-        yield _Serving(json.loads(process.stdout.readline()), process)
+        yield _ServerProcess(json.loads(process.stdout.readline()), process)
 
 
-def _probes_once(serving: _Serving, targets: int) -> dict[str, float]:
+def _measure_probes_at(serving: _ServerProcess, targets: int) -> dict[str, float]:
     done: list[object] = []
     before = serving.counted_bytes()
     with probe_tasks(bench_settings(), done.append) as tasks:
@@ -130,7 +130,7 @@
         for probed in range(targets, (PROBE_ROUNDS + 1) * targets, targets):
             for number in range(targets):
                 tasks.probe(Probe("s", f"t{number}", serving.addresses[number]))
-            # A target that still answers would not be probed again.
+            # A target with a probe in flight is not probed again.
             while len(done) < probed:
                 gevent.sleep(0.005)
             gevent.sleep(0.05)
@@ -142,17 +142,17 @@
     }
 
 
-def measure_probes(sizes: Sequence[int] = TARGET_SIZES) -> dict[str, Measured]:
+def measure_probes(sizes: Sequence[int] = TARGET_SIZES) -> dict[str, Measurement]:
     """Measure one probe of each target against the number of targets.
 
-    Bytes are those that TCP carries in both directions, without its headers.
+    Bytes are the TCP payload in both directions.
     """
     units = {"probe_round_us": "us", "probe_round_bytes": "B"}
-    with _serving() as serving:
-        return measure("target", sizes, units, lambda n: _probes_once(serving, n))
+    with _run_server() as serving:
+        return measure("target", sizes, units, lambda n: _measure_probes_at(serving, n))
 
 
-def _calls_once(serving: _Serving, size: int) -> dict[str, float]:
+def _measure_calls_at(serving: _ServerProcess, size: int) -> dict[str, float]:
     settings = PlatformSettings(serving.addresses[0])
     client = PlatformClient(settings, gevent.sleep, lambda: 0.5)
     client.get("k", str(size)).unwrap()
@@ -167,11 +167,11 @@
     }
 
 
-def measure_calls(sizes: Sequence[int] = BODY_SIZES) -> dict[str, Measured]:
-    """Measure one read of the platform against the size of the object."""
+def measure_calls(sizes: Sequence[int] = BODY_SIZES) -> dict[str, Measurement]:
+    """Measure one read from the platform against the size of the object."""
     units = {"platform_call_us": "us", "platform_call_bytes": "B"}
-    with _serving() as serving:
-        return measure("byte", sizes, units, lambda n: _calls_once(serving, n))
+    with _run_server() as serving:
+        return measure("byte", sizes, units, lambda n: _measure_calls_at(serving, n))
 
 
 if __name__ == "__main__":
--- a/endivepick/bench/backend.py
+++ b/endivepick/bench/backend.py
@@ -1,4 +1,4 @@
-"""Backend servers in virtual time: slots, a queue, shed answers and faults."""
+"""Simulated backend servers with slots, a queue, load shedding and faults."""
 
 from collections import deque
 from collections.abc import Callable
@@ -16,7 +16,7 @@
 _COLD_FACTOR = 3.0
 
 Answer = Callable[[FinishKind, float], None]
-"""Takes how the attempt ended and the back-off asked for, in seconds."""
+"""Called with the result of the attempt and the requested backoff, in seconds."""
 
 
 @dataclass(frozen=True)
@@ -26,37 +26,37 @@
 
 
 class VirtualTarget:
-    """One backend server; its faults are attributes that a script sets.
+    """Simulated backend server, whose faults a script injects as attributes.
 
     Parameters
     ----------
     loop : VirtualLoop
-        Virtual clock.
+        Virtual-time event loop.
     name : str
-        Name in the record.
+        Name in the service record.
     zone : str
-        Its availability zone.
+        Availability zone.
     slots : int
-        Requests that it runs at once.
+        Number of requests that run concurrently.
 
     Attributes
     ----------
     held : int
-        Requests in progress plus waiting here.
+        Number of requests that run or wait at the target.
     attempts : int
-        Requests that reached it.
+        Number of requests received.
     shedding : bool
-        It refuses every request.
+        Whether it sheds every request.
     stuck : bool
-        It accepts requests, reports no load and answers nothing.
+        Whether it accepts requests, reports no load and never answers.
     down : bool
-        No connection succeeds.
+        Whether every connection fails.
     health_fails : bool
-        Its health endpoint fails, whatever it does with requests.
+        Whether its health endpoint fails, independently of request handling.
     draining : bool
-        It refuses new requests and says that it drains.
+        Whether it refuses new requests and reports that it is draining.
     cold_until_s : float
-        Until then a request takes three times as long, in seconds.
+        Time until which service times are three times as long, in seconds.
     """
 
     def __init__(self, loop: VirtualLoop, name: str, zone: str, slots: int) -> None:
@@ -68,7 +68,7 @@
         self.zone = zone
         self.slots = slots
         self.incarnation = 1
-        self.held = 0
+        self.pending_count = 0
         self.attempts = 0
         self.shedding = False
         self.stuck = False
@@ -78,7 +78,7 @@
         self.cold_until_s = 0.0
 
     def send(self, request: Request, answer: Answer) -> None:
-        """Take a request; answers now or later."""
+        """Handle a request; ``answer`` is called immediately or later."""
         if self.down:
             answer(FinishKind.CONNECT_FAILED, 0.0)
             return
@@ -87,7 +87,7 @@
         if self.shedding or self.draining or full:
             answer(FinishKind.SHED, _RETRY_AFTER_S)
             return
-        self.held += 1
+        self.pending_count += 1
         job = _Job(request, answer)
         if self._running < self.slots:
             self._run(job)
@@ -95,7 +95,7 @@
             self._queue.append(job)
 
     def probe(self, service: str) -> ProbeOutcome:
-        """Return what its health and load endpoints say."""
+        """Return the result of its health and load endpoints."""
         if self.down or self.health_fails:
             return ProbeFailed()
         state = TargetHealth.DRAINING if self.draining else TargetHealth.READY
@@ -108,8 +108,8 @@
             slots=self.slots,
         )
 
-    def unstick(self) -> None:
-        """End the ``stuck`` fault: what it holds is run from now on."""
+    def clear_stuck(self) -> None:
+        """End the ``stuck`` fault and start the requests that it holds."""
         self.stuck = False
         jobs, self._stuck_jobs = self._stuck_jobs, []
         for job in jobs:
@@ -131,7 +131,7 @@
 
     def _finish(self, job: _Job) -> None:
         self._running -= 1
-        self.held -= 1
+        self.pending_count -= 1
         self._run_next()
         job.answer(FinishKind.OK, 0.0)
 
@@ -139,7 +139,7 @@
         while self._queue and self._running < self.slots:
             job = self._queue.popleft()
             if self._loop.now_s >= job.request.deadline_at_s:
-                self.held -= 1
+                self.pending_count -= 1
                 job.answer(FinishKind.EXPIRED, 0.0)
                 continue
             self._run(job)
--- a/endivepick/bench/capacity.py
+++ b/endivepick/bench/capacity.py
@@ -1,9 +1,9 @@
-"""Measures what each role costs, and works it out for the size of two years on.
+"""Measures the cost of each role and extrapolates it to the planned fleet size.
 
-Run ``python -m endivepick.bench.capacity`` from the root of a checkout: the
-measurements with real instances need the stand-ins.  It ends by itself within
-five minutes on a calm machine and prints the slopes with their spread, then the
-table that ``docs/CAPACITY.md`` explains.
+Run ``python -m endivepick.bench.capacity`` from the root of a checkout, because the
+measurements with real instances need the ``standins`` package. The command takes less
+than five minutes on an idle machine. It prints the measured slopes with their spread,
+then the table that ``docs/CAPACITY.md`` explains.
 """
 
 import json
@@ -23,14 +23,14 @@
     _target_slopes,
     packets,
 )
-from endivepick.bench._capacity_lines import CapacityLine, capacity_lines
+from endivepick.bench._capacity_lines import CapacityLine, estimate_capacity
 from endivepick.bench._fleet import LIMITS, TWO_YEARS, Fleet
-from endivepick.bench._slopes import Measured, format_slopes
+from endivepick.bench._slopes import Measurement, format_slopes
 
 __all__ = ["MEASUREMENTS", "capacity", "format_lines"]
 
 DEFAULT_RESULTS = "var/bench/capacity.json"
-MEASUREMENTS: dict[str, Callable[[], dict[str, Measured]]] = {
+MEASUREMENTS: dict[str, Callable[[], dict[str, Measurement]]] = {
     "memory": _core_slopes.measure_memory,
     "closed": _core_slopes.measure_closed,
     "flows": _core_slopes.measure_flows,
@@ -48,43 +48,43 @@
     "real_flows": packets.measure_real_flows,
     "clusters": _cluster_slopes.measure_clusters,
 }
-"""What is measured, by the name that ``--only`` takes."""
+"""Measurements by the name that ``--only`` accepts."""
 
 
 def capacity(only: str = "", results: str = DEFAULT_RESULTS) -> None:
-    """Measure all slopes and print them, then the costs of each role.
+    """Measure and print all slopes, then the cost of each role.
 
     Parameters
     ----------
     only : str
-        Names of measurements, separated by commas; empty for all.  The table of
-        roles needs all of them.
+        Names of measurements, separated by commas; empty for all. The table of
+        roles is printed only if all are measured.
     results : str
-        File for the measured values.
+        Output file for the measured values, as JSON.
     """
     started_s = time.monotonic()
-    names = _names(only)
-    slopes: dict[str, Measured] = {}
+    names = _parse_names(only)
+    slopes: dict[str, Measurement] = {}
     for name in names:
         found = MEASUREMENTS[name]()
         slopes.update(found)
         print(f"\n{name} (load average {os.getloadavg()[0]:.1f})")
         print(format_slopes(list(found.values())), flush=True)
-    _write(Path(results), slopes)
+    _write_results(Path(results), slopes)
     if len(names) == len(MEASUREMENTS):
-        print(f"\n{_describe(TWO_YEARS)}")
-        print(format_lines(capacity_lines(TWO_YEARS, LIMITS, slopes)))
+        print(f"\n{_describe_fleet(TWO_YEARS)}")
+        print(format_lines(estimate_capacity(TWO_YEARS, LIMITS, slopes)))
     print(f"\ntook {time.monotonic() - started_s:.0f} s")
 
 
-def _names(only: str | Sequence[str]) -> list[str]:
-    """Return the chosen names; the command line splits a list by itself."""
+def _parse_names(only: str | Sequence[str]) -> list[str]:
+    """Return the chosen names; ``fire`` parses a comma-separated value to a tuple."""
     if not only:
         return list(MEASUREMENTS)
     return only.split(",") if isinstance(only, str) else list(only)
 
 
-def _write(path: Path, slopes: Mapping[str, Measured]) -> None:
+def _write_results(path: Path, slopes: Mapping[str, Measurement]) -> None:
     path.parent.mkdir(parents=True, exist_ok=True)
     values = {
         name: {
@@ -99,7 +99,7 @@
     path.write_text(json.dumps(values, indent=1) + "\n", encoding="utf-8")
 
 
-def _describe(fleet: Fleet) -> str:
+def _describe_fleet(fleet: Fleet) -> str:
     return (
         f"{fleet.instances:,} instances, {fleet.targets:,} targets, "
         f"{fleet.records:,} services, {fleet.flows:,.0f} open flows, "
@@ -109,21 +109,21 @@
 
 
 def format_lines(lines: Sequence[CapacityLine]) -> str:
-    """Return the table of roles; a line over its limit says by how much."""
+    """Return the table of roles, with the ratio of each exceeded limit."""
     rows = [f"{'role':18} {'what':36} {'value':>14} {'limit':>12}  basis"]
     for line in lines:
-        limit = "-" if line.limit is None else _short(line.limit)
+        limit = "-" if line.limit is None else _format(line.limit)
         over = ""
         if line.is_over and line.limit is not None:
             over = f", OVER x{line.value / line.limit:.1f}"
         rows.append(
-            f"{line.role:18} {line.what:36} {_short(line.value):>14} {limit:>12}"
+            f"{line.role:18} {line.what:36} {_format(line.value):>14} {limit:>12}"
             f"  {line.unit}, {line.basis.value}{over}"
         )
     return "\n".join(rows)
 
 
-def _short(value: float) -> str:
+def _format(value: float) -> str:
     return f"{value:,.0f}" if abs(value) >= 100 else f"{value:.3g}"
 
 
--- a/endivepick/bench/dark_bound.py
+++ b/endivepick/bench/dark_bound.py
@@ -1,9 +1,9 @@
-"""What any balancer could serve of requests that meet a span without instances.
+"""Upper bound of the requests that any balancer can serve during an outage.
 
 ``python -m endivepick.bench.dark_bound --dark_ms=580 --aim_ms=400 --deadline_ms=2000``
-says which share of the requests sent within the span the best balancer would serve in
-time: one that forwards from the first moment in which an instance runs.  What is lost
-beyond that was lost by detection, start-up or placement.
+prints the fraction of the requests sent during an outage that an ideal balancer serves
+in time: one that forwards from the moment at which an instance runs again. Losses
+beyond this bound are caused by failure detection, start-up or placement.
 """
 
 from collections import Counter
@@ -19,7 +19,7 @@
 
 
 class Outcome(Enum):
-    """What becomes of a request."""
+    """Outcome of a request."""
 
     IN_AIM = "in aim"
     LATE = "late"
@@ -28,19 +28,19 @@
 
 @dataclass(frozen=True)
 class Caller:
-    """How a caller waits and repeats.
+    """Timeouts and retransmissions of a caller.
 
     Attributes
     ----------
     aim_ms : float
-        Time within which an answer is worth all, in milliseconds.
+        Target response time, in milliseconds.
     deadline_ms : float
         Time after which the caller gives up, in milliseconds.
     service_ms : float
-        Time from the packet that arrives to the answer, in milliseconds.
+        Time from the arrival of the packet to the answer, in milliseconds.
     repeats_ms : tuple of float
-        When a request's packets are sent after the first, in milliseconds; an opening
-        packet and data are repeated at the same times up to the third.
+        Retransmission times since the first packet of a request, in milliseconds.
+        Opening packets and data have the same times up to the third.
     """
 
     aim_ms: float
@@ -50,7 +50,7 @@
 
 
 def best_outcome(caller: Caller, dark_for_ms: float) -> Outcome:
-    """Return the best end of a request that is sent so long before an instance runs.
+    """Return the best outcome of a request sent this long before an instance runs.
 
     Examples
     --------
@@ -71,7 +71,7 @@
 
 
 def best_shares(caller: Caller, dark_ms: int) -> dict[Outcome, float]:
-    """Return the shares of requests that come evenly over a span, by their best end."""
+    """Return the fraction of requests by best outcome, for uniform arrivals."""
     spans_ms = range(_STEP_MS, dark_ms + _STEP_MS, _STEP_MS)
     ends = Counter(best_outcome(caller, float(left_ms)) for left_ms in spans_ms)
     return {outcome: ends[outcome] / len(spans_ms) for outcome in Outcome}
@@ -84,16 +84,16 @@
     service_ms: float = 30.0,
     per_s: float = 0.0,
 ) -> None:
-    """Print what the best balancer could serve of the requests within a span.
+    """Print the best outcomes of the requests sent during an outage.
 
     Parameters
     ----------
     dark_ms : int
-        How long no instance ran, in milliseconds.
+        Duration of the outage, in milliseconds.
     aim_ms, deadline_ms, service_ms : float
-        See `Caller`.
+        As in `Caller`.
     per_s : float
-        Requests a second; 0: print shares only.
+        Arrival rate, in requests per second; 0 prints fractions only.
     """
     caller = Caller(aim_ms, deadline_ms, service_ms)
     for outcome, share in best_shares(caller, dark_ms).items():
--- a/endivepick/bench/experiment.py
+++ b/endivepick/bench/experiment.py
@@ -1,4 +1,4 @@
-"""One run: a shape, a load, a policy, a fault script and a seed."""
+"""Simulation run of one placement policy under a workload and a fault script."""
 
 import time
 from collections import Counter
@@ -9,15 +9,15 @@
 from endivepick.bench.faults import FAULT_END_S, FAULT_START_S, FAULTS
 from endivepick.bench.measures import ImbalanceMeter, LatencyHistogram
 from endivepick.bench.policies import POLICIES
-from endivepick.bench.policy import World
+from endivepick.bench.policy import SimulationContext
 from endivepick.bench.virtual_time import VirtualLoop
 from endivepick.bench.workload import (
     SHAPES,
-    Closed,
     Event,
-    Opened,
+    FlowCloseEvent,
+    FlowOpenEvent,
     Request,
-    Requested,
+    RequestEvent,
     generate_events,
     make_record,
 )
@@ -37,19 +37,19 @@
     Attributes
     ----------
     shape : str
-        Name of a shape.
+        Name of a workload shape in `endivepick.bench.workload.SHAPES`.
     affinity : str
         ``flow`` or ``request``.
     load : float
-        Offered work over capacity.
+        Ratio of offered work to capacity.
     policy : str
-        Name of a policy.
+        Name of a placement policy in `endivepick.bench.policies.POLICIES`.
     fault : str
-        Name of a fault script.
+        Name of a fault script in `endivepick.bench.faults.FAULTS`.
     seed : int
-        Seed of all random numbers.
+        Seed of the random number generators.
     duration_s : float
-        Virtual time in which requests arrive, warm-up included, in seconds.
+        Virtual time during which requests arrive, including the warm-up, in seconds.
     """
 
     shape: str
@@ -63,40 +63,43 @@
 
 @dataclass(frozen=True)
 class RunResult:
-    """Settings and measures of one run.
+    """Settings and metrics of one run.
 
     Attributes
     ----------
     experiment : Experiment
-        Settings.
+        Settings of the run.
     requests : int
-        Requests that arrived while measured.
+        Requests that arrived after the warm-up.
     ok, refused, unknown, unfinished : int
-        Their outcomes; an answer after its deadline is unknown.
+        Number of these requests by outcome. A request answered after its deadline
+        counts as unknown.
     broken_flows : int
         Flows with a non-idempotent request of unknown outcome.
     goodput : float
-        Whole answers in time, as a share of capacity.
+        Requests answered within their deadline, as a fraction of capacity.
     goodput_in_fault : float
-        The same for requests that arrived during the fault.
+        Goodput of the requests that arrived during the fault.
     imbalance_median, imbalance_peak : float
-        Peak over mean of the targets' loads, over windows of one second.
+        Median and maximum, over windows of one second, of the ratio of the highest
+        to the mean target load.
     waiting_p50_s, waiting_p99_s : float
-        From arrival to start at the target, in seconds.
+        Percentiles of the time from arrival to start at the target, in seconds.
     waiting_p99_short_s, waiting_p99_long_s : float
-        The same percentile for each cost class, in seconds.
+        99th percentile of this time for short and long requests, in seconds.
     refused_share_established, refused_share_new : float
-        Share refused of the requests of established and of new flows.
+        Fraction of requests that were refused, for established and for new flows.
     attempts_per_request : float
-        Requests sent to targets for each that arrived.
+        Mean number of attempts at targets per request.
     hops_per_request, zone_crossings_per_request : float
-        Relays between instances, and starts in another zone.
+        Mean number of relays between instances, and of attempts at a target in
+        another zone, per request.
     control_bytes_per_s : float
-        Control traffic of one instance, on average.
+        Mean control traffic per instance, in bytes per second.
     processor_s : float
-        Processor time of the run.
+        Processor time of the run, in seconds.
     imbalance_windows : tuple of tuple
-        Second and imbalance.
+        Start of each window, in seconds, and its imbalance.
     """
 
     experiment: Experiment
@@ -125,7 +128,7 @@
 
 
 class _Run:
-    """State of one run."""
+    """Simulation state of one run."""
 
     def __init__(self, experiment: Experiment) -> None:
         self._experiment = experiment
@@ -140,7 +143,7 @@
             t.name: VirtualTarget(self._loop, t.name, t.zone, t.slots)
             for t in record.targets
         }
-        self._world = World(
+        self._context = SimulationContext(
             loop=self._loop,
             shape=self._shape,
             record=record,
@@ -150,12 +153,12 @@
             cut_zones=set(),
         )
         self._meter = ImbalanceMeter(len(targets))
-        self._policy = POLICIES[experiment.policy](self._world)
+        self._policy = POLICIES[experiment.policy](self._context)
 
     def run(self) -> RunResult:
-        """Run to the end and measure."""
+        """Run the simulation and return its metrics."""
         started_s = time.process_time()
-        FAULTS[self._experiment.fault](self._world, self._policy)
+        FAULTS[self._experiment.fault](self._context, self._policy)
         self._loop.call_every(_SAMPLE_PERIOD_S, self._sample)
         experiment = self._experiment
         arrivals = generate_events(
@@ -163,17 +166,17 @@
         )
         for at_s, event in arrivals:
             self._loop.run_until(at_s)
-            self._take(event)
+            self._handle_event(event)
         self._loop.run_until(experiment.duration_s + _DRAIN_S)
-        return self._result(time.process_time() - started_s)
+        return self._build_result(time.process_time() - started_s)
 
-    def _take(self, event: Event) -> None:
+    def _handle_event(self, event: Event) -> None:
         match event:
-            case Opened(flow):
+            case FlowOpenEvent(flow):
                 self._policy.open_flow(flow)
-            case Closed(flow):
+            case FlowCloseEvent(flow):
                 self._policy.close_flow(flow)
-            case Requested(request):
+            case RequestEvent(request):
                 request.established = request.flow.requests > 0
                 request.flow.requests += 1
                 self._arrived += 1
@@ -182,23 +185,23 @@
                 self._policy.submit(request)
 
     def _finish(self, request: Request, outcome: str) -> None:
-        assert not request.outcome, "a request has one outcome"
-        late = self._loop.now_s > request.deadline_at_s
-        request.outcome = "unknown" if outcome == "ok" and late else outcome
+        assert not request.outcome, "request has already finished"
+        is_late = self._loop.now_s > request.deadline_at_s
+        request.outcome = "unknown" if outcome == "ok" and is_late else outcome
         if request.outcome == "ok" and request.arrival_s >= WARM_UP_S:
             waiting_s = request.started_s - request.arrival_s
             self._waiting.add(waiting_s)
             self._waiting_by_class[request.long].add(waiting_s)
 
     def _sample(self) -> None:
-        waiting = self._policy.waiting()
+        waiting = self._policy.count_waiting()
         loads = [
-            (target.held + waiting.get(name, 0.0)) / target.slots
-            for name, target in self._world.targets.items()
+            (target.pending_count + waiting.get(name, 0.0)) / target.slots
+            for name, target in self._context.targets.items()
         ]
         self._meter.sample(loads, self._loop.now_s)
 
-    def _result(self, processor_s: float) -> RunResult:
+    def _build_result(self, processor_s: float) -> RunResult:
         requests = self._requests
         outcomes = Counter(request.outcome for request in requests)
         broken = {
@@ -220,16 +223,18 @@
             unknown=outcomes["unknown"],
             unfinished=outcomes[""],
             broken_flows=len(broken),
-            goodput=self._goodput(WARM_UP_S, end_s),
-            goodput_in_fault=self._goodput(FAULT_START_S, FAULT_END_S),
+            goodput=self._compute_goodput(WARM_UP_S, end_s),
+            goodput_in_fault=self._compute_goodput(FAULT_START_S, FAULT_END_S),
             imbalance_median=median,
             imbalance_peak=peak,
             waiting_p50_s=self._waiting.percentile_s(50.0),
             waiting_p99_s=self._waiting.percentile_s(99.0),
             waiting_p99_short_s=self._waiting_by_class[False].percentile_s(99.0),
             waiting_p99_long_s=self._waiting_by_class[True].percentile_s(99.0),
-            refused_share_established=_refused_share(requests, established=True),
-            refused_share_new=_refused_share(requests, established=False),
+            refused_share_established=_compute_refused_share(
+                requests, established=True
+            ),
+            refused_share_new=_compute_refused_share(requests, established=False),
             attempts_per_request=attempts / max(1, len(requests)),
             hops_per_request=policy.hops / arrived,
             zone_crossings_per_request=policy.zone_crossings / arrived,
@@ -238,22 +243,22 @@
             imbalance_windows=tuple(sorted(self._meter.windows().items())),
         )
 
-    def _goodput(self, start_s: float, end_s: float) -> float:
-        done = sum(
+    def _compute_goodput(self, start_s: float, end_s: float) -> float:
+        answered = sum(
             request.outcome == "ok"
             for request in self._requests
             if start_s <= request.arrival_s < end_s
         )
-        return done / (end_s - start_s) / self._shape.capacity_per_s
+        return answered / (end_s - start_s) / self._shape.capacity_per_s
 
 
-def _refused_share(requests: list[Request], established: bool) -> float:
+def _compute_refused_share(requests: list[Request], established: bool) -> float:
     outcomes = [r.outcome for r in requests if r.established is established]
     return outcomes.count("refused") / max(1, len(outcomes))
 
 
 def run_experiment(experiment: Experiment) -> RunResult:
-    """Run one experiment in virtual time.
+    """Run one experiment in virtual time and return its metrics.
 
     Examples
     --------
--- a/endivepick/bench/idle.py
+++ b/endivepick/bench/idle.py
@@ -1,7 +1,7 @@
-"""What instances cost that handle no request: processor time and wake-ups.
+"""Processor time and wake-ups of idle instances.
 
 ``python -m endivepick.bench.idle`` runs an installation of real processes without
-callers and prints one JSON line for each instance and window.
+callers and prints one JSON line per instance and window.
 """
 
 import json
@@ -19,29 +19,30 @@
 __all__ = ["IdleWindow", "measure_idle", "run"]
 
 SETTLE_S = 8.0
-"""Time in which instances agree on owners and targets have been healthy a while."""
+"""Time for instances to agree on owners and for targets to become stably healthy."""
 WINDOW_S = 10.0
 WINDOWS = 3
 _NS_PER_S = 1e9
-_WAKE_UPS = "voluntary_ctxt_switches:"
+_WAKE_UPS_FIELD = "voluntary_ctxt_switches:"
 
 
 @dataclass(frozen=True)
 class IdleWindow:
-    """One instance in one window.
+    """Measurement of one instance in one window.
 
     Attributes
     ----------
     instance : str
-        Its name.
+        Name of the instance.
     targets : int
-        Targets that it probes.
+        Number of targets that the instance probes.
     cpu_percent : float
-        Processor time, in percent of a core.
+        Processor time, as a percentage of one core.
     main_wake_ups_per_s, other_wake_ups_per_s : float
-        How often its main thread, and all others, went on after a wait.
+        Voluntary context switches per second of the main thread and of all other
+        threads.
     load_average : float
-        Of the machine in the last minute, at the end of the window.
+        One-minute load average of the machine at the end of the window.
     """
 
     instance: str
@@ -53,8 +54,8 @@
 
 
 @dataclass(frozen=True)
-class _Reading:
-    """Totals of one process at one moment."""
+class _ProcessCounters:
+    """Cumulative counters of one process."""
 
     at_s: float
     cpu_ns: int
@@ -62,25 +63,25 @@
     other_wake_ups: int
 
 
-def _read(pid: int) -> _Reading:
+def _read_counters(pid: int) -> _ProcessCounters:
     cpu_ns = main = other = 0
     for task in Path(f"/proc/{pid}/task").iterdir():
-        # Nanoseconds; the times of ``stat`` come in hundredths of a second.
+        # In nanoseconds, whereas the resolution of ``stat`` is 10 ms.
         cpu_ns += int((task / "schedstat").read_text().split()[0])
-        wake_ups = _wake_ups((task / "status").read_text())
+        wake_ups = _parse_wake_ups((task / "status").read_text())
         if int(task.name) == pid:
             main = wake_ups
         else:
             other += wake_ups
-    return _Reading(time.monotonic(), cpu_ns, main, other)
+    return _ProcessCounters(time.monotonic(), cpu_ns, main, other)
 
 
-def _wake_ups(status: str) -> int:
-    lines = [line for line in status.splitlines() if line.startswith(_WAKE_UPS)]
+def _parse_wake_ups(status: str) -> int:
+    lines = [line for line in status.splitlines() if line.startswith(_WAKE_UPS_FIELD)]
     return int(lines[0].split()[1])
 
 
-def _targets(status: dict[str, Any]) -> int:
+def _count_targets(status: dict[str, Any]) -> int:
     return sum(len(service["targets"]) for service in status["services"])
 
 
@@ -90,21 +91,23 @@
     window_s: float = WINDOW_S,
     settle_s: float = SETTLE_S,
 ) -> Iterator[IdleWindow]:
-    """Measure the instances of a running installation, each in each window."""
+    """Measure each instance of a running installation in each window."""
     time.sleep(settle_s)
     statuses = {one.plan.name: one.status() for one in cluster.instances.values()}
     for _ in range(windows):
-        before = {n: _read(i.process.pid) for n, i in cluster.instances.items()}
+        before = {
+            n: _read_counters(i.process.pid) for n, i in cluster.instances.items()
+        }
         time.sleep(window_s)
         for name, instance in cluster.instances.items():
-            start, end = before[name], _read(instance.process.pid)
+            start, end = before[name], _read_counters(instance.process.pid)
             elapsed_s = end.at_s - start.at_s
             cpu_ns = end.cpu_ns - start.cpu_ns
             main = end.main_wake_ups - start.main_wake_ups
             other = end.other_wake_ups - start.other_wake_ups
             yield IdleWindow(
                 instance=name,
-                targets=_targets(statuses[name]),
+                targets=_count_targets(statuses[name]),
                 cpu_percent=100 * cpu_ns / _NS_PER_S / elapsed_s,
                 main_wake_ups_per_s=main / elapsed_s,
                 other_wake_ups_per_s=other / elapsed_s,
@@ -115,16 +118,16 @@
 def run(
     shape: str = "harada", windows: int = WINDOWS, window_s: float = WINDOW_S
 ) -> None:
-    """Print one JSON line for each instance and window.
+    """Print one JSON line per instance and window.
 
     Parameters
     ----------
     shape : str
-        Name of the installation's shape.
+        Name of the shape of the installation.
     windows : int
-        Windows to measure.
+        Number of windows.
     window_s : float
-        Length of each, in seconds.
+        Length of each window, in seconds.
     """
     from standins.shapes import SHAPES
 
--- a/endivepick/bench/measures.py
+++ b/endivepick/bench/measures.py
@@ -1,4 +1,4 @@
-"""What a run measures: imbalance and durations."""
+"""Metrics of a run: load imbalance and durations."""
 
 from collections.abc import Sequence
 from statistics import median
@@ -13,9 +13,9 @@
 
 
 class ImbalanceMeter:
-    """Peak over mean of the targets' loads, in windows of one second.
+    """Ratio of the highest to the mean target load, in windows of one second.
 
-    A target's load is its requests in progress plus waiting, for each slot.
+    The load of a target is its number of running and waiting requests per slot.
 
     Parameters
     ----------
@@ -28,13 +28,13 @@
         self._sums: dict[int, list[float]] = {}
 
     def sample(self, loads: Sequence[float], now_s: float) -> None:
-        """Take in the load of each target at a time, in seconds."""
+        """Record the load of each target at a time, in seconds."""
         sums = self._sums.setdefault(int(now_s), [0.0] * self._targets)
         for index, load in enumerate(loads):
             sums[index] += load
 
     def windows(self) -> dict[int, float]:
-        """Return the imbalance of each window that had any load."""
+        """Return the imbalance of each window with a positive load."""
         return {
             second: max(sums) * self._targets / sum(sums)
             for second, sums in self._sums.items()
@@ -42,7 +42,7 @@
         }
 
     def median_and_peak(self, start_s: float, end_s: float) -> tuple[float, float]:
-        """Return median and peak over the windows of an interval, in seconds."""
+        """Return the median and maximum imbalance within an interval, in seconds."""
         values = [
             value
             for second, value in self.windows().items()
@@ -52,13 +52,13 @@
 
 
 class LatencyHistogram:
-    """Durations in an HDR histogram, with percentiles in seconds."""
+    """HDR histogram of durations."""
 
     def __init__(self) -> None:
         self._histogram = HdrHistogram(_LOWEST_US, _HIGHEST_US, _DIGITS)
 
     def add(self, duration_s: float) -> None:
-        """Take in a duration, in seconds."""
+        """Record a duration, in seconds."""
         self._histogram.record_value(max(_LOWEST_US, round(duration_s * 1e6)))
 
     def percentile_s(self, percentile: float) -> float:
--- a/endivepick/bench/owners.py
+++ b/endivepick/bench/owners.py
@@ -1,11 +1,11 @@
-"""The project's policy: owners with the dispatcher of the product."""
+"""Policies with flow owners that run the production dispatcher."""
 
 import dataclasses
 from collections.abc import Callable, Hashable
 from dataclasses import dataclass, field
 
 from endivepick.bench.alone import DATAGRAM_HEADER_BYTES
-from endivepick.bench.policy import Policy, World
+from endivepick.bench.policy import Policy, SimulationContext
 from endivepick.bench.workload import Flow, Request
 from endivepick.core.codec import encode_struct
 from endivepick.core.dispatch import (
@@ -29,29 +29,29 @@
 _PROBE_BYTES = 600
 _TICK_PERIOD_S = 0.05
 _REPORT_PERIOD_S = 0.1
-_RECORD_LAG_S = 0.5
-_DETECTION_S = 1.0
-_RESEND_S = 0.2
+_RECORD_DELAY_MAX_S = 0.5
+_DETECTION_DELAY_S = 1.0
+_RESEND_DELAY_S = 0.2
 
 
 @dataclass(eq=False)
 class Owner:
-    """One owner incarnation of the service, or of a part of its targets.
+    """Incarnation of an owner of the service, or of some of its targets.
 
     Attributes
     ----------
     number : int
         Unique number.
     instance, zone
-        Where it runs.
+        Instance that runs the owner, and its zone.
     scope : str
-        Which flows are its own.
+        Scope of the flows that it owns: all flows, a zone, a shard or a target.
     dispatcher : ServiceDispatcher
-        The product's decisions.
+        Production dispatcher.
     alive, stopping : bool
-        Whether it runs, and whether it takes no more flows.
+        Whether it runs, and whether it accepts no new flows.
     requests : dict
-        Requests that it runs or lets wait, by number.
+        Running and waiting requests, by number.
     """
 
     number: int
@@ -65,72 +65,74 @@
 
 
 class OwnerPolicy(Policy):
-    """One instance owns the service's flows over all connected zones."""
+    """Policy in which one instance owns the flows of all connected zones."""
 
     per_zone = False
     spill_share = 1.0
 
-    def __init__(self, world: World) -> None:
-        super().__init__(world)
+    def __init__(self, context: SimulationContext) -> None:
+        super().__init__(context)
         self.settings = DispatchSettings()
-        self._record = world.record
+        self._record = context.record
         self._owners: list[Owner] = []
-        self._current: dict[str, Owner] = {}
-        for scope in self._scopes():
+        self._owner_by_scope: dict[str, Owner] = {}
+        for scope in self._list_scopes():
             self._add_owner(scope)
-        loop = world.loop
+        loop = context.loop
         loop.call_every(_PROBE_PERIOD_S, self._probe_all)
         loop.call_every(_TICK_PERIOD_S, self._tick_all)
         loop.call_every(_REPORT_PERIOD_S, self._exchange_counts)
 
     def open_flow(self, flow: Flow) -> None:
-        """Let the owner of the reached instance's scope place a new flow."""
-        owner = self._current[self._scope_of(flow.instance, flow)]
+        """Place a new flow at the owner of the scope of the receiving instance."""
+        owner = self._owner_by_scope[self._get_scope(flow.instance, flow)]
         if not owner.alive:
-            self.world.loop.call_later(_RESEND_S, lambda: self.open_flow(flow))
+            self.context.loop.call_later(_RESEND_DELAY_S, lambda: self.open_flow(flow))
             return
         flow.owner = owner.number
-        now_s = self.world.loop.now_s
+        now_s = self.context.loop.now_s
         flow.target = owner.dispatcher.place_flow(
-            flow.activity, now_s, self.world.random.random()
+            flow.activity, now_s, self.context.random.random()
         )
 
     def close_flow(self, flow: Flow) -> None:
-        """Let the flow's owner learn that its caller closed it."""
+        """Close the flow at its owner."""
         if flow.owner >= 0:
             self._owners[flow.owner].dispatcher.close_flow(
-                flow.target, flow.activity, self.world.loop.now_s
+                flow.target, flow.activity, self.context.loop.now_s
             )
 
     def submit(self, request: Request) -> None:
         """Relay a request to the owner of its flow."""
-        world = self.world
-        if world.loop.now_s >= request.deadline_at_s:
-            world.finish(request, "unknown" if request.attempts else "refused")
+        context = self.context
+        if context.loop.now_s >= request.deadline_at_s:
+            context.finish(request, "unknown" if request.attempts else "refused")
             return
-        reached = world.shape.zone_of_instance(request.instance)
-        owner = self._owner_of(request)
-        if owner is None or not world.connected(reached, owner.zone):
-            request.instance = world.random.randrange(world.shape.instances)
-            world.loop.call_later(_RESEND_S, lambda: self.submit(request))
+        reached_zone = context.shape.zone_of_instance(request.instance)
+        owner = self._find_owner(request)
+        if owner is None or not context.is_connected(reached_zone, owner.zone):
+            request.instance = context.random.randrange(context.shape.instances)
+            context.loop.call_later(_RESEND_DELAY_S, lambda: self.submit(request))
             return
         self.hops += owner.instance != request.instance
-        self.zone_crossings += owner.zone != reached
-        delay_s = world.delay_s(reached, owner.zone)
-        world.loop.call_later(delay_s, lambda: self._take_in(owner, request))
+        self.zone_crossings += owner.zone != reached_zone
+        delay_s = context.get_delay_s(reached_zone, owner.zone)
+        context.loop.call_later(delay_s, lambda: self._receive_request(owner, request))
 
     def update_record(self, record: ServiceRecord) -> None:
-        """Let each owner learn of a newer record at its own time."""
+        """Apply a newer record at each owner after a random delay."""
         self._record = record
-        for owner in self._living():
-            lag_s = self.world.random.uniform(0.0, _RECORD_LAG_S)
-            part = self._record_of(owner.scope)
-            self.world.loop.call_later(lag_s, self._take_record(owner, part))
-
-    def waiting(self) -> dict[str, float]:
-        """Return requests that wait at the owners, by target."""
-        waiting = dict.fromkeys(self.world.targets, 0.0)
-        for owner in self._living():
+        for owner in self._list_alive():
+            record_delay_s = self.context.random.uniform(0.0, _RECORD_DELAY_MAX_S)
+            scope_record = self._get_scope_record(owner.scope)
+            self.context.loop.call_later(
+                record_delay_s, self._make_record_update(owner, scope_record)
+            )
+
+    def count_waiting(self) -> dict[str, float]:
+        """Return the number of requests queued at the owners, by target."""
+        waiting = dict.fromkeys(self.context.targets, 0.0)
+        for owner in self._list_alive():
             snapshot = owner.dispatcher.snapshot()
             shared = snapshot.waiting_unpinned / len(snapshot.targets)
             for target in snapshot.targets:
@@ -138,104 +140,115 @@
         return waiting
 
     def kill_instance(self) -> None:
-        """Kill an owner; another instance takes over once that is noticed."""
-        victim = next(iter(self._current.values()))
-        victim.alive = False
-        for request in list(victim.requests.values()):
-            self.world.finish(request, "unknown")
-        victim.requests.clear()
-        self.world.loop.call_later(_DETECTION_S, lambda: self._succeed(victim))
+        """Kill an owner. Another instance takes over after failure detection."""
+        killed = next(iter(self._owner_by_scope.values()))
+        killed.alive = False
+        for request in list(killed.requests.values()):
+            self.context.finish(request, "unknown")
+        killed.requests.clear()
+        self.context.loop.call_later(
+            _DETECTION_DELAY_S, lambda: self._replace_owner(killed)
+        )
 
     def replace_instance(self) -> None:
-        """Stop an owner as planned: its successor takes its flows at once.
+        """Stop an owner gracefully; its successor takes over the flows at once.
 
-        What runs or waits at the old owner ends there; the two tell each other
-        their counts.
+        Running and waiting requests finish at the old owner. The two owners exchange
+        their counts meanwhile.
         """
-        old = next(iter(self._current.values()))
+        old = next(iter(self._owner_by_scope.values()))
         old.stopping = True
-        self._succeed(old)
+        self._replace_owner(old)
 
-    def cut(self, zone: str) -> None:
-        """Give the cut zone an owner of its own, once the cut is noticed."""
+    def on_zone_cut(self, zone: str) -> None:
+        """Add an owner in the partitioned zone after failure detection."""
         if not self.per_zone:
-            self.world.loop.call_later(_DETECTION_S, lambda: self._add_owner(zone))
+            self.context.loop.call_later(
+                _DETECTION_DELAY_S, lambda: self._add_owner(zone)
+            )
 
-    def heal(self, zone: str) -> None:
-        """Hand the flows of the cut zone back, once the heal is noticed."""
+    def on_zone_healed(self, zone: str) -> None:
+        """Hand the flows of the zone back once the end of the partition is detected."""
         if not self.per_zone:
-            self.world.loop.call_later(_DETECTION_S, lambda: self._rejoin(zone))
+            self.context.loop.call_later(
+                _DETECTION_DELAY_S, lambda: self._merge_scope(zone)
+            )
 
-    def _scopes(self) -> list[str]:
-        return list(self.world.shape.zones) if self.per_zone else ["all"]
+    def _list_scopes(self) -> list[str]:
+        return list(self.context.shape.zones) if self.per_zone else ["all"]
 
-    def _scope_of(self, instance: int, flow: Flow) -> str:
-        zone = self.world.shape.zone_of_instance(instance)
-        return zone if zone in self._current else "all"
+    def _get_scope(self, instance: int, flow: Flow) -> str:
+        zone = self.context.shape.zone_of_instance(instance)
+        return zone if zone in self._owner_by_scope else "all"
 
-    def _record_of(self, scope: str) -> ServiceRecord:
-        """Return what the owner of a scope knows of the newest record."""
+    def _get_scope_record(self, scope: str) -> ServiceRecord:
+        """Return the newest record as seen by the owner of a scope."""
         return dataclasses.replace(self._record, spill_share=self.spill_share)
 
-    def _living(self) -> list[Owner]:
+    def _list_alive(self) -> list[Owner]:
         return [owner for owner in self._owners if owner.alive]
 
     def _add_owner(self, scope: str) -> None:
-        shape = self.world.shape
+        shape = self.context.shape
         number = len(self._owners)
-        fits = self._instances_of(scope)
-        instance = fits[number % len(fits)]
+        candidates = self._list_candidates(scope)
+        instance = candidates[number % len(candidates)]
         zone = shape.zone_of_instance(instance)
-        now_s = self.world.loop.now_s
-        record = self._record_of(scope)
+        now_s = self.context.loop.now_s
+        record = self._get_scope_record(scope)
         dispatcher = ServiceDispatcher(self.settings, record, zone, now_s)
         owner = Owner(number, instance, zone, scope, dispatcher)
         self._owners.append(owner)
-        self._current[scope] = owner
+        self._owner_by_scope[scope] = owner
         self._probe(owner)
 
-    def _instances_of(self, scope: str) -> list[int]:
-        """Return the instances that may own a scope; all but for a zone."""
-        shape = self.world.shape
+    def _list_candidates(self, scope: str) -> list[int]:
+        """Return the instances that may own a scope.
+
+        The owner of a zone runs in that zone; other scopes have no restriction.
+        """
+        shape = self.context.shape
         numbers = range(shape.instances)
         if scope not in shape.zones:
             return list(numbers)
         return [n for n in numbers if shape.zone_of_instance(n) == scope]
 
-    def _succeed(self, old: Owner) -> None:
+    def _replace_owner(self, old: Owner) -> None:
         self._add_owner(old.scope)
 
-    def _rejoin(self, zone: str) -> None:
-        owner = self._current.pop(zone)
+    def _merge_scope(self, zone: str) -> None:
+        owner = self._owner_by_scope.pop(zone)
         owner.stopping = True
 
-    def _owner_of(self, request: Request) -> Owner | None:
-        """Return the flow's owner; a lost or stopped one has a successor."""
+    def _find_owner(self, request: Request) -> Owner | None:
+        """Return the owner of the flow, or the successor of a lost or stopped one."""
         owner = self._owners[request.flow.owner]
-        reached = self.world.shape.zone_of_instance(request.instance)
-        cut_off = not self.world.connected(reached, owner.zone)
+        reached_zone = self.context.shape.zone_of_instance(request.instance)
+        cut_off = not self.context.is_connected(reached_zone, owner.zone)
         if owner.alive and not owner.stopping and not cut_off:
             return owner
-        successor = self._current.get(self._scope_of(request.instance, request.flow))
+        successor = self._owner_by_scope.get(
+            self._get_scope(request.instance, request.flow)
+        )
         if successor is None or not successor.alive:
             return None
         if request.flow.owner != successor.number:
             request.flow.owner = successor.number
             flow = request.flow
             successor.dispatcher.adopt_flow(
-                flow.target, flow.activity, self.world.loop.now_s
+                flow.target, flow.activity, self.context.loop.now_s
             )
         return successor
 
-    def _take_in(self, owner: Owner, request: Request) -> None:
-        self.world.work(
+    def _receive_request(self, owner: Owner, request: Request) -> None:
+        self.context.schedule_work(
             owner.instance,
-            self.world.shape.send_work_s,
+            self.context.shape.send_work_s,
             request,
-            lambda: self._submit_at(owner, request),
+            lambda: self._dispatch_request(owner, request),
         )
 
-    def _submit_at(self, owner: Owner, request: Request) -> None:
+    def _dispatch_request(self, owner: Owner, request: Request) -> None:
         if not owner.alive:
             self.submit(request)
             return
@@ -249,12 +262,12 @@
             activity=request.flow.activity,
         )
         owner.requests[request.number] = request
-        now_s = self.world.loop.now_s
-        self._carry_out(
-            owner, owner.dispatcher.submit(intent, now_s, self.world.random.random())
+        now_s = self.context.loop.now_s
+        self._apply_decisions(
+            owner, owner.dispatcher.submit(intent, now_s, self.context.random.random())
         )
 
-    def _carry_out(self, owner: Owner, decisions: list[Decision]) -> None:
+    def _apply_decisions(self, owner: Owner, decisions: list[Decision]) -> None:
         for decision in decisions:
             match decision:
                 case Start(request_id=request_id):
@@ -262,37 +275,37 @@
                 case Refuse(request_id=request_id, reason=reason):
                     self._on_refused(owner, owner.requests.pop(request_id), reason)
                 case Fail(request_id=request_id):
-                    self.world.finish(owner.requests.pop(request_id), "unknown")
+                    self.context.finish(owner.requests.pop(request_id), "unknown")
 
     def _on_refused(
         self, owner: Owner, request: Request, reason: RefusalReason
     ) -> None:
-        self.world.finish(request, "refused")
+        self.context.finish(request, "refused")
 
     def _send(self, owner: Owner, request: Request, start: Start) -> None:
-        world = self.world
-        target = world.targets[start.target]
-        if world.affinity is Affinity.FLOW:
+        context = self.context
+        target = context.targets[start.target]
+        if context.affinity is Affinity.FLOW:
             request.flow.target = start.target
         self.zone_crossings += target.zone != owner.zone
         request.attempts += 1
         attempt = request.attempts
-        delay_s = world.delay_s(owner.zone, target.zone)
-        sent_s = world.loop.now_s
+        delay_s = context.get_delay_s(owner.zone, target.zone)
+        sent_s = context.loop.now_s
 
         def answer(kind: FinishKind, retry_after_s: float) -> None:
-            world.loop.call_later(
+            context.loop.call_later(
                 delay_s,
                 lambda: self._on_answer(
                     owner, request, attempt, sent_s, kind, retry_after_s
                 ),
             )
 
-        if not world.connected(owner.zone, target.zone):
+        if not context.is_connected(owner.zone, target.zone):
             answer(FinishKind.CONNECT_FAILED, 0.0)
             return
-        world.loop.call_later(delay_s, lambda: target.send(request, answer))
-        world.loop.call_at(
+        context.loop.call_later(delay_s, lambda: target.send(request, answer))
+        context.loop.call_at(
             request.deadline_at_s,
             lambda: self._on_answer(
                 owner, request, attempt, sent_s, FinishKind.LATE, 0.0
@@ -308,69 +321,74 @@
         kind: FinishKind,
         retry_after_s: float,
     ) -> None:
-        known = owner.requests.get(request.number) is request
-        if not owner.alive or not known or attempt != request.attempts:
+        is_known = owner.requests.get(request.number) is request
+        if not owner.alive or not is_known or attempt != request.attempts:
             return
         if kind is FinishKind.OK:
             del owner.requests[request.number]
-            self.world.finish(request, "ok")
-        now_s = self.world.loop.now_s
+            self.context.finish(request, "ok")
+        now_s = self.context.loop.now_s
         decisions = owner.dispatcher.finished(
             request.number, now_s, kind, now_s - sent_s, retry_after_s
         )
-        self._carry_out(owner, decisions)
+        self._apply_decisions(owner, decisions)
 
-    def _take_record(self, owner: Owner, record: ServiceRecord) -> Callable[[], None]:
+    def _make_record_update(
+        self, owner: Owner, record: ServiceRecord
+    ) -> Callable[[], None]:
         def apply() -> None:
-            now_s = self.world.loop.now_s
-            self._carry_out(owner, owner.dispatcher.update_record(record, now_s))
+            now_s = self.context.loop.now_s
+            self._apply_decisions(owner, owner.dispatcher.update_record(record, now_s))
 
         return apply
 
     def _probe_all(self) -> None:
-        for owner in self._living():
+        for owner in self._list_alive():
             self._probe(owner)
 
     def _probe(self, owner: Owner) -> None:
-        world = self.world
+        context = self.context
         for name in [target.name for target in owner.dispatcher.record.targets]:
-            target = world.targets[name]
+            target = context.targets[name]
             self.control_bytes += _PROBE_BYTES
-            if world.connected(owner.zone, target.zone):
-                outcome = target.probe(world.record.name)
+            if context.is_connected(owner.zone, target.zone):
+                outcome = target.probe(context.record.name)
             else:
                 outcome = ProbeFailed()
-            decisions = owner.dispatcher.on_probe(name, world.loop.now_s, outcome)
-            self._carry_out(owner, decisions)
+            decisions = owner.dispatcher.on_probe(name, context.loop.now_s, outcome)
+            self._apply_decisions(owner, decisions)
 
     def _tick_all(self) -> None:
-        for owner in self._living():
-            self._carry_out(owner, owner.dispatcher.tick(self.world.loop.now_s))
+        for owner in self._list_alive():
+            self._apply_decisions(owner, owner.dispatcher.tick(self.context.loop.now_s))
 
     def _exchange_counts(self) -> None:
-        """Let owners that send to the same targets tell each other their counts."""
-        active = [o for o in self._living() if not o.stopping or o.requests]
+        """Exchange in-flight counts between owners that send to the same targets."""
+        active = [o for o in self._list_alive() if not o.stopping or o.requests]
         for sender in active:
-            counts = {n: sender.dispatcher.in_flight(n) for n in self.world.targets}
+            counts = {n: sender.dispatcher.in_flight(n) for n in self.context.targets}
             size_bytes = len(encode_struct(counts)) + DATAGRAM_HEADER_BYTES
             for receiver in active:
                 if receiver is sender:
                     continue
                 self.control_bytes += size_bytes
-                if self.world.connected(sender.zone, receiver.zone):
+                if self.context.is_connected(sender.zone, receiver.zone):
                     decisions = receiver.dispatcher.on_peer_in_flight(
-                        f"owner{sender.number}", counts, self.world.loop.now_s
+                        f"owner{sender.number}", counts, self.context.loop.now_s
                     )
-                    self._carry_out(receiver, decisions)
+                    self._apply_decisions(receiver, decisions)
 
 
 class OwnerPerZonePolicy(OwnerPolicy):
-    """Each zone's owner places the flows that were opened there."""
+    """Policy with one owner per zone, which places the flows opened in its zone."""
 
     per_zone = True
 
 
 class OwnerOwnZonePolicy(OwnerPerZonePolicy):
-    """Each zone's owner spills to other zones only without a free slot of its own."""
+    """Policy with one owner per zone, which prefers targets in its own zone.
+
+    It uses other zones only if no slot in its own zone is free.
+    """
 
     spill_share = 0.0
--- a/endivepick/bench/paired.py
+++ b/endivepick/bench/paired.py
@@ -1,4 +1,4 @@
-"""Policies on the same seeds: means, and paired differences with their errors."""
+"""Means and paired differences of policies that run with the same seeds."""
 
 import math
 import os
@@ -30,7 +30,7 @@
 
     @classmethod
     def of(cls, values: Sequence[float]) -> "Mean":
-        """Return the mean of values; a single one has an unknown error."""
+        """Return the mean of values. The error of a single value is NaN."""
         error = stdev(values) / math.sqrt(len(values)) if len(values) > 1 else math.nan
         return cls(fmean(values), error)
 
@@ -41,7 +41,7 @@
 def paired_experiments(
     first: Experiment, policies: Sequence[str], seeds: int
 ) -> list[Experiment]:
-    """Return an experiment for each policy and seed, seeds counting from 1."""
+    """Return one experiment per policy and seed, with seeds starting at 1."""
     return [
         Experiment(
             first.shape,
@@ -60,15 +60,15 @@
 def format_paired(results: Sequence[RunResult], base: str) -> str:
     """Return a table of means with standard errors in brackets.
 
-    For each measure: the mean; the mean of the differences to ``base`` on the
-    same seed; the mean of the ratios to it.
+    The columns hold, for each metric, the mean, the mean difference from ``base`` with
+    the same seed, and the mean ratio to it.
 
     Parameters
     ----------
     results : sequence of RunResult
-        Each policy on the same seeds, of one scenario.
+        Results of each policy with the same seeds, for one scenario.
     base : str
-        Policy that the others are compared with.
+        Reference policy.
     """
     runs: dict[str, dict[int, RunResult]] = {}
     for result in results:
@@ -78,10 +78,12 @@
     for policy, by_seed in runs.items():
         for name, measure in _MEASURES.items():
             values = [measure(by_seed[seed]) for seed in by_seed]
-            limits = [measure(runs[base][seed]) for seed in by_seed]
-            pairs = list(zip(values, limits, strict=True))
-            difference = Mean.of([value - limit for value, limit in pairs])
-            ratios = [value / limit for value, limit in pairs if limit > 0.0]
+            references = [measure(runs[base][seed]) for seed in by_seed]
+            pairs = list(zip(values, references, strict=True))
+            difference = Mean.of([value - reference for value, reference in pairs])
+            ratios = [
+                value / reference for value, reference in pairs if reference > 0.0
+            ]
             ratio = str(Mean.of(ratios)) if ratios else "-"
             lines.append(
                 f"{policy:24} {name:11} {Mean.of(values)!s:>18} "
@@ -103,22 +105,22 @@
     processes: int = 4,
     results: str = "",
 ) -> str:
-    """Run policies on the same seeds and return the table of paired means.
+    """Run policies with the same seeds and return the table of paired differences.
 
     Parameters
     ----------
     policies : str
-        Names, separated by commas.
+        Names of policies, separated by commas.
     shape, affinity, load, fault, duration_s
         As in ``Experiment``.
     seeds : int
-        How many, from 1.
+        Number of seeds, starting at 1.
     base : str
-        Policy that the others are compared with; one of the policies.
+        Reference policy; one of ``policies``.
     processes : int
-        Worker processes.
+        Number of worker processes.
     results : str
-        File for one JSON line a run; none if empty.
+        Output file with one JSON line per run; none if empty.
     """
     names = list(policies) if not isinstance(policies, str) else policies.split(",")
     first = Experiment(
--- a/endivepick/bench/placer.py
+++ b/endivepick/bench/placer.py
@@ -1,4 +1,4 @@
-"""Choice of targets from reports of their owners and from what was just placed."""
+"""Choice of targets from the reports of their owners and recent placements."""
 
 from dataclasses import dataclass
 
@@ -16,24 +16,24 @@
 
 @dataclass(frozen=True)
 class TargetReport:
-    """What the owner of a target tells the placer.
+    """Report of a target by its owner to the placer.
 
     Attributes
     ----------
     target : str
         Name of the target.
     sent_s : float
-        When the owner counted, in seconds.
+        Time at which the owner made the report, in seconds.
     delay_s : float
-        One way between the owner and the placer, in seconds.
+        One-way delay between the owner and the placer, in seconds.
     work : int
-        Requests that run there or wait for it.
+        Requests that run at the target or wait for it.
     rate_per_s : float
-        Rate at which its flows send requests.
+        Total request rate of its flows, in requests per second.
     flows : int
-        Flows that are pinned to it.
+        Number of flows pinned to it.
     serves, healthy : bool
-        Whether it takes requests, and whether its last probe succeeded.
+        Whether the target accepts requests, and whether its last probe succeeded.
     """
 
     target: str
@@ -47,16 +47,16 @@
 
 
 class Placer:
-    """Chooses targets by the product's rules, from reports instead of own counts.
+    """Placer that applies the rules of the dispatcher to reports of the owners.
 
     Parameters
     ----------
     settings : DispatchSettings
         Settings of the dispatcher.
     record : ServiceRecord
-        Record in force.
+        Current service record.
     now_s : float
-        Present time, in seconds.
+        Current time, in seconds.
     """
 
     def __init__(
@@ -69,16 +69,16 @@
         self._placed_s: dict[str, list[float]] = {n: [] for n in self._serving}
 
     def update_record(self, record: ServiceRecord, now_s: float) -> None:
-        """Take a newer record into force."""
+        """Apply a newer record."""
         self._targets.update_record(record, now_s)
         leaving = {target.name for target in record.targets if target.draining}
         self._serving -= leaving
 
     def on_report(self, report: TargetReport) -> None:
-        """Take in what an owner reports; what it has not seen yet is kept."""
+        """Apply a report, keeping placements that its owner had not received yet."""
         target = self._targets[report.target]
-        arrived_s = report.sent_s - report.delay_s
-        placed_s = [at_s for at_s in self._placed_s[target.name] if at_s > arrived_s]
+        seen_until_s = report.sent_s - report.delay_s
+        placed_s = [at_s for at_s in self._placed_s[target.name] if at_s > seen_until_s]
         self._placed_s[target.name] = placed_s
         self._work[target.name] = report.work
         target.healthy = report.healthy
@@ -90,32 +90,32 @@
         else:
             self._serving.discard(target.name)
 
-    def place_flow(self, tried: set[str], tie: float, now_s: float) -> str:
-        """Return the target of a new flow; empty if none serves."""
-        targets = self._known(tried, now_s)
+    def place_flow(self, tried: set[str], tie_break: float, now_s: float) -> str:
+        """Return the target for a new flow, or an empty string if none serves."""
+        targets = self._list_candidates(tried, now_s)
         if not targets:
             return ""
-        chosen = choose_flow_target(targets, tie, now_s)
+        chosen = choose_flow_target(targets, tie_break, now_s)
         self._targets.add_flow(chosen, FlowActivity(), now_s)
         return chosen.name
 
-    def place_request(self, tried: set[str], tie: float, now_s: float) -> str:
-        """Return the target of a single request; empty if none is left."""
-        targets = self._known(tried, now_s)
+    def place_request(self, tried: set[str], tie_break: float, now_s: float) -> str:
+        """Return the target for one request, or an empty string if none is left."""
+        targets = self._list_candidates(tried, now_s)
         if not targets:
             return ""
-        chosen = choose_target(targets, tried, tie, now_s)
+        chosen = choose_target(targets, tried, tie_break, now_s)
         self._placed_s[chosen.name].append(now_s)
         return chosen.name
 
     def mean_pace_per_s(self, now_s: float) -> float:
-        """Return how fast a flow sends on average, in requests per second."""
+        """Return the mean request rate per flow, in requests per second."""
         flows = sum(target.flows for target in self._targets)
         rate_per_s = sum(target.activity.rate_per_s(now_s) for target in self._targets)
         return rate_per_s / max(1, flows)
 
-    def _known(self, tried: set[str], now_s: float) -> list[TargetState]:
-        """Return the targets that are left, with their work as known now."""
+    def _list_candidates(self, tried: set[str], now_s: float) -> list[TargetState]:
+        """Return the targets not yet tried, with their current estimated work."""
         targets = [
             target
             for target in self._targets
--- a/endivepick/bench/policies.py
+++ b/endivepick/bench/policies.py
@@ -1,4 +1,4 @@
-"""The compared placement policies by name."""
+"""Registry of the placement policies by name."""
 
 from endivepick.bench.alone import (
     BoundedHashPolicy,
--- a/endivepick/bench/policy.py
+++ b/endivepick/bench/policy.py
@@ -1,4 +1,4 @@
-"""What the compared placement policies have in common."""
+"""Base class of the simulated placement policies, and the state they act on."""
 
 from abc import ABC, abstractmethod
 from collections.abc import Callable
@@ -10,31 +10,31 @@
 from endivepick.bench.workload import Flow, Request, Shape
 from endivepick.records.model import Affinity, ServiceRecord
 
-__all__ = ["Policy", "World"]
+__all__ = ["Policy", "SimulationContext"]
 
 
 @dataclass(frozen=True)
-class World:
-    """What a policy acts on.
+class SimulationContext:
+    """Simulated environment that a policy acts on.
 
     Attributes
     ----------
     loop : VirtualLoop
-        Virtual clock.
+        Virtual-time event loop.
     shape : Shape
-        Sizes.
+        Workload shape.
     record : ServiceRecord
-        Record at the start.
+        Service record at the start of the run.
     targets : dict
         Backend servers by name.
     random : Random
-        Seeded random numbers.
+        Seeded random number generator.
     finish : callable
-        Takes a request and its outcome, once for each request.
+        Called once per request, with the request and its outcome.
     cut_zones : set of str
-        Zones that are cut off; each reaches itself only.
+        Zones partitioned from all other zones.
     busy_until_s : dict
-        When each instance's processor has done what it has taken in, in seconds.
+        Virtual time at which each instance's processor becomes idle, in seconds.
     """
 
     loop: VirtualLoop
@@ -48,37 +48,37 @@
 
     @property
     def affinity(self) -> Affinity:
-        """Which requests of a flow share a target."""
+        """Affinity of the service."""
         return self.record.affinity
 
-    def delay_s(self, zone: str, other: str) -> float:
+    def get_delay_s(self, zone: str, other: str) -> float:
         """Return the one-way delay between two zones, in seconds."""
         return 0.0 if zone == other else self.shape.zone_delay_s
 
-    def connected(self, zone: str, other: str) -> bool:
-        """Tell whether two zones reach each other."""
+    def is_connected(self, zone: str, other: str) -> bool:
+        """Return whether two zones can reach each other."""
         if zone == other:
             return True
         return zone not in self.cut_zones and other not in self.cut_zones
 
-    def work(
+    def schedule_work(
         self, instance: int, work_s: float, request: Request, done: Callable[[], None]
     ) -> None:
-        """Let an instance's processor work on a request, one after another.
+        """Schedule work on a request at an instance's processor, in FIFO order.
 
-        A request whose deadline has passed when its turn comes costs nothing.
+        A request whose deadline has passed before its work starts costs nothing.
 
         Parameters
         ----------
         instance : int
-            The instance.
+            Number of the instance.
         work_s : float
-            Processor time that the request needs, in seconds; with 0 the work is
-            done at once.
+            Processor time of the request, in seconds. With 0, ``done`` is called
+            immediately.
         request : Request
-            The request.
+            Request to process.
         done : callable
-            Called at the end.
+            Called when the work is complete.
         """
         if work_s == 0.0:
             done()
@@ -92,25 +92,25 @@
 
 
 class Policy(ABC):
-    """Places flows and requests on targets.
+    """Base class of policies that place flows and requests on targets.
 
     Parameters
     ----------
     world : World
-        What it acts on.
+        Simulated environment.
 
     Attributes
     ----------
     hops : int
-        Times that a request went from one instance to another.
+        Number of relays of a request between instances.
     zone_crossings : int
-        Starts at a target outside the zone of the instance that was reached.
+        Number of relays and attempts that crossed a zone boundary.
     control_bytes : int
-        Bytes of control messages between instances, and of probes.
+        Bytes of control messages between instances and of health probes.
     """
 
-    def __init__(self, world: World) -> None:
-        self.world = world
+    def __init__(self, context: SimulationContext) -> None:
+        self.context = context
         self.hops = 0
         self.zone_crossings = 0
         self.control_bytes = 0
@@ -121,35 +121,35 @@
 
     @abstractmethod
     def submit(self, request: Request) -> None:
-        """Take a request at the instance that the fabric handed it to."""
+        """Handle a request at the instance that the fabric delivered it to."""
 
     @abstractmethod
     def close_flow(self, flow: Flow) -> None:
-        """Forget a flow that its caller closed."""
+        """Remove a flow that its caller has closed."""
 
     @abstractmethod
     def update_record(self, record: ServiceRecord) -> None:
-        """Take in a newer record, as fast as the policy learns of it."""
+        """Apply a newer record, with the propagation delay of the policy."""
 
-    def waiting(self) -> dict[str, float]:
-        """Return requests that wait outside the targets, by target's name.
+    def count_waiting(self) -> dict[str, float]:
+        """Return the number of requests queued outside the targets, by target name.
 
-        Requests that wait for any target are spread over all by slots.
+        Requests that any target may serve are divided over all targets.
         """
         return {}
 
     @abstractmethod
     def kill_instance(self) -> None:
-        """Kill one instance; policies with owners lose the service's owner."""
+        """Kill one instance. Policies with owners lose the owner of the service."""
 
     @abstractmethod
     def replace_instance(self) -> None:
-        """Stop one instance as planned, its successor being ready."""
+        """Stop one instance gracefully while its successor is ready."""
 
     @abstractmethod
-    def cut(self, zone: str) -> None:
-        """Learn, in the way of the policy, that a zone has been cut off."""
+    def on_zone_cut(self, zone: str) -> None:
+        """React to the partition of a zone from the other zones."""
 
     @abstractmethod
-    def heal(self, zone: str) -> None:
-        """Learn that a cut zone is reachable again."""
+    def on_zone_healed(self, zone: str) -> None:
+        """React to the end of the partition of a zone."""
--- a/endivepick/bench/policy_commands.py
+++ b/endivepick/bench/policy_commands.py
@@ -1,4 +1,4 @@
-"""Entry points of the policy experiments for the command line."""
+"""Command-line entry points of the placement policy simulations."""
 
 from pathlib import Path
 
@@ -7,7 +7,7 @@
 from endivepick.bench.experiment import Experiment, run_experiment
 from endivepick.bench.report import render_report
 from endivepick.bench.results import read_results, run_all, write_results
-from endivepick.bench.table import SEEDS, format_table, table_experiments
+from endivepick.bench.table import SEEDS, format_table, make_table_experiments
 
 __all__ = ["policy_report", "policy_run", "policy_table"]
 
@@ -24,7 +24,7 @@
     fault: str = "none",
     seed: int = 1,
 ) -> str:
-    """Run one experiment and return its JSON line.
+    """Run one experiment and return its result as a JSON line.
 
     Parameters
     ----------
@@ -34,11 +34,11 @@
     affinity : str
         ``flow`` or ``request``.
     load : float
-        Offered work over capacity.
+        Ratio of offered work to capacity.
     policy, fault : str
         Names from ``endivepick.bench.policies`` and ``endivepick.bench.faults``.
     seed : int
-        Seed of all random numbers.
+        Seed of the random number generators.
     """
     experiment = Experiment(shape, affinity, float(load), policy, fault, seed)
     return msgspec.json.encode(run_experiment(experiment)).decode()
@@ -49,18 +49,18 @@
     processes: int = DEFAULT_PROCESSES,
     seeds: int = len(SEEDS),
 ) -> str:
-    """Run all policies on the same seeds and return the table.
+    """Run all policies with the same seeds and return the result table.
 
     Parameters
     ----------
     results : str
-        File for one JSON line a run.
+        Output file, with one JSON line per run.
     processes : int
-        Worker processes.
+        Number of worker processes.
     seeds : int
-        Seeds for each experiment, from 1.
+        Number of seeds per experiment, starting at 1.
     """
-    experiments = table_experiments(tuple(range(1, seeds + 1)))
+    experiments = make_table_experiments(tuple(range(1, seeds + 1)))
     done = run_all(experiments, processes)
     path = Path(results)
     path.parent.mkdir(parents=True, exist_ok=True)
@@ -69,14 +69,14 @@
 
 
 def policy_report(results: str = DEFAULT_RESULTS, report: str = DEFAULT_REPORT) -> str:
-    """Write the page with plots and return its path.
+    """Write the HTML report and return its path.
 
     Parameters
     ----------
     results : str
-        File that the table wrote.
+        Results file written by `policy_table`.
     report : str
-        Page to write.
+        Path of the HTML page.
     """
     path = Path(report)
     path.parent.mkdir(parents=True, exist_ok=True)
--- a/endivepick/bench/report.py
+++ b/endivepick/bench/report.py
@@ -1,4 +1,4 @@
-"""A self-contained page with plots of the results."""
+"""Self-contained HTML report with plots of the results."""
 
 import base64
 import html
@@ -11,7 +11,7 @@
 
 from endivepick.bench.experiment import RunResult
 from endivepick.bench.faults import FAULT_END_S, FAULT_START_S
-from endivepick.bench.results import spread_of
+from endivepick.bench.results import compute_spread
 from endivepick.bench.table import STEADY_LOAD, format_table
 
 __all__ = ["render_report"]
@@ -22,31 +22,33 @@
     ("leave-desk", "flow"),
     ("leave-desk", "request"),
 )
-_TIME_LINE_POLICIES = ("perfect", "owner", "two_choices")
+_TIMELINE_POLICIES = ("perfect", "owner", "two_choices")
 
 
 def render_report(results: Sequence[RunResult]) -> str:
-    """Return an HTML page with plots and the table.
+    """Return an HTML page with plots and the result table.
 
     Parameters
     ----------
     results : sequence of RunResult
-        Results of the table, or a part of them.
+        Results of the experiments of the table, or a subset of them.
     """
     steady = [r for r in results if r.experiment.fault == "none"]
     at_load = [r for r in steady if r.experiment.load == STEADY_LOAD]
     figures = [
-        _bars(at_load, "imbalance (peak over mean)", lambda r: r.imbalance_median),
-        _bars(at_load, "waiting p99, s", lambda r: r.waiting_p99_s),
-        _bars(at_load, "refused requests", lambda r: r.refused),
-        _bars(at_load, "hops per request", lambda r: r.hops_per_request),
-        _bars(at_load, "control bytes/s, instance", lambda r: r.control_bytes_per_s),
-        _bars(at_load, "processor time of a run, s", lambda r: r.processor_s),
-        _goodput(steady),
-        _broken([r for r in results if r.experiment.fault != "none"]),
-        *_time_lines(results),
+        _plot_bars(at_load, "imbalance (peak over mean)", lambda r: r.imbalance_median),
+        _plot_bars(at_load, "waiting p99, s", lambda r: r.waiting_p99_s),
+        _plot_bars(at_load, "refused requests", lambda r: r.refused),
+        _plot_bars(at_load, "hops per request", lambda r: r.hops_per_request),
+        _plot_bars(
+            at_load, "control bytes/s, instance", lambda r: r.control_bytes_per_s
+        ),
+        _plot_bars(at_load, "processor time of a run, s", lambda r: r.processor_s),
+        _plot_goodput(steady),
+        _plot_broken_flows([r for r in results if r.experiment.fault != "none"]),
+        *_plot_timelines(results),
     ]
-    images = "\n".join(_image(figure) for figure in figures)
+    images = "\n".join(_render_image(figure) for figure in figures)
     table = html.escape(format_table(results))
     return (
         "<!doctype html><meta charset='utf-8'><title>endivepick bench</title>\n"
@@ -54,7 +56,9 @@
     )
 
 
-def _of(results: Sequence[RunResult], shape: str, affinity: str) -> list[RunResult]:
+def _select_results(
+    results: Sequence[RunResult], shape: str, affinity: str
+) -> list[RunResult]:
     return [
         r
         for r in results
@@ -62,21 +66,21 @@
     ]
 
 
-def _by_policy(results: Sequence[RunResult]) -> dict[str, list[RunResult]]:
+def _group_by_policy(results: Sequence[RunResult]) -> dict[str, list[RunResult]]:
     groups: dict[str, list[RunResult]] = {}
     for result in results:
         groups.setdefault(result.experiment.policy, []).append(result)
     return groups
 
 
-def _bars(
+def _plot_bars(
     results: Sequence[RunResult], title: str, measure: Callable[[RunResult], float]
 ) -> Figure:
     figure = Figure(figsize=(16, 3.5))
     axes = figure.subplots(1, len(_PANELS), sharex=True)
     for axis, (shape, affinity) in zip(axes, _PANELS, strict=True):
-        groups = _by_policy(_of(results, shape, affinity))
-        spreads = [spread_of(runs, measure) for runs in groups.values()]
+        groups = _group_by_policy(_select_results(results, shape, affinity))
+        spreads = [compute_spread(runs, measure) for runs in groups.values()]
         medians = [spread.median for spread in spreads]
         errors = [
             [spread.median - spread.lowest for spread in spreads],
@@ -91,11 +95,13 @@
     return figure
 
 
-def _goodput(results: Sequence[RunResult]) -> Figure:
+def _plot_goodput(results: Sequence[RunResult]) -> Figure:
     figure = Figure(figsize=(16, 3.5))
     axes = figure.subplots(1, len(_PANELS), sharey=True)
     for axis, (shape, affinity) in zip(axes, _PANELS, strict=True):
-        for policy, runs in _by_policy(_of(results, shape, affinity)).items():
+        for policy, runs in _group_by_policy(
+            _select_results(results, shape, affinity)
+        ).items():
             loads = sorted({r.experiment.load for r in runs})
             goodput = [
                 mean(r.goodput for r in runs if r.experiment.load == load)
@@ -110,12 +116,14 @@
     return figure
 
 
-def _broken(results: Sequence[RunResult]) -> Figure:
+def _plot_broken_flows(results: Sequence[RunResult]) -> Figure:
     faults = sorted({r.experiment.fault for r in results})
     figure = Figure(figsize=(16, 3.5))
     axes = figure.subplots(1, len(_PANELS), sharey=True)
     for axis, (shape, affinity) in zip(axes, _PANELS, strict=True):
-        for policy, runs in _by_policy(_of(results, shape, affinity)).items():
+        for policy, runs in _group_by_policy(
+            _select_results(results, shape, affinity)
+        ).items():
             broken = [
                 mean([r.broken_flows for r in runs if r.experiment.fault == f] or [0])
                 for f in faults
@@ -128,17 +136,17 @@
     return figure
 
 
-def _time_lines(results: Sequence[RunResult]) -> list[Figure]:
+def _plot_timelines(results: Sequence[RunResult]) -> list[Figure]:
     faults = sorted({r.experiment.fault for r in results} - {"none"})
-    return [_time_line(results, fault) for fault in faults]
+    return [_plot_timeline(results, fault) for fault in faults]
 
 
-def _time_line(results: Sequence[RunResult], fault: str) -> Figure:
+def _plot_timeline(results: Sequence[RunResult], fault: str) -> Figure:
     figure = Figure(figsize=(16, 3))
     axes = figure.subplots(1, len(_PANELS), sharex=True)
     for axis, (shape, affinity) in zip(axes, _PANELS, strict=True):
-        for policy in _TIME_LINE_POLICIES:
-            for result in _of(results, shape, affinity):
+        for policy in _TIMELINE_POLICIES:
+            for result in _select_results(results, shape, affinity):
                 e = result.experiment
                 if (e.policy, e.fault, e.seed) == (policy, fault, 1):
                     seconds, values = zip(*result.imbalance_windows, strict=True)
@@ -156,7 +164,7 @@
         axis.legend(fontsize=6)
 
 
-def _image(figure: Figure) -> str:
+def _render_image(figure: Figure) -> str:
     buffer = io.BytesIO()
     figure.savefig(buffer, format="png", dpi=80)
     data = base64.b64encode(buffer.getvalue()).decode("ascii")
--- a/endivepick/bench/table.py
+++ b/endivepick/bench/table.py
@@ -1,4 +1,4 @@
-"""The table of all policies on the same seeds."""
+"""Table that compares all placement policies with the same seeds."""
 
 import dataclasses
 from collections.abc import Callable, Iterator, Sequence
@@ -8,9 +8,9 @@
 from endivepick.bench.experiment import Experiment, RunResult
 from endivepick.bench.faults import FAULTS
 from endivepick.bench.policies import POLICIES
-from endivepick.bench.results import Spread, spread_of
+from endivepick.bench.results import Spread, compute_spread
 
-__all__ = ["SEEDS", "format_table", "table_experiments"]
+__all__ = ["SEEDS", "format_table", "make_table_experiments"]
 
 SEEDS = (1, 2, 3)
 SESSION_SHAPES = ("harada", "leave-desk")
@@ -28,12 +28,12 @@
 OVERLOAD_POLICIES = ("perfect", "owner", "two_choices", "least_loaded")
 ZONE_POLICIES = ("perfect", "owner", "owner_per_zone", "owner_own_zone", "two_choices")
 _PERFECT = "perfect"
-_SHORTEST_LIMIT_S = 0.01
+_REFERENCE_MIN_S = 0.01
 
 
 @dataclass(frozen=True)
 class Column:
-    """A measure and its heading."""
+    """Column of the table: a heading and the metric that it shows."""
 
     heading: str
     measure: Callable[[RunResult], float]
@@ -55,18 +55,21 @@
 )
 
 
-def table_experiments(seeds: Sequence[int] = SEEDS) -> list[Experiment]:
-    """Return all experiments of the table, in its order."""
+def make_table_experiments(seeds: Sequence[int] = SEEDS) -> list[Experiment]:
+    """Return all experiments of the table, in row order."""
     return [
         dataclasses.replace(first, policy=policy, seed=seed)
-        for first, policies in _scenarios()
+        for first, policies in _generate_scenarios()
         for policy in policies
         for seed in seeds
     ]
 
 
-def _scenarios() -> Iterator[tuple[Experiment, Sequence[str]]]:
-    """Yield each scenario, with any policy, and the policies to run it with."""
+def _generate_scenarios() -> Iterator[tuple[Experiment, Sequence[str]]]:
+    """Yield each scenario and the policies to run it with.
+
+    The policy of the yielded experiment is a placeholder.
+    """
     for shape, affinity in product(SESSION_SHAPES, AFFINITIES):
         steady = Experiment(shape, affinity, STEADY_LOAD, _PERFECT)
         yield dataclasses.replace(steady, load=0.5), STEADY_POLICIES
@@ -87,47 +90,53 @@
 
 
 def format_table(results: Sequence[RunResult]) -> str:
-    """Return the table as text: median, and lowest and highest over the seeds.
+    """Return the table as text: median, minimum and maximum over the seeds.
 
-    Imbalance and waiting are given as multiples of the perfect scheduler's on
-    the same seed as well, where it was run.
+    Imbalance and waiting time are also given as ratios to those of the perfect
+    scheduler with the same seed, where that was run.
     """
     lines: list[str] = []
-    for scenario, runs in _grouped(results, _scenario_of).items():
-        by_policy = _grouped(runs, lambda result: result.experiment.policy)
-        rows = [["policy", *_headings()]]
-        for policy, same in by_policy.items():
-            cells = [str(spread_of(same, column.measure)) for column in COLUMNS]
-            ratios = _ratios(same, by_policy.get(_PERFECT, []))
+    for scenario, runs in _group_results(results, _describe_scenario).items():
+        by_policy = _group_results(runs, lambda result: result.experiment.policy)
+        rows = [["policy", *_list_headings()]]
+        for policy, policy_runs in by_policy.items():
+            cells = [
+                str(compute_spread(policy_runs, column.measure)) for column in COLUMNS
+            ]
+            ratios = _format_ratios(policy_runs, by_policy.get(_PERFECT, []))
             rows.append([policy, *cells, *ratios])
-        lines += ["", scenario, *_aligned(rows)]
+        lines += ["", scenario, *_align_rows(rows)]
     return "\n".join(lines[1:])
 
 
-def _scenario_of(result: RunResult) -> str:
+def _describe_scenario(result: RunResult) -> str:
     e = result.experiment
     return f"{e.shape}, affinity {e.affinity}, load {e.load}, fault {e.fault}"
 
 
-def _headings() -> list[str]:
+def _list_headings() -> list[str]:
     return [*(column.heading for column in COLUMNS), "imb/perfect", "p99/perfect"]
 
 
-def _ratios(runs: Sequence[RunResult], perfect: Sequence[RunResult]) -> list[str]:
+def _format_ratios(
+    runs: Sequence[RunResult], perfect: Sequence[RunResult]
+) -> list[str]:
     by_seed = {result.experiment.seed: result for result in perfect}
     pairs = [(r, by_seed[r.experiment.seed]) for r in runs if perfect]
     return [
-        _ratio([(r.imbalance_median, p.imbalance_median) for r, p in pairs]),
-        _ratio([(r.waiting_p99_s, p.waiting_p99_s) for r, p in pairs]),
+        _format_ratio([(r.imbalance_median, p.imbalance_median) for r, p in pairs]),
+        _format_ratio([(r.waiting_p99_s, p.waiting_p99_s) for r, p in pairs]),
     ]
 
 
-def _ratio(pairs: Sequence[tuple[float, float]]) -> str:
-    values = [value / limit for value, limit in pairs if limit >= _SHORTEST_LIMIT_S]
+def _format_ratio(pairs: Sequence[tuple[float, float]]) -> str:
+    values = [
+        value / reference for value, reference in pairs if reference >= _REFERENCE_MIN_S
+    ]
     return str(Spread.of(values)) if values else "-"
 
 
-def _aligned(rows: Sequence[Sequence[str]]) -> list[str]:
+def _align_rows(rows: Sequence[Sequence[str]]) -> list[str]:
     widths = [max(map(len, column)) for column in zip(*rows, strict=True)]
     return [
         "  ".join(cell.rjust(width) for cell, width in zip(row, widths, strict=True))
@@ -135,7 +144,7 @@
     ]
 
 
-def _grouped(
+def _group_results(
     results: Sequence[RunResult], key: Callable[[RunResult], str]
 ) -> dict[str, list[RunResult]]:
     groups: dict[str, list[RunResult]] = {}
--- a/endivepick/bench/tests/test_capacity.py
+++ b/endivepick/bench/tests/test_capacity.py
@@ -4,19 +4,19 @@
 from pathlib import Path
 
 from endivepick.bench import _core_slopes, _target_slopes, packets
-from endivepick.bench._capacity_lines import capacity_lines
+from endivepick.bench._capacity_lines import estimate_capacity
 from endivepick.bench._fleet import LIMITS, TWO_YEARS
 from endivepick.bench._node import DrivenNode
-from endivepick.bench._slopes import Measured, format_slopes, measure
+from endivepick.bench._slopes import Measurement, format_slopes, measure
 from endivepick.bench.capacity import MEASUREMENTS, format_lines
 
 SMALL = (20, 40, 60, 80)
 
 
-def same_slopes(value):
-    """Return slopes under any name that all have the same value at any size."""
+def make_constant_slopes(value):
+    """Return measurements with the same value at any size, under any name."""
     runs = ((value,) * len(SMALL),)
-    return defaultdict(lambda: Measured("any", "B", "flow", SMALL, runs))
+    return defaultdict(lambda: Measurement("any", "B", "flow", SMALL, runs))
 
 
 class SlopeTest(unittest.TestCase):
@@ -32,20 +32,20 @@
 
         found = measure("flow", SMALL, {"cost": "us"}, once, repeats=3)["cost"]
         self.assertEqual([round(slope, 6) for slope in found.slopes], [2.0, 3.0, 5.0])
-        self.assertAlmostEqual(found.at(1000), 3010.0)
+        self.assertAlmostEqual(found.predict(1000), 3010.0)
         self.assertAlmostEqual(found.last, 250.0)
         self.assertIn("3/flow (2 to 5), 10", format_slopes([found]))
 
     def test_costs_are_never_below_zero(self):
-        falling = Measured("x", "us", "flow", SMALL, ((90.0, 60.0, 30.0, 0.0),))
-        self.assertEqual(falling.at(1_000_000), 0.0)
+        falling = Measurement("x", "us", "flow", SMALL, ((90.0, 60.0, 30.0, 0.0),))
+        self.assertEqual(falling.predict(1_000_000), 0.0)
 
 
 class FleetTest(unittest.TestCase):
-    def test_services_are_dealt_out_unevenly(self):
+    def test_services_are_assigned_unevenly(self):
         self.assertEqual(TWO_YEARS.targets_per_record, 7)
-        self.assertGreater(TWO_YEARS.most_records, 3)
-        self.assertLess(TWO_YEARS.most_records, 10)
+        self.assertGreater(TWO_YEARS.max_records_per_instance, 3)
+        self.assertLess(TWO_YEARS.max_records_per_instance, 10)
 
     def test_every_zone_belongs_to_one_region(self):
         zones = [
@@ -62,35 +62,35 @@
 
 
 class LinesTest(unittest.TestCase):
-    def test_every_role_of_the_page_has_lines(self):
-        lines = capacity_lines(TWO_YEARS, LIMITS, same_slopes(1.0))
+    def test_every_documented_role_has_lines(self):
+        lines = estimate_capacity(TWO_YEARS, LIMITS, make_constant_slopes(1.0))
         roles = {line.role for line in lines}
-        wanted = {"relay", "owner", "placer", "prober", "configuration", "key holder"}
-        self.assertLessEqual(wanted | {"status writer", "platform"}, roles)
+        expected = {"relay", "owner", "placer", "prober", "configuration", "key holder"}
+        self.assertLessEqual(expected | {"status writer", "platform"}, roles)
 
-    def test_line_over_its_limit_says_by_how_much(self):
-        lines = capacity_lines(TWO_YEARS, LIMITS, same_slopes(1e6))
+    def test_line_over_its_limit_shows_the_ratio(self):
+        lines = estimate_capacity(TWO_YEARS, LIMITS, make_constant_slopes(1e6))
         text = format_lines([line for line in lines if line.what == "object of a zone"])
         self.assertIn("1,000,000", text)
         self.assertNotIn("OVER", text)
-        lines = capacity_lines(TWO_YEARS, LIMITS, same_slopes(3e6))
+        lines = estimate_capacity(TWO_YEARS, LIMITS, make_constant_slopes(3e6))
         text = format_lines([line for line in lines if line.what == "object of a zone"])
         self.assertIn("OVER x3.0", text)
 
-    def test_lines_ask_only_for_what_is_measured(self):
-        asked = same_slopes(1.0)
-        capacity_lines(TWO_YEARS, LIMITS, asked)
+    def test_lines_use_only_measured_quantities(self):
+        used_slopes = make_constant_slopes(1.0)
+        estimate_capacity(TWO_YEARS, LIMITS, used_slopes)
         source = "".join(
             Path(inspect.getfile(one)).read_text() for one in MEASUREMENTS.values()
         )
-        for name in asked:
+        for name in used_slopes:
             prefix, _, rest = name.partition("_")
-            known = f'"{name}"' in source or f'"{{prefix}}_{rest}"' in source
-            self.assertTrue(known, name)
+            is_known = f'"{name}"' in source or f'"{{prefix}}_{rest}"' in source
+            self.assertTrue(is_known, name)
 
 
 class MeasurementTest(unittest.TestCase):
-    def test_driven_node_joins_a_made_up_fleet(self):
+    def test_node_joins_simulated_fleet(self):
         node = DrivenNode(TWO_YEARS.scaled(128))
         node.join()
         node.run(2.0)
--- a/endivepick/bench/tests/test_dark_bound.py
+++ b/endivepick/bench/tests/test_dark_bound.py
@@ -6,7 +6,7 @@
 
 
 class TestDarkBound(unittest.TestCase):
-    def test_a_request_ends_with_the_first_packet_that_meets_an_instance(self):
+    def test_a_request_ends_with_the_first_packet_that_reaches_an_instance(self):
         ends = {
             0.0: Outcome.IN_AIM,
             200.0: Outcome.IN_AIM,
@@ -20,11 +20,11 @@
                 self.assertIs(best_outcome(CALLER, dark_for_ms), outcome)
 
     def test_a_caller_with_more_time_loses_nothing(self):
-        patient = Caller(aim_ms=700.0, deadline_ms=6000.0)
-        shares = best_shares(patient, 580)
+        caller = Caller(aim_ms=700.0, deadline_ms=6000.0)
+        shares = best_shares(caller, 580)
         self.assertEqual(shares[Outcome.IN_AIM], 1.0)
 
-    def test_shares_of_a_span_add_up(self):
+    def test_shares_add_up(self):
         shares = best_shares(CALLER, 2000)
         self.assertAlmostEqual(shares[Outcome.IN_AIM], 0.1)
         self.assertAlmostEqual(shares[Outcome.LATE], 0.6)
--- a/endivepick/bench/tests/test_idle.py
+++ b/endivepick/bench/tests/test_idle.py
@@ -8,8 +8,8 @@
 WINDOW_S = 0.05
 
 
-def own_cluster():
-    """Return what looks like an installation whose only instance is this process."""
+def make_cluster_of_this_process():
+    """Return a fake installation whose only instance is this process."""
     status = {"services": [{"targets": ["t0", "t1"]}, {"targets": ["t2"]}]}
     instance = SimpleNamespace(
         plan=SimpleNamespace(name="a"),
@@ -30,7 +30,11 @@
         thread = threading.Thread(target=work)
         thread.start()
         try:
-            windows = list(idle.measure_idle(own_cluster(), 2, WINDOW_S, settle_s=0.0))
+            windows = list(
+                idle.measure_idle(
+                    make_cluster_of_this_process(), 2, WINDOW_S, settle_s=0.0
+                )
+            )
         finally:
             ended.set()
             thread.join()
--- a/endivepick/bench/tests/test_policies.py
+++ b/endivepick/bench/tests/test_policies.py
@@ -9,8 +9,8 @@
 from endivepick.bench.policies import POLICIES
 from endivepick.bench.report import render_report
 from endivepick.bench.results import Spread
-from endivepick.bench.table import format_table, table_experiments
-from endivepick.bench.workload import SHAPES, Requested, generate_events, make_record
+from endivepick.bench.table import format_table, make_table_experiments
+from endivepick.bench.workload import SHAPES, RequestEvent, generate_events, make_record
 from endivepick.core.dispatch import DispatchSettings
 from endivepick.records.model import Affinity
 
@@ -28,18 +28,18 @@
             return [
                 (at_s, event.request.service_s)
                 for at_s, event in events
-                if isinstance(event, Requested)
+                if isinstance(event, RequestEvent)
             ]
 
         self.assertEqual(arrivals(1), arrivals(1))
         self.assertNotEqual(arrivals(1), arrivals(2))
 
-    def test_offered_work_is_what_the_load_says(self):
+    def test_offered_work_matches_the_load(self):
         shape = SHAPES["leave-desk-exports"]
         work_s = sum(
             event.request.service_s
             for _, event in generate_events(shape, 0.8, 2000.0, 1)
-            if isinstance(event, Requested)
+            if isinstance(event, RequestEvent)
         )
         slots = shape.slots * len(shape.target_zones)
         self.assertAlmostEqual(work_s / slots / 2000.0, 0.8, delta=0.08)
@@ -76,7 +76,7 @@
     def test_shedding_targets_cause_no_retry_storm(self):
         self.assertLess(run(fault="half_shed").attempts_per_request, 1.1)
 
-    def test_stuck_target_is_left_alone(self):
+    def test_stuck_target_causes_few_unknown_outcomes(self):
         stuck = run(fault="stuck")
         self.assertLessEqual(stuck.unknown, 2)
 
@@ -115,11 +115,11 @@
             TargetReport(name, sent_s, 0.01, work, 0.0, 0, serves, True)
         )
 
-    def test_counts_what_it_has_placed_since_a_report(self):
+    def test_placements_since_a_report_count_as_work(self):
         placed = {self.placer.place_request(set(), 0.0, 1.0) for _ in self.names}
         self.assertEqual(placed, self.names)
 
-    def test_report_replaces_only_what_its_owner_had_seen(self):
+    def test_report_replaces_only_placements_its_owner_had_received(self):
         first = self.placer.place_request(set(), 0.0, 1.0)
         self.report(first, sent_s=1.005)
         others = {self.placer.place_request(set(), 0.0, 1.0) for _ in self.names}
@@ -127,7 +127,7 @@
         self.report(first, sent_s=1.02)
         self.assertEqual(self.placer.place_request(set(), 0.0, 1.02), first)
 
-    def test_places_nothing_where_no_target_is_served_or_left(self):
+    def test_places_nothing_without_a_serving_untried_target(self):
         self.assertEqual(self.placer.place_request(self.names, 0.0, 1.0), "")
         for name in self.names:
             self.report(name, sent_s=1.0, serves=False)
@@ -165,7 +165,7 @@
         self.assertIn("data:image/png;base64,", render_report(results))
 
     def test_table_runs_each_policy_on_the_same_seeds(self):
-        experiments = table_experiments((1, 2, 3))
+        experiments = make_table_experiments((1, 2, 3))
         self.assertEqual(len(experiments), len(set(experiments)))
         self.assertEqual({e.policy for e in experiments}, set(POLICIES))
 
--- a/endivepick/bench/tests/test_target_slopes.py
+++ b/endivepick/bench/tests/test_target_slopes.py
@@ -10,7 +10,7 @@
 
 TARGETS = 56
 ROUNDS = 3
-QUESTIONS = 2
+ENDPOINTS_PER_PROBE = 2
 
 
 class TestProbes(unittest.TestCase):
@@ -30,8 +30,8 @@
         rounds = patch.object(_target_slopes, "PROBE_ROUNDS", ROUNDS)
         answers = patch.object(_target_slopes, "_answer", slow)
         with gevent.Timeout(30), rounds, answers:
-            _target_slopes._probes_once(serving, TARGETS)
-        self.assertEqual(next(numbers), ROUNDS * TARGETS * QUESTIONS)
+            _target_slopes._measure_probes_at(serving, TARGETS)
+        self.assertEqual(next(numbers), ROUNDS * TARGETS * ENDPOINTS_PER_PROBE)
 
 
 if __name__ == "__main__":
--- a/endivepick/bench/tests/test_worth_bound.py
+++ b/endivepick/bench/tests/test_worth_bound.py
@@ -21,38 +21,38 @@
     def parts(self, *dark, kinds=(ALERT, NOTE), length_s=40.0):
         return best_parts(Day(length_s, kinds, WEIGHTS, dark))
 
-    def test_a_day_without_dark_spans_is_worth_all(self):
+    def test_a_day_without_outages_has_the_full_score(self):
         self.assertEqual(self.parts().worth, 1.0)
 
-    def test_requests_just_before_an_instance_runs_are_in_time(self):
+    def test_requests_shortly_before_an_instance_runs_are_in_time(self):
         self.assertEqual(self.parts(DarkSpan(10.0, 200.0)).worth, 1.0)
 
-    def test_earlier_ones_come_late(self):
+    def test_earlier_requests_are_answered_late(self):
         parts = self.parts(DarkSpan(10.0, 600.0))
-        # 0.4 s of 40 s, of which a tenth of the worth is left.
+        # Requests of 0.4 s out of 40 s keep a tenth of their score.
         self.assertAlmostEqual(parts.day, 1.0 - 0.9 * 0.4 / 40.0, places=6)
         self.assertAlmostEqual(parts.windows, 1.0 - 0.9 * 0.4 / 2.0 / 2, places=6)
         self.assertEqual(parts.nines, 1.0)
 
-    def test_those_that_meet_nobody_in_their_time_are_lost(self):
+    def test_requests_that_reach_no_instance_before_their_deadline_are_lost(self):
         parts = self.parts(DarkSpan(10.0, 2400.0))
         lost_share = 1.0 / 40.0
         self.assertAlmostEqual(parts.nines, 1.602 / 3.0, places=3)
         self.assertLess(parts.day, 1.0 - lost_share)
 
-    def test_a_span_that_two_windows_share_hurts_both(self):
+    def test_an_outage_across_two_windows_reduces_both(self):
         self.assertAlmostEqual(
             self.parts(DarkSpan(9.8, 600.0)).windows,
             self.parts(DarkSpan(10.0, 600.0)).windows,
             places=6,
         )
 
-    def test_part_of_the_instances_loses_that_part(self):
+    def test_partial_outage_loses_its_share(self):
         whole, part = DarkSpan(10.0, 1000.0), DarkSpan(10.0, 1000.0, share=0.25)
         lost = [1.0 - self.parts(span).day for span in (whole, part)]
         self.assertAlmostEqual(lost[1], 0.25 * lost[0])
 
-    def test_spans_add_up(self):
+    def test_losses_of_outages_add_up(self):
         one = 1.0 - self.parts(DarkSpan(10.0, 800.0)).day
         both = 1.0 - self.parts(DarkSpan(10.0, 800.0), DarkSpan(20.0, 800.0)).day
         self.assertAlmostEqual(both, 2 * one)
@@ -70,7 +70,7 @@
             path.write_text(text)
             return read_day(path)
 
-    def test_comments_are_taken(self):
+    def test_comments_are_accepted(self):
         day = self.read(
             """{
               length_s: 20,  // seconds
@@ -90,7 +90,7 @@
         with self.assertRaisesRegex(SettingsInvalidError, "kinds"):
             self.read(f"{{length_s: 20, kinds: [], weights: {weights}}}")
 
-    def test_what_is_no_json_is_refused(self):
+    def test_invalid_json_is_refused(self):
         with self.assertRaises(SettingsInvalidError):
             self.read("length = 20")
 
--- a/endivepick/bench/virtual_time.py
+++ b/endivepick/bench/virtual_time.py
@@ -1,4 +1,4 @@
-"""Callbacks in the order of a virtual clock."""
+"""Event loop that runs in virtual time."""
 
 import heapq
 from collections.abc import Callable
@@ -8,7 +8,7 @@
 
 
 class VirtualLoop:
-    """Runs callbacks at virtual times; the same calls give the same run.
+    """Deterministic event loop that runs callbacks in order of virtual time.
 
     Attributes
     ----------
@@ -29,15 +29,15 @@
         self.now_s = 0.0
 
     def call_at(self, at_s: float, callback: Callable[[], None]) -> None:
-        """Run a callback at a virtual time, in seconds."""
+        """Schedule a callback at a virtual time, in seconds."""
         heapq.heappush(self._heap, (at_s, next(self._numbers), callback))
 
     def call_later(self, delay_s: float, callback: Callable[[], None]) -> None:
-        """Run a callback after a delay, in seconds."""
+        """Schedule a callback after a delay, in seconds."""
         self.call_at(self.now_s + delay_s, callback)
 
     def call_every(self, period_s: float, callback: Callable[[], None]) -> None:
-        """Run a callback again and again, first after one period, in seconds."""
+        """Schedule a callback periodically, first after one period, in seconds."""
 
         def repeat() -> None:
             callback()
--- a/endivepick/bench/workload.py
+++ b/endivepick/bench/workload.py
@@ -1,4 +1,4 @@
-"""The two users' shapes and their open-loop arrivals."""
+"""Workload shapes of two installations and their open-loop arrival processes."""
 
 import dataclasses
 from collections.abc import Iterator
@@ -11,23 +11,23 @@
 
 __all__ = [
     "SHAPES",
-    "Closed",
+    "FlowCloseEvent",
     "Event",
     "Flow",
-    "Opened",
+    "FlowOpenEvent",
     "Request",
-    "Requested",
+    "RequestEvent",
     "Shape",
     "generate_events",
     "make_record",
 ]
 
-_PACE_SIGMA = 0.7
+_PACE_LOG_SIGMA = 0.7
 
 
 @dataclass(frozen=True)
 class Shape:
-    """Sizes of one service and of the instances in front of it.
+    """Parameters of one service, its instances and its traffic.
 
     Attributes
     ----------
@@ -36,30 +36,30 @@
     zones : tuple of str
         Availability zones.
     target_zones : tuple of int
-        Index of the zone of each target.
+        Index into ``zones`` for each target.
     slots : int
-        Slots of each target.
+        Concurrency slots per target.
     instances : int
-        Entry instances, spread evenly over the zones.
+        Number of instances, assigned to the zones in turn.
     zone_delay_s : float
-        One way between two zones, in seconds.
+        One-way delay between two zones, in seconds.
     short_service_s : float
-        Mean time for which a short request holds its slot, in seconds.
+        Mean service time of a short request, in seconds.
     long_service_s : float
-        The same for a long request, in seconds.
+        Mean service time of a long request, in seconds.
     long_share : float
-        Share of requests that are long.
+        Fraction of requests that are long.
     flow_lifetime_s : float
         Mean lifetime of a flow, in seconds.
     think_time_s : float
-        Mean time between two requests of a flow, in seconds.
+        Mean time between consecutive requests of a flow, in seconds.
     timeout_s : float
-        Time that a caller waits for its answer, in seconds.
+        Timeout of a request at its caller, in seconds.
     idempotent_share : float
-        Share of requests that may run more than once.
+        Fraction of requests that are idempotent.
     send_work_s, place_work_s : float
-        Processor time of the instance that sends a request to its target, and of
-        the one that places it for another to send, in seconds.
+        Processor time to send a request to its target, and to choose its target
+        for another instance to send, in seconds.
     """
 
     name: str
@@ -80,13 +80,13 @@
 
     @property
     def service_time_s(self) -> float:
-        """Mean time for which a request holds its slot, in seconds."""
+        """Mean service time over all requests, in seconds."""
         short_s = (1.0 - self.long_share) * self.short_service_s
         return short_s + self.long_share * self.long_service_s
 
     @property
     def capacity_per_s(self) -> float:
-        """Requests that all slots together can run in a second."""
+        """Requests per second that all slots together can serve."""
         return len(self.target_zones) * self.slots / self.service_time_s
 
     def zone_of_instance(self, instance: int) -> str:
@@ -149,8 +149,8 @@
             long_share=0.2,
             timeout_s=30.0,
         ),
-        # Hot: at a load of 0.9 one sender's processor would have to do 1.26 s of
-        # work in a second.  Placing takes 0.3 of the work of sending, as measured.
+        # At a load of 0.9, a single sender would need 1.26 s of processor time per
+        # second. Placing takes 0.3 times the processor time of sending.
         dataclasses.replace(
             _HARADA,
             name="harada-hot",
@@ -164,24 +164,24 @@
 
 @dataclass(eq=False)
 class Flow:
-    """A caller's flow.
+    """Flow of a caller.
 
     Attributes
     ----------
     number : int
         Unique number.
     instance : int
-        Instance that the fabric handed its opening to.
+        Instance that received the opening of the flow.
     pace_per_s : float
-        Mean rate of its requests, which only a perfect scheduler knows.
+        Mean request rate. Only the perfect scheduler may read it.
     target : str
-        Target that its token names; empty for none.
+        Target named in the token of the flow, or an empty string.
     owner : int
-        Number of its owner; for policies that have one.
+        Number of the owner, or -1 in policies without owners.
     requests : int
         Requests submitted so far.
     activity : FlowActivity
-        What its owner learns of its pace; for policies that have one.
+        Request rate as observed by the owner, in policies with owners.
     """
 
     number: int
@@ -195,34 +195,34 @@
 
 @dataclass(eq=False)
 class Request:
-    """One request, with all its random properties drawn beforehand.
+    """Request whose random properties are drawn in advance.
 
     Attributes
     ----------
     number : int
         Unique number.
     flow : Flow
-        Its flow.
+        Flow of the request.
     arrival_s : float
-        When its caller sends it, in seconds.
+        Time at which the caller sends the request, in seconds.
     service_s : float
-        Time for which it holds a slot, in seconds.
+        Service time, in seconds.
     deadline_at_s : float
-        When its caller gives up, in seconds.
+        Time at which the caller gives up, in seconds.
     idempotent : bool
-        Whether it may run more than once.
+        Whether the request may run more than once.
     instance : int
-        Instance that the fabric hands it to.
+        Instance that receives the request.
     long : bool
-        It is known to be of the long class.
+        Whether the request belongs to the long cost class.
     established : bool
-        Its flow has had a request before.
+        Whether its flow has sent a request before.
     attempts : int
-        Attempts at targets so far.
+        Number of attempts at targets so far.
     started_s : float
-        Start of the attempt that was answered, in seconds.
+        Start time of the answered attempt, in seconds.
     outcome : str
-        How it ended; empty while it has not.
+        Outcome, or an empty string while the request is pending.
     """
 
     number: int
@@ -240,27 +240,27 @@
 
 
 @dataclass(frozen=True)
-class Opened:
-    """A caller opens a flow."""
+class FlowOpenEvent:
+    """Event of a caller that opens a flow."""
 
     flow: Flow
 
 
 @dataclass(frozen=True)
-class Requested:
-    """A caller sends a request."""
+class RequestEvent:
+    """Event of a caller that sends a request."""
 
     request: Request
 
 
 @dataclass(frozen=True)
-class Closed:
-    """A caller closes its flow."""
+class FlowCloseEvent:
+    """Event of a caller that closes its flow."""
 
     flow: Flow
 
 
-Event = Opened | Requested | Closed
+Event = FlowOpenEvent | RequestEvent | FlowCloseEvent
 
 
 def make_record(
@@ -292,43 +292,44 @@
 def generate_events(
     shape: Shape, load: float, duration_s: float, seed: int
 ) -> Iterator[tuple[float, Event]]:
-    """Yield the events of all flows, in order of time.
+    """Yield the events of all flows in order of time.
 
-    Flows open as a Poisson process, and start with the number that is usual at
-    this load.  A flow's requests are a Poisson process too, whether or not
-    earlier ones have been answered: a slow system gets no less work.
+    Flows open as a Poisson process; the run starts with the mean number of open
+    flows at this load. The requests of a flow form a Poisson process too. Arrivals
+    are open-loop: they do not wait for earlier answers, so that a slow system
+    receives no less work.
 
     Parameters
     ----------
     shape : Shape
-        Sizes.
+        Workload shape.
     load : float
-        Offered work over capacity.
+        Ratio of offered work to capacity.
     duration_s : float
-        Length, in seconds.
+        Duration, in seconds.
     seed : int
-        Seed of all random properties.
+        Seed of the random number generator.
 
     Yields
     ------
     tuple of float and Event
-        Time in seconds and event.
+        Time of the event, in seconds, and the event.
     """
     random = Random(f"{shape.name} {load} {seed}")
-    flows_usual = load * shape.capacity_per_s * shape.think_time_s
+    mean_flows = load * shape.capacity_per_s * shape.think_time_s
     events: list[tuple[float, int, Event]] = []
     numbers = count()
-    for opened_s in _openings(shape, flows_usual, duration_s, random):
+    for opened_s in _generate_opening_times(shape, mean_flows, duration_s, random):
         pace_per_s = _draw_pace_per_s(shape, random)
         instance = random.randrange(shape.instances)
         flow = Flow(next(numbers), instance, pace_per_s)
-        closes_s = opened_s + random.expovariate(1.0 / shape.flow_lifetime_s)
-        events.append((opened_s, next(numbers), Opened(flow)))
-        events.append((closes_s, next(numbers), Closed(flow)))
+        closed_s = opened_s + random.expovariate(1.0 / shape.flow_lifetime_s)
+        events.append((opened_s, next(numbers), FlowOpenEvent(flow)))
+        events.append((closed_s, next(numbers), FlowCloseEvent(flow)))
         at_s = opened_s + random.expovariate(pace_per_s)
-        while at_s < min(closes_s, duration_s):
+        while at_s < min(closed_s, duration_s):
             request = _draw_request(shape, flow, at_s, next(numbers), random)
-            events.append((at_s, request.number, Requested(request)))
+            events.append((at_s, request.number, RequestEvent(request)))
             at_s += random.expovariate(pace_per_s)
     for at_s, _, event in sorted(events, key=lambda event: event[:2]):
         if at_s < duration_s:
@@ -336,19 +337,22 @@
 
 
 def _draw_pace_per_s(shape: Shape, random: Random) -> float:
-    """Draw a flow's pace: some callers ask much more often than others."""
-    pace = random.lognormvariate(-(_PACE_SIGMA**2) / 2, _PACE_SIGMA)
+    """Draw the request rate of a flow from a log-normal distribution.
+
+    Some callers send requests much more often than others.
+    """
+    pace = random.lognormvariate(-(_PACE_LOG_SIGMA**2) / 2, _PACE_LOG_SIGMA)
     return pace / shape.think_time_s
 
 
-def _openings(
-    shape: Shape, flows_usual: float, duration_s: float, random: Random
+def _generate_opening_times(
+    shape: Shape, mean_flows: float, duration_s: float, random: Random
 ) -> Iterator[float]:
-    for _ in range(round(flows_usual)):
+    for _ in range(round(mean_flows)):
         yield 0.0
     at_s = 0.0
     while True:
-        at_s += random.expovariate(flows_usual / shape.flow_lifetime_s)
+        at_s += random.expovariate(mean_flows / shape.flow_lifetime_s)
         if at_s >= duration_s:
             return
         yield at_s
--- a/endivepick/bench/worth_bound.py
+++ b/endivepick/bench/worth_bound.py
@@ -1,9 +1,10 @@
-"""What a day is worth with the best balancer, before prices.
+"""Upper bound of the score that any balancer can reach over a day.
 
-``python -m endivepick.bench.worth_bound day.json`` reads a day's requests, how
-their service is weighed, and the spans in which instances did not run, as JSON with
-comments.  It prints the parts of the worth that a balancer would reach which loses only
-what no balancer can save: see `endivepick.bench.dark_bound`.
+``python -m endivepick.bench.worth_bound day.json`` reads a JSON file with comments that
+describes the requests of a day, the weights of the score, and the outages in which
+instances did not run. It prints the score and its components, before prices, for a
+balancer that loses only the requests that no balancer can serve; see
+`endivepick.bench.dark_bound`.
 """
 
 from collections import defaultdict
@@ -23,30 +24,31 @@
 __all__ = ["DarkSpan", "Day", "RequestKind", "Weights", "WorthParts", "best_parts"]
 
 WINDOW_S = 2.0
-"""Length of the windows of which the worst count by themselves."""
+"""Length of the windows whose worst ones are scored separately, in seconds."""
 WORST_WINDOWS = 2
 _STEP_S = 0.01
-"""Requests of a span are looked at in steps of this time, in seconds."""
+"""Time step for the requests that arrive during an outage, in seconds."""
 _MS = 0.001
 _Positive = Annotated[float, Meta(gt=0.0)]
 _Share = Annotated[float, Meta(ge=0.0, le=1.0)]
 
 
 class RequestKind(Struct, frozen=True, forbid_unknown_fields=True):
-    """Requests of one kind.
+    """Kind of request.
 
     Attributes
     ----------
     name : str
-        Its name.
+        Name of the kind.
     per_s : float
-        How many come a second.
+        Arrival rate, in requests per second.
     aim_ms, deadline_ms : float
         As in `endivepick.bench.dark_bound.Caller`.
     worth, late_worth : float
-        What one is worth that is answered within the aim, or later.
+        Score of a request answered within the aim, or after it but before the
+        deadline.
     service_ms : float
-        Time from the packet that arrives to the answer, in milliseconds.
+        Time from the arrival of the packet to the answer, in milliseconds.
     """
 
     name: str
@@ -59,17 +61,17 @@
 
 
 class DarkSpan(Struct, frozen=True, forbid_unknown_fields=True):
-    """A span in which packets for some instances meet nobody.
+    """Outage during which packets for some instances are not handled.
 
     Attributes
     ----------
     begin_s : float
-        When it begins, in seconds of the day.
+        Start, in seconds since the start of the day.
     dark_ms : float
-        How long it is, in milliseconds: until an instance runs, or until the fabric
-        has turned away from those that do not.
+        Duration, in milliseconds: until an instance runs, or until the fabric no
+        longer routes to the failed instances.
     share : float
-        Part of the requests that are meant for these instances.
+        Fraction of the requests that are routed to these instances.
     """
 
     begin_s: Annotated[float, Meta(ge=0.0)]
@@ -78,15 +80,16 @@
 
 
 class Weights(Struct, frozen=True, forbid_unknown_fields=True):
-    """How the parts of the worth are weighed; they add up to 1.
+    """Weights of the components of the score. They add up to 1.
 
     Attributes
     ----------
     day, windows, kind, zone, nines : float
-        The whole day, the worst windows, the worst-served kind of request, the
-        worst-served zone, and the share served at all, counted in nines.
+        Weights of the whole day, the worst windows, the worst-served kind of
+        request, the worst-served zone, and the fraction of served requests on a
+        logarithmic scale (number of nines).
     nines_best : float
-        Share of unserved requests that counts as none.
+        Fraction of unserved requests at or below which ``nines`` is 1.
     """
 
     day: _Share
@@ -98,18 +101,18 @@
 
 
 class Day(Struct, frozen=True, forbid_unknown_fields=True):
-    """A day of an installation.
+    """Traffic and outages of one day.
 
     Attributes
     ----------
     length_s : float
-        Its length, in seconds.
+        Length of the day, in seconds.
     kinds : tuple of RequestKind
-        Its requests.
+        Kinds of requests.
     weights : Weights
-        How their service is weighed.
+        Weights of the score.
     dark : tuple of DarkSpan
-        Spans without instances.
+        Outages.
     """
 
     length_s: _Positive
@@ -119,14 +122,14 @@
 
 
 class WorthParts(Struct, frozen=True):
-    """The parts of a day's worth, each from 0 to 1.
+    """Components of the score of a day, each from 0 to 1.
 
     Attributes
     ----------
     day, windows, kind, zone, nines : float
-        As in `Weights`.
+        Components as in `Weights`.
     worth : float
-        Their weighed sum.
+        Weighted sum of the components.
     """
 
     day: float
@@ -138,7 +141,7 @@
 
 
 class _Loss(Struct, frozen=True):
-    """What is lost of requests that are sent at one moment."""
+    """Loss of the requests of one kind sent in one time step."""
 
     sent_s: float
     kind: str
@@ -147,14 +150,14 @@
 
 
 def best_parts(day: Day) -> WorthParts:
-    """Return what the best balancer reaches on a day.
+    """Return the highest score that any balancer can reach on a day.
 
-    All zones are taken to be alike, so that the worst one is as good as the day.
+    All zones are assumed to be equal, so that the worst zone scores as the whole day.
 
     Parameters
     ----------
     day : Day
-        The day.
+        Traffic and outages of the day.
 
     Examples
     --------
@@ -165,38 +168,40 @@
     >>> round(parts.day, 3), round(parts.windows, 3), round(parts.worth, 3)
     (0.982, 0.91, 0.946)
     """
-    losses = list(_losses(day))
-    owed = {kind.name: kind.per_s * kind.worth for kind in day.kinds}
-    owed_per_s = sum(owed.values())
+    losses = list(_generate_losses(day))
+    worth_by_kind_per_s = {kind.name: kind.per_s * kind.worth for kind in day.kinds}
+    total_worth_per_s = sum(worth_by_kind_per_s.values())
     lost = sum(loss.lost_worth for loss in losses)
-    served = 1.0 - lost / (owed_per_s * day.length_s)
+    served = 1.0 - lost / (total_worth_per_s * day.length_s)
     parts = {
         "day": served,
-        "windows": _worst_windows(losses, owed_per_s, day.length_s),
-        "kind": _worst_kind(losses, owed, day.length_s),
+        "windows": _compute_worst_windows(losses, total_worth_per_s, day.length_s),
+        "kind": _compute_worst_kind(losses, worth_by_kind_per_s, day.length_s),
         "zone": served,
-        "nines": _nines(losses, day),
+        "nines": _compute_nines(losses, day),
     }
     weights = day.weights
     worth = sum(getattr(weights, name) * part for name, part in parts.items())
     return WorthParts(**parts, worth=worth)
 
 
-def _losses(day: Day) -> Iterator[_Loss]:
-    """Yield what is lost of the requests of all spans, in small steps of time."""
+def _generate_losses(day: Day) -> Iterator[_Loss]:
+    """Yield the losses of all outages, by time step and kind of request."""
     for span in day.dark:
         dark_s = span.dark_ms * _MS
         for number in range(round(dark_s / _STEP_S)):
-            passed_s = (number + 0.5) * _STEP_S
+            elapsed_s = (number + 0.5) * _STEP_S
             for kind in day.kinds:
                 requests = kind.per_s * _STEP_S * span.share
-                sent_s = span.begin_s + passed_s
-                yield _loss(kind, requests, sent_s, dark_s - passed_s)
+                sent_s = span.begin_s + elapsed_s
+                yield _compute_loss(kind, requests, sent_s, dark_s - elapsed_s)
 
 
-def _loss(kind: RequestKind, requests: float, sent_s: float, left_s: float) -> _Loss:
+def _compute_loss(
+    kind: RequestKind, requests: float, sent_s: float, remaining_s: float
+) -> _Loss:
     caller = Caller(kind.aim_ms, kind.deadline_ms, kind.service_ms)
-    match best_outcome(caller, left_s / _MS):
+    match best_outcome(caller, remaining_s / _MS):
         case Outcome.IN_AIM:
             return _Loss(sent_s, kind.name, 0.0, 0.0)
         case Outcome.LATE:
@@ -206,29 +211,30 @@
             return _Loss(sent_s, kind.name, requests * kind.worth, requests)
 
 
-def _worst_windows(
-    losses: Sequence[_Loss], owed_per_s: float, length_s: float
+def _compute_worst_windows(
+    losses: Sequence[_Loss], total_worth_per_s: float, length_s: float
 ) -> float:
     lost = [0.0] * ceil(length_s / WINDOW_S)
     for loss in losses:
         lost[int(loss.sent_s / WINDOW_S)] += loss.lost_worth
     worst = sorted(lost, reverse=True)[:WORST_WINDOWS]
-    return 1.0 - sum(worst) / (len(worst) * owed_per_s * WINDOW_S)
+    return 1.0 - sum(worst) / (len(worst) * total_worth_per_s * WINDOW_S)
 
 
-def _worst_kind(
-    losses: Sequence[_Loss], owed_per_s: dict[str, float], length_s: float
+def _compute_worst_kind(
+    losses: Sequence[_Loss], total_worth_per_s: dict[str, float], length_s: float
 ) -> float:
     lost: dict[str, float] = defaultdict(float)
     for loss in losses:
         lost[loss.kind] += loss.lost_worth
     return min(
-        1.0 - lost[name] / (per_s * length_s) for name, per_s in owed_per_s.items()
+        1.0 - lost[name] / (per_s * length_s)
+        for name, per_s in total_worth_per_s.items()
     )
 
 
-def _nines(losses: Sequence[_Loss], day: Day) -> float:
-    """Return the share that is served at all on a logarithmic scale."""
+def _compute_nines(losses: Sequence[_Loss], day: Day) -> float:
+    """Return the fraction of served requests on a logarithmic scale."""
     unserved = sum(loss.unserved for loss in losses)
     share = unserved / (sum(kind.per_s for kind in day.kinds) * day.length_s)
     best = day.weights.nines_best
@@ -236,12 +242,12 @@
 
 
 def read_day(path: Path) -> Day:
-    """Read a day from a file.
+    """Read the description of a day from a file.
 
     Raises
     ------
     SettingsInvalidError
-        The file is no JSON with comments, or does not describe a day.
+        If the file is not JSON with comments, or does not describe a day.
     """
     try:
         return msgspec.convert(json5.loads(path.read_text()), Day)
@@ -250,12 +256,12 @@
 
 
 def main(path: str) -> None:
-    """Print the parts of a day's worth at best, before prices.
+    """Print the highest reachable score of a day and its components, before prices.
 
     Parameters
     ----------
     path : str
-        File that describes the day.
+        File that describes the day, as JSON with comments.
     """
     for name, part in msgspec.structs.asdict(best_parts(read_day(Path(path)))).items():
         print(f"{name:8} {part:.3f}")
