--- a/endivepick/bench/_capacity_lines.py
+++ b/endivepick/bench/_capacity_lines.py
@@ -7,7 +7,7 @@
 
 from endivepick.bench._fleet import Fleet, Limits
 from endivepick.bench._slopes import Measurement
-from endivepick.core.flow_table import CLOCK_SKEW_MARGIN_S, LOOK_EVERY_S
+from endivepick.core.flow_table import CLOCK_SKEW_MARGIN_S, EXPIRY_SCAN_PERIOD_S
 from endivepick.core.instance import EXPIRY_EVERY_S
 from endivepick.core.roles import RoleSettings
 from endivepick.core.settings import FlowSettings
@@ -299,7 +299,7 @@
         yield self._make_memory_line(
             role, f"closed flows ({closed:,.0f})", flow_bytes * closed
         )
-        kept_s = settings.token_lifetime_s + CLOCK_SKEW_MARGIN_S + LOOK_EVERY_S
+        kept_s = settings.token_lifetime_s + CLOCK_SKEW_MARGIN_S + EXPIRY_SCAN_PERIOD_S
         left = ABANDONED_SHARE * opens_per_s * kept_s
         what = f"flows left open, {100 * ABANDONED_SHARE:.0f} % ({left:,.0f})"
         line = self._make_memory_line(role, what, flow_bytes * left)
@@ -406,7 +406,7 @@
         yield CapacityLine(role, "writes", writes, "1/s", limits.writes_per_s)
 
 
-def _estimate_tiers(fleet: Fleet, changes_per_s: float) -> cost.SpreadCost:
+def _estimate_tiers(fleet: Fleet, changes_per_s: float) -> cost.DisseminationCost:
     """Return the dissemination cost with tiers of watchers and feeders."""
     shape = cost.Fleet(
         "",
@@ -416,7 +416,7 @@
         fleet.targets_per_record,
         changes_per_s,
     )
-    ways = cost.spread_costs(shape, DisseminationSettings())
+    ways = cost.estimate_dissemination_costs(shape, DisseminationSettings())
     return next(way for way in ways if "chosen" in way.way)
 
 
--- a/endivepick/bench/_control_slopes.py
+++ b/endivepick/bench/_control_slopes.py
@@ -19,14 +19,14 @@
 )
 from endivepick.bench._slopes import Measurement, measure, trace_memory
 from endivepick.core.events import InstancesListed, ObjectsChanged
-from endivepick.core.wire import Envelope, encode_envelope
-from endivepick.core.zone_status import PARTS_PER_EXPIRY
+from endivepick.core.peer_envelope import Envelope, encode_envelope
+from endivepick.core.zone_status import STATUS_SENDS_PER_EXPIRY
 from endivepick.daemon.metrics import DaemonMetrics
-from endivepick.daemon.status import instance_status, role_gauges
+from endivepick.daemon.status import build_instance_status, compute_role_gauges
 from endivepick.membership import ListedInstance
 from endivepick.membership.peer_messages import MemberUpdate, Phase, Ping
 from endivepick.membership.view import InstanceView, PeerState
-from endivepick.platform.answers import WatchResult, read_instances
+from endivepick.platform.answers import WatchResult, decode_instances
 from endivepick.records.model import Affinity, ServiceRecord
 from endivepick.records.objects import StoredObject
 from endivepick.records.peer_messages import (
@@ -34,10 +34,15 @@
     SubtreeReport,
     TargetStatus,
 )
-from endivepick.records.roles import hash_names, zone_roles
+from endivepick.records.roles import compute_zone_roles, hash_names
 from endivepick.records.settings import DisseminationSettings, StatusSettings
-from endivepick.records.status import ShownRows, StatusView, StatusWriter, WriteStatus
-from endivepick.records.status_groups import status_group
+from endivepick.records.status import (
+    RowSelection,
+    StatusView,
+    StatusWriter,
+    WriteStatus,
+)
+from endivepick.records.status_groups import find_status_group
 
 __all__ = ["measure_changes", "measure_fleet", "measure_lists", "measure_status"]
 
@@ -84,13 +89,13 @@
         "messages_sent_per_s": sum(node.sent.values()) / IDLE_S,
         "metrics_read_ms": _time_ms(lambda: _read_metrics(metrics, node)),
         "status_page_bytes": float(
-            len(msgspec.json.encode(instance_status(node.core, node.now_s)))
+            len(msgspec.json.encode(build_instance_status(node.core, node.now_s)))
         ),
     }
 
 
 def _read_metrics(metrics: DaemonMetrics, node: DrivenNode) -> None:
-    metrics.set_roles(role_gauges(node.core))
+    metrics.set_role_gauges(compute_role_gauges(node.core))
     metrics.render([])
 
 
@@ -209,12 +214,14 @@
     """Run a status writer while records and load change."""
     written = _WriteTotals()
     writer.step(view_at(0), 0.0, 0.5)
-    writer.was_read(None)
+    writer.on_read(None)
     for second in range(round(STATUS_S)):
         view = view_at(second)
         for name in view.rows(()):
             number = int(name.rpartition("-")[2])
-            writer.note(name, _make_part(TWO_YEARS, number, 1, second), float(second))
+            writer.record_part(
+                name, _make_part(TWO_YEARS, number, 1, second), float(second)
+            )
         started_s = time.process_time()
         action = writer.step(view, float(second), 0.5)
         written.processor_s += time.process_time() - started_s
@@ -222,7 +229,7 @@
             written.size = len(msgspec.json.encode(action.body))
             written.total += written.size
             stored = StoredObject("status", action.name, second + 1, action.body)
-            writer.was_written(stored)
+            writer.on_written(stored)
     return written
 
 
@@ -244,7 +251,7 @@
             records[at] = replace(records[at], version=version)
         reported = fleet.records + round((second - 2) * fleet.changes_per_s)
         report = SubtreeReport(reported, len(names), names_hash)
-        shown = ShownRows((), names, groups) if groups else ShownRows()
+        shown = RowSelection((), names, groups) if groups else RowSelection()
         return StatusView(list(records), report, names, {}, shown)
 
     return view_at
@@ -257,9 +264,10 @@
     members = [m for m in range(instances) if fleet.zone_of(m) == "zone-0"]
     names = [instance_name(number) for number in members]
     peers = [InstanceView(name, "zone-0", 1, "", PeerState.ALIVE) for name in names]
-    roles = zone_roles("zone-0", peers, DisseminationSettings())
+    roles = compute_zone_roles("zone-0", peers, DisseminationSettings())
     group_of_names = [
-        status_group(name, "zone-0", roles, settings.group_instances) for name in names
+        find_status_group(name, "zone-0", roles, settings.group_instances)
+        for name in names
     ]
     grouped = [group for group in group_of_names if group is not None]
     groups = max((group.groups for group in grouped), default=0)
@@ -271,13 +279,13 @@
         largest = max(grouped, key=lambda one: len(one.members))
         report = SubtreeReport(1, len(names), 0)
         listed = sorted(largest.members)
-        shown = ShownRows(listed, group=largest.number)
+        shown = RowSelection(listed, group=largest.number)
         view = StatusView((), report, names, {}, shown)
         slowdown, receivers = largest.slowdown, len(listed)
         writer = StatusWriter(settings, "zone-0", largest.object_name, slowdown)
         group = _write_status(writer, lambda _: view)
     part = len(_encode_in_envelope(_make_part(fleet, 1, 1, 0)))
-    period_s = settings.part_expiry_s * slowdown / PARTS_PER_EXPIRY
+    period_s = settings.part_expiry_s * slowdown / STATUS_SENDS_PER_EXPIRY
     return {
         "status_objects": 1.0 + groups,
         "status_zone_bytes": float(zone.size),
@@ -334,7 +342,7 @@
     entries = tuple(ListedInstance(u.name, u.zone, u.peer_address) for u in updates)
     return {
         "list_bytes": float(len(data)),
-        "list_read_ms": _time_ms(lambda: read_instances(data)),
+        "list_read_ms": _time_ms(lambda: decode_instances(data)),
         "list_taken_ms": _time_ms(lambda: node.handle(InstancesListed(entries, 0.0))),
     }
 
--- a/endivepick/bench/_core_slopes.py
+++ b/endivepick/bench/_core_slopes.py
@@ -10,7 +10,6 @@
 from endivepick.bench._node import TICK_S, DrivenNode
 from endivepick.bench._slopes import Measurement, measure, trace_memory
 from endivepick.core.actions import Action, SendToCaller, SendToPeer, StartAttempt
-from endivepick.core.codec import encode_packet, encode_struct
 from endivepick.core.dispatch import (
     DispatchSettings,
     FinishKind,
@@ -39,6 +38,7 @@
     RequestHead,
     RequestPart,
 )
+from endivepick.core.packet_codec import encode_packet, encode_struct
 from endivepick.core.peer_messages import HandOver, HandOverAccepted, RelayedPacket
 from endivepick.core.token import FlowToken, TokenCodec
 from endivepick.records.model import Affinity, ServiceRecord, TargetRecord
--- a/endivepick/bench/_node.py
+++ b/endivepick/bench/_node.py
@@ -18,7 +18,7 @@
 )
 from endivepick.core.instance import InstanceCore
 from endivepick.core.keyring import first_keyring, keyring_to_body
-from endivepick.core.wire import Envelope, encode_envelope
+from endivepick.core.peer_envelope import Envelope, encode_envelope
 from endivepick.membership import ListedInstance
 from endivepick.membership.peer_messages import (
     Ack,
--- a/endivepick/bench/owners.py
+++ b/endivepick/bench/owners.py
@@ -7,7 +7,6 @@
 from endivepick.bench.alone import DATAGRAM_HEADER_BYTES
 from endivepick.bench.policy import Policy, SimulationContext
 from endivepick.bench.workload import Flow, Request
-from endivepick.core.codec import encode_struct
 from endivepick.core.dispatch import (
     CostClass,
     Decision,
@@ -21,6 +20,7 @@
     ServiceDispatcher,
     Start,
 )
+from endivepick.core.packet_codec import encode_struct
 from endivepick.records.model import Affinity, ServiceRecord
 
 __all__ = ["Owner", "OwnerOwnZonePolicy", "OwnerPerZonePolicy", "OwnerPolicy"]
--- a/endivepick/bench/shards.py
+++ b/endivepick/bench/shards.py
@@ -8,9 +8,9 @@
 from endivepick.bench.placer import Placer, TargetReport
 from endivepick.bench.policy import SimulationContext
 from endivepick.bench.workload import Flow, Request
-from endivepick.core.codec import encode_struct
 from endivepick.core.dispatch import FlowActivity, RefusalReason
 from endivepick.core.dispatch.flow_activity import TargetActivity
+from endivepick.core.packet_codec import encode_struct
 from endivepick.records.model import Affinity, ServiceRecord
 
 __all__ = ["OwnerShardsPolicy", "TargetOwnersPolicy"]
