--- a/endivepick/bench/_control_slopes.py
+++ b/endivepick/bench/_control_slopes.py
@@ -10,9 +10,9 @@
 
 import msgspec
 
-from endivepick.bench._fleet import TWO_YEARS, Fleet
-from endivepick.bench._node import (
-    DrivenNode,
+from endivepick.bench._fleet import PLANNED_FLEET, Fleet
+from endivepick.bench._simulated_node import (
+    SimulatedNode,
     instance_name,
     member_update,
     record_object,
@@ -63,11 +63,11 @@
 
 
 def _measure_fleet_at(instances: int) -> dict[str, float]:
-    fleet = TWO_YEARS.scaled(instances)
+    fleet = PLANNED_FLEET.scaled(instances)
     with trace_memory() as traced:
-        node = DrivenNode(fleet)
+        node = SimulatedNode(fleet)
         node.join()
-    node = DrivenNode(fleet)
+    node = SimulatedNode(fleet)
     node.deliver_members()
     node.reset_counters()
     node.deliver_records()
@@ -94,7 +94,7 @@
     }
 
 
-def _read_metrics(metrics: DaemonMetrics, node: DrivenNode) -> None:
+def _read_metrics(metrics: DaemonMetrics, node: SimulatedNode) -> None:
     metrics.set_role_gauges(compute_role_gauges(node.core))
     metrics.render([])
 
@@ -123,14 +123,14 @@
 
 
 def _measure_changes_at(instances: int) -> dict[str, float]:
-    fleet = TWO_YEARS.scaled(instances)
-    node = DrivenNode(fleet)
+    fleet = PLANNED_FLEET.scaled(instances)
+    node = SimulatedNode(fleet)
     node.join()
     node.run(1.0)
     numbers = range(1, 1 + min(CHANGES, instances // 3))
-    leaving = [_set_phase(node.update_of(n), Phase.LEAVING) for n in numbers]
+    leaving = [_set_phase(node.get_member_update(n), Phase.LEAVING) for n in numbers]
     lost = range(fleet.zones, instances, fleet.zones)
-    stopped = [_set_phase(node.update_of(n), Phase.STOPPED) for n in lost]
+    stopped = [_set_phase(node.get_member_update(n), Phase.STOPPED) for n in lost]
     return {
         "peer_change_ms": _measure_updates_ms(node, leaving) / len(leaving),
         "record_change_ms": _measure_records_ms(node),
@@ -144,32 +144,34 @@
     return msgspec.structs.replace(update, phase=phase)
 
 
-def _measure_updates_ms(node: DrivenNode, updates: Sequence[MemberUpdate]) -> float:
+def _measure_updates_ms(node: SimulatedNode, updates: Sequence[MemberUpdate]) -> float:
     """Return the processor time of updates that arrive one by one, in ms."""
     node.reset_counters()
     node.run(0.05 * len(updates))
     baseline_s = node.processor_s
     node.reset_counters()
     for update in updates:
-        node.tell(Ping(1, 1, 0, [update], []))
+        node.deliver_message(Ping(1, 1, 0, [update], []))
         node.run(0.05)
     return max(0.0, node.processor_s - baseline_s) * _MS
 
 
-def _measure_zone_loss_ms(node: DrivenNode, updates: Sequence[MemberUpdate]) -> float:
+def _measure_zone_loss_ms(
+    node: SimulatedNode, updates: Sequence[MemberUpdate]
+) -> float:
     """Return the processor time of the loss of a zone, in ms.
 
     Updates arrive six at a time.
     """
     node.reset_counters()
     for start in range(0, len(updates), 6):
-        node.tell(Ping(1, 1, 0, list(updates[start : start + 6]), []))
+        node.deliver_message(Ping(1, 1, 0, list(updates[start : start + 6]), []))
         if start % 12 == 0:
             node.run(0.05)
     return node.processor_s * _MS
 
 
-def _measure_records_ms(node: DrivenNode) -> float:
+def _measure_records_ms(node: SimulatedNode) -> float:
     revision = node.core.configuration.cache.revision
     node.reset_counters()
     for step in range(CHANGES):
@@ -220,7 +222,7 @@
         for name in view.rows(()):
             number = int(name.rpartition("-")[2])
             writer.record_part(
-                name, _make_part(TWO_YEARS, number, 1, second), float(second)
+                name, _make_part(PLANNED_FLEET, number, 1, second), float(second)
             )
         started_s = time.process_time()
         action = writer.step(view, float(second), 0.5)
@@ -259,7 +261,7 @@
 
 def _measure_status_at(instances: int) -> dict[str, float]:
     """Run the status writers of a zone, with its part of the targets."""
-    fleet = TWO_YEARS.scaled(instances)
+    fleet = PLANNED_FLEET.scaled(instances)
     settings = StatusSettings()
     members = [m for m in range(instances) if fleet.zone_of(m) == "zone-0"]
     names = [instance_name(number) for number in members]
@@ -324,8 +326,8 @@
 
 
 def _measure_lists_at(instances: int) -> dict[str, float]:
-    fleet = TWO_YEARS.scaled(instances)
-    node = DrivenNode(fleet)
+    fleet = PLANNED_FLEET.scaled(instances)
+    node = SimulatedNode(fleet)
     node.deliver_members()
     updates = [member_update(fleet, number) for number in range(instances)]
     listed = [
--- a/endivepick/bench/_core_slopes.py
+++ b/endivepick/bench/_core_slopes.py
@@ -6,8 +6,8 @@
 
 import msgspec
 
-from endivepick.bench._fleet import TWO_YEARS
-from endivepick.bench._node import TICK_S, DrivenNode
+from endivepick.bench._fleet import PLANNED_FLEET
+from endivepick.bench._simulated_node import TICK_S, SimulatedNode
 from endivepick.bench._slopes import Measurement, measure, trace_memory
 from endivepick.core.actions import Action, SendToCaller, SendToPeer, StartAttempt
 from endivepick.core.dispatch import (
@@ -89,7 +89,7 @@
     """Instance that owns a service whose targets are ready."""
 
     def __init__(self, instances: int = 8) -> None:
-        self.node = DrivenNode(TWO_YEARS.scaled(instances))
+        self.node = SimulatedNode(PLANNED_FLEET.scaled(instances))
         self.node.join()
         self.core = self.node.core
         self.service = self._activate_service()
@@ -107,7 +107,7 @@
     def relay_packet(self, packet: CallerPacket, caller: CallerAddress) -> list[Action]:
         """Pass a packet relayed by another instance to the core."""
         relayed = RelayedPacket(caller, 1, encode_packet(packet))
-        peer = self.node.update_of(1)
+        peer = self.node.get_member_update(1)
         event = PeerMessage(peer.name, peer.incarnation, relayed)
         return self.core.handle(event, self.node.now_s)
 
@@ -129,7 +129,7 @@
 
     def make_foreign_token(self) -> bytes:
         """Return a token of a flow owned by another instance."""
-        peer = self.node.update_of(1)
+        peer = self.node.get_member_update(1)
         token = FlowToken(
             self.service, 1, 2, peer.name, peer.incarnation, "", int(self.node.now_s)
         )
--- a/endivepick/bench/_node.py
+++ b/endivepick/bench/_simulated_node.py
@@ -33,7 +33,7 @@
 from endivepick.records.objects import KEYRING_KIND, SERVICE_KIND, StoredObject
 from endivepick.records.peer_messages import ConfigDigest
 
-__all__ = ["DrivenNode", "instance_name", "member_update", "record_object"]
+__all__ = ["SimulatedNode", "instance_name", "member_update", "record_object"]
 
 TICK_S = 0.05
 PING_PERIOD_TICKS = 5
@@ -88,7 +88,7 @@
     )
 
 
-class DrivenNode:
+class SimulatedNode:
     """Instance core whose simulated peers answer each probe.
 
     Parameters
@@ -137,7 +137,7 @@
         """Deliver the peers to the core, as on join."""
         entries = [ListedInstance(p.name, p.zone, p.peer_address) for p in self._peers]
         self.handle(InstancesListed(tuple(entries), 0.0))
-        self.tell(SyncPage(0, [], self._peers, []))
+        self.deliver_message(SyncPage(0, [], self._peers, []))
 
     def deliver_records(self) -> None:
         """Deliver the keyring and all records to the core."""
@@ -162,14 +162,16 @@
             self.handle(Tick())
             number = next(self._ticks)
             if number % PING_PERIOD_TICKS == 0 and self._peers:
-                self.tell(Ping(number, 1, 0, [], []))
+                self.deliver_message(Ping(number, 1, 0, [], []))
 
-    def tell(self, message: Any, sender: MemberUpdate | None = None) -> list[Action]:
+    def deliver_message(
+        self, message: Any, sender: MemberUpdate | None = None
+    ) -> list[Action]:
         """Deliver a message of a peer, by default a random one, to the core."""
         peer = sender or self.random.choice(self._peers)
         return self.handle(PeerMessage(peer.name, peer.incarnation, message))
 
-    def update_of(self, number: int) -> MemberUpdate:
+    def get_member_update(self, number: int) -> MemberUpdate:
         """Return the membership update of a peer; ``number`` is at least 1."""
         return self._peers[number - 1]
 
@@ -204,7 +206,7 @@
         """Deliver a message of the named peer, unless it is silenced."""
         if name in self._silent:
             return []
-        peer = self.update_of(int(name.rpartition("-")[2]))
+        peer = self.get_member_update(int(name.rpartition("-")[2]))
         return self.handle(PeerMessage(peer.name, peer.incarnation, message))
 
     def _make_digest(self, question: int) -> ConfigDigest:
--- a/endivepick/bench/capacity.py
+++ b/endivepick/bench/capacity.py
@@ -23,8 +23,8 @@
     _target_slopes,
     packets,
 )
-from endivepick.bench._capacity_lines import CapacityLine, estimate_capacity
-from endivepick.bench._fleet import LIMITS, TWO_YEARS, Fleet
+from endivepick.bench._capacity_model import CapacityLine, estimate_capacity
+from endivepick.bench._fleet import LIMITS, PLANNED_FLEET, Fleet
 from endivepick.bench._slopes import Measurement, format_slopes
 
 __all__ = ["MEASUREMENTS", "capacity", "format_lines"]
@@ -72,8 +72,8 @@
         print(format_slopes(list(found.values())), flush=True)
     _write_results(Path(results), slopes)
     if len(names) == len(MEASUREMENTS):
-        print(f"\n{_describe_fleet(TWO_YEARS)}")
-        print(format_lines(estimate_capacity(TWO_YEARS, LIMITS, slopes)))
+        print(f"\n{_describe_fleet(PLANNED_FLEET)}")
+        print(format_lines(estimate_capacity(PLANNED_FLEET, LIMITS, slopes)))
     print(f"\ntook {time.monotonic() - started_s:.0f} s")
 
 
--- a/endivepick/bench/owners.py
+++ b/endivepick/bench/owners.py
@@ -4,7 +4,7 @@
 from collections.abc import Callable, Hashable
 from dataclasses import dataclass, field
 
-from endivepick.bench.alone import DATAGRAM_HEADER_BYTES
+from endivepick.bench.independent import DATAGRAM_HEADER_BYTES
 from endivepick.bench.policy import Policy, SimulationContext
 from endivepick.bench.workload import Flow, Request
 from endivepick.core.dispatch import (
--- a/endivepick/bench/policies.py
+++ b/endivepick/bench/policies.py
@@ -1,6 +1,6 @@
 """Registry of the placement policies by name."""
 
-from endivepick.bench.alone import (
+from endivepick.bench.independent import (
     BoundedHashPolicy,
     LeastLoadedPolicy,
     RandomPolicy,
--- a/endivepick/bench/shards.py
+++ b/endivepick/bench/shards.py
@@ -3,7 +3,7 @@
 import dataclasses
 from collections import defaultdict
 
-from endivepick.bench.alone import DATAGRAM_HEADER_BYTES
+from endivepick.bench.independent import DATAGRAM_HEADER_BYTES
 from endivepick.bench.owners import Owner, OwnerPolicy
 from endivepick.bench.placer import Placer, TargetReport
 from endivepick.bench.policy import SimulationContext
