--- a/endivepick/forwarding/actions.py
+++ b/endivepick/forwarding/actions.py
@@ -99,8 +99,9 @@
     path : str
         Path of the health check.
     control : Target or None
-        Another target that made progress recently.  While it accepts connections, a
-        missing answer is not caused by this instance's own link.
+        Another target that made progress recently.  If it answers (accepts or refuses
+        a connection), the silence of the probed target is not caused by this instance's
+        own link.
     """
 
     target: Target
--- a/endivepick/forwarding/belief.py
+++ b/endivepick/forwarding/belief.py
@@ -1,4 +1,8 @@
-"""Belief of an instance about one target: registry state, reachability and fitness."""
+"""Beliefs: the state of a target as known to this instance.
+
+A belief is about one incarnation of a target and has its registry state, reachability
+and fitness.  Instances may differ in their beliefs.
+"""
 
 from enum import Enum
 
@@ -100,15 +104,18 @@
 class Fitness(Enum):
     """Result of outlier detection for a target.
 
+    An impaired target is ejected, a returning one is on probation; the names of the
+    states are those of the state chart, the log and the status.
+
     Attributes
     ----------
     SOUND
         It serves requests as well as the others of its service.
     IMPAIRED
-        It fails far more of its requests than the others and is ejected: new flows
-        avoid it.
+        Ejected: it fails far more of its requests than the others, and new flows avoid
+        it.
     RETURNING
-        It may have recovered and is on probation: a small share of new flows tests it.
+        On probation: it may have recovered, and a small share of new flows tests it.
     """
 
     SOUND = "sound"
@@ -167,13 +174,14 @@
     def last_bad_s(self) -> float:
         """When the last request failed or had a short answer, in seconds.
 
-        A late request was counted as failed before.
+        A late request set `last_failed_s` when it became overdue; its count in `failed`
+        was taken back when its answer began.
         """
         return max(self.last_failed_s, self.last_poor_s)
 
 
 class TargetBelief(Struct):
-    """Belief about one incarnation of a target.
+    """State of one incarnation of a target as known to this instance.
 
     Attributes
     ----------
--- a/endivepick/forwarding/comparison.py
+++ b/endivepick/forwarding/comparison.py
@@ -21,11 +21,12 @@
 MAX_HEALTHY_OVERDUE_SHARE = 0.05
 """Largest share of overdue requests in the baseline that remains after exclusion.
 
-With more, all targets are affected, and the worst of them are so by chance."""
+With more, the fault is service-wide, and differences between targets are noise."""
 SELECTED_BASELINE_WEIGHT = 0.5
 """Weight of a score against a baseline from which outliers were excluded.
 
-When a fault begins to affect all targets, those affected first stand out briefly."""
+Halved, since at the onset of a service-wide fault the targets affected first look like
+outliers."""
 PRIOR_FAILED, PRIOR_TOTAL = 0.2, 10.0
 """Pseudo-counts added to the requests of the others.
 
--- a/endivepick/forwarding/failure_detector.py
+++ b/endivepick/forwarding/failure_detector.py
@@ -1,6 +1,6 @@
 """Failure detection of targets from callers' retransmissions and from probes.
 
-Load pattern: a target crashes while callers hold open flows to it.  Each instance
+Scenario: a target crashes while callers hold open flows to it.  Each instance
 observes only some of these flows.  A caller retransmits its data after 0.2 s; the
 registry removes the entry after three missed heartbeats, which is seconds later.  One
 retransmission is enough to start a probe, since a probe costs a target about a
@@ -125,7 +125,7 @@
     ) -> list[Effect]:
         """Probe a target after an opening packet that neither a copy nor data followed.
 
-        Load pattern: a target's process ends while its host keeps running and resets
+        Scenario: a target's process ends while its host keeps running and resets
         openings itself.  Callers then retry on another flow, and no packet shows the
         failure until the registry removes the entry about two seconds later.  If the
         rest of the flow goes to another instance, the probe finds a live target; at
@@ -158,7 +158,7 @@
     def on_entry_removed(self, belief: TargetBelief, now_s: float) -> list[Effect]:
         """Probe a target whose registry entry was removed if it has flows here.
 
-        Load pattern: after an outage of the store all entries are missing for seconds,
+        Scenario: after an outage of the store all entries are missing for seconds,
         and hundreds of instances know them.  If each probed all targets, a target would
         get hundreds of probes at once, which wait in its queue ahead of requests.  So
         only targets with flows at this instance are probed; new flows detect a failure
@@ -197,7 +197,7 @@
         alternative_exists = self.has_alternative(belief)
         for flow in self._flows.of_target(belief):
             busy = flow.busy_since_s is not None
-            reason = reset_reason(belief, flow.kind, busy, alternative_exists)
+            reason = decide_reset(belief, flow.kind, busy, alternative_exists)
             # The next copy of an opening packet is placed on another target anyway.
             if reason is None or not flow.opened:
                 continue
@@ -206,7 +206,9 @@
             self._flows.end(flow.key)
         return effects
 
-    def reset_reason(self, belief: TargetBelief, kind: RouteKind) -> ResetReason | None:
+    def find_reset_reason(
+        self, belief: TargetBelief, kind: RouteKind
+    ) -> ResetReason | None:
         """Return why a flow with a packet in transit has to be reset, or None.
 
         Parameters
@@ -218,7 +220,7 @@
         """
         if not self._may_reset(belief):
             return None
-        return reset_reason(belief, kind, True, self.has_alternative(belief))
+        return decide_reset(belief, kind, True, self.has_alternative(belief))
 
     def _may_reset(self, belief: TargetBelief) -> bool:
         """Whether resets of flows of a target are enabled."""
@@ -232,9 +234,9 @@
         """Reset the flows of the previous incarnation of a restarted target.
 
         The new incarnation does not know these flows and resets each one when it
-        receives a packet of it, but then the next request of an idle flow is lost if it
-        must not run twice.  Flows that may already be open at the new incarnation are
-        kept.
+        receives a packet of it, but then the next at-most-once request of an idle flow
+        fails, since its caller may not retry it.  Flows that may already be open at the
+        new incarnation are kept.
 
         Parameters
         ----------
@@ -263,7 +265,7 @@
     def verify_hint(self, belief: TargetBelief, now_s: float) -> list[Effect]:
         """Probe a target that a peer reported as not answering.
 
-        Load pattern: some dozen targets end at once, hundreds of instances receive a
+        Scenario: some dozen targets end at once, hundreds of instances receive a
         hint for each, and another target may use the address by then.  Only instances
         probe that have flows there or whose new flows would go there first.
         """
@@ -290,7 +292,7 @@
             return []
         return [
             SilentTarget(belief.name, belief.target.born_ms)
-            for belief in self._registry.unsettled
+            for belief in self._registry.targets_to_revisit
             if belief.reachability is Reachability.SILENT
             and belief.target.zone == self._settings.zone
             and now_s - belief.reachability_since_s <= REPORT_VALID_S
@@ -301,7 +303,7 @@
     ) -> list[Effect]:
         """Probe targets that other instances of the zone recently found silent.
 
-        Load pattern: many targets lose power at once, and each has flows at a dozen
+        Scenario: many targets lose power at once, and each has flows at a dozen
         instances.  Without the report, each instance would lose a request before it
         probes.  Only instances with flows there probe, once per report, so that the
         cost is low if the fault was the link of the reporting instance.
@@ -336,7 +338,7 @@
         probe it.
         """
         effects: list[Effect] = []
-        for belief in self._registry.unsettled:
+        for belief in self._registry.targets_to_revisit:
             if belief.state is TargetState.GONE:
                 continue
             if belief.reachability is Reachability.REACHABLE:
@@ -401,7 +403,7 @@
         return control.target
 
 
-def _may_finish(belief: TargetBelief) -> bool:
+def _may_have_requests_in_progress(belief: TargetBelief) -> bool:
     """Whether a target that refuses connections may have requests in progress.
 
     A draining target may; one whose entry cannot be read may be draining.
@@ -410,12 +412,13 @@
     return belief.state in planned and not belief.replaced
 
 
-def reset_reason(
+def decide_reset(
     belief: TargetBelief, kind: RouteKind, busy: bool, alternative_exists: bool
 ) -> ResetReason | None:
     """Return why a flow of a target has to be reset, None if it has not.
 
-    * A dead target answers no flow again.
+    * A dead target is assumed not to serve its flows any more, although it may be alive
+      behind a partition that resets connections.
     * A draining target that refuses connections is not dead: it finishes its requests
       first, and its entry is removed when it has ended.  It counts as dead earlier only
       if another incarnation has its address.
@@ -438,7 +441,7 @@
         Whether another target could serve the flow's requests.
     """
     match belief.reachability:
-        case Reachability.DEAD if _may_finish(belief):
+        case Reachability.DEAD if _may_have_requests_in_progress(belief):
             return None
         case Reachability.DEAD:
             return ResetReason.TARGET_DEAD
--- a/endivepick/forwarding/fault_confirmation.py
+++ b/endivepick/forwarding/fault_confirmation.py
@@ -1,6 +1,6 @@
 """Confirmation of a target's failures before its flows are reset.
 
-Load pattern: resetting a flow whose target serves it breaks the caller's connection,
+Motivation: resetting a flow whose target serves it breaks the caller's connection,
 and a few failures seen by one instance may be chance.  Flows are therefore reset only
 for failures that are recent, that several instances or callers have observed, and on
 whose target most instances of the zone have reported.
@@ -21,15 +21,15 @@
     "ConfirmedFault",
     "ZoneEvidence",
     "confirm_fault",
-    "has_recent_failure",
+    "has_recent_bad_request",
     "is_past_startup",
 ]
 
-RECENT_FAILURE_S = 1.2
-"""Age up to which a failure is recent.
+RECENT_BAD_S = 1.2
+"""Age up to which a failed request or a short answer is recent.
 
-Flows are reset only while failures are recent.  With the age of reports added, resets
-stop about three seconds after a target has recovered at the latest."""
+Flows are reset only while bad requests are recent.  With the age of reports added,
+resets stop about three seconds after a target has recovered at the latest."""
 RECENT_REPORT_S = 1.2
 """Age up to which a report of the zone is recent; a little longer than the feeder holds
 a long poll."""
@@ -46,8 +46,8 @@
 SLOW_OVERDUE_SHARE = 0.6
 """Share of overdue requests from which a target is slow.
 
-An overloaded target answers requests in time that find its queue short, and sheds
-others at once."""
+An overloaded target has a lower share and is not taken for slow: it answers requests in
+time that find its queue short, and rejects others at once."""
 
 
 class ConfirmedFault(Enum):
@@ -132,9 +132,9 @@
     return known_s >= MIN_READY_S and now_s >= belief.cold_until_s
 
 
-def has_recent_failure(counts: RequestCounts, now_s: float) -> bool:
+def has_recent_bad_request(counts: RequestCounts, now_s: float) -> bool:
     """Whether a request failed or had a short answer recently."""
-    return now_s - counts.last_bad_s <= RECENT_FAILURE_S
+    return now_s - counts.last_bad_s <= RECENT_BAD_S
 
 
 def _is_confirmed_by_zone(reported: TargetCounts, evidence: ZoneEvidence) -> bool:
@@ -160,5 +160,5 @@
     return (
         not others_report
         and evidence.callers >= MIN_CONFIRMING_CALLERS
-        and has_recent_failure(counts, now_s)
+        and has_recent_bad_request(counts, now_s)
     )
--- a/endivepick/forwarding/fitness_reports.py
+++ b/endivepick/forwarding/fitness_reports.py
@@ -32,9 +32,11 @@
 MIN_REPORTED_BAD = 0.5
 """Decayed count of bad requests from which a target is reported."""
 MIN_RESET_FAILURES = 3.0
-"""Failed requests at an ejected target from which its flows are reset."""
+"""Failed requests at an ejected target, or overdue ones if it is slow, from which its
+flows are reset."""
 MAX_FAILURES_PER_INSTANCE = 1.5
-"""Largest number of failed requests that one instance adds to `MIN_RESET_FAILURES`.
+"""Largest number of failed or overdue requests that one instance adds towards
+`MIN_RESET_FAILURES`.
 
 With more, a single failure at another instance would confirm the report of an instance
 with a local fault."""
@@ -56,7 +58,7 @@
     reporting : int
         Instances that reported on the target.
     fresh : int
-        Instances that observed bad requests within `RECENT_FAILURE_S`.
+        Instances that observed bad requests within `RECENT_BAD_S`.
     capped_failed : float
         Failed requests, with at most `MAX_FAILURES_PER_INSTANCE` per instance.
     capped_overdue : float
--- a/endivepick/forwarding/flows.py
+++ b/endivepick/forwarding/flows.py
@@ -27,7 +27,7 @@
 
     NOTHING = "nothing"
     PROGRESS = "progress"
-    REPETITION = "repetition"
+    RETRANSMISSION = "repetition"
 
 
 class ObservedFlow(Struct):
@@ -48,18 +48,18 @@
     seen_s : float
         When the last packet arrived, in seconds.
     opened_s : float or None
-        When a packet first showed that the caller had answered a target, in seconds;
-        from then on the flow is open at exactly that target.
+        When the first packet after the opening arrived, in seconds.  The handshake is
+        then complete, and the flow is open at exactly that target.
     busy_since_s : float or None
         When the data that the target has not answered yet first arrived, in seconds.
     overdue : bool
-        The request in progress is unanswered for longer than usual.
+        The request in progress is unanswered for far longer than the baseline.
     answered : bool
         At least one request was answered.
     served : bool
-        At least one request got an answer of the usual length.
-    noted_doubt : str
-        Latest doubt about the target that was logged for this flow.
+        At least one request got an answer that was not short.
+    logged_degraded_reason : str
+        Latest degraded reason of the target that was logged for this flow.
     """
 
     key: FlowKey
@@ -73,7 +73,7 @@
     overdue: bool = False
     answered: bool = False
     served: bool = False
-    noted_doubt: str = ""
+    logged_degraded_reason: str = ""
 
     @property
     def opened(self) -> bool:
@@ -221,7 +221,7 @@
             flow.sent_end = end
             self._set_busy(flow, now_s)
         elif flow_evidence is FlowEvidence.NOTHING:
-            flow_evidence = FlowEvidence.REPETITION
+            flow_evidence = FlowEvidence.RETRANSMISSION
         return flow_evidence
 
     def _record_progress(self, belief: TargetBelief, now_s: float) -> None:
--- a/endivepick/forwarding/forwarder.py
+++ b/endivepick/forwarding/forwarder.py
@@ -162,7 +162,7 @@
         self.registry.advance_revision(revision)
 
     def on_registry_news(self, news: RegistryNews, now_s: float) -> None:
-        """Apply changes that another instance sent, if they are newer."""
+        """Apply a snapshot or delta that another instance sent, if it is newer."""
         self._handle_belief_changes(self.registry.apply_news(news, now_s), now_s)
 
     def on_target(self, target: Target, now_s: float) -> None:
@@ -207,14 +207,14 @@
             self.effects += self._judge.verify_hint(belief, now_s)
 
     def seen(self, now_s: float) -> FitnessReport:
-        """Return this instance's observations of targets, for the zone's report."""
+        """Build the report of this instance's observations, for the zone's report."""
         report = self.fitness.report(now_s)
         return replace(
             report, silent=self._judge.find_silent_targets(now_s)[:MAX_REPORTED_TARGETS]
         )
 
     def has_suspects(self, now_s: float) -> bool:
-        """Whether there is evidence against a target, or one just became silent."""
+        """Whether a target is an outlier suspect or was recently found silent."""
         return self.fitness.has_suspects or bool(self._judge.find_silent_targets(now_s))
 
     def on_zone_report(self, report: FitnessReport, now_s: float) -> None:
@@ -223,9 +223,10 @@
         self.effects += self._judge.verify_silent_targets(report.silent, now_s)
 
     def on_registry_unavailable(self, now_s: float) -> None:
-        """Handle a time up to now in which the registry could not be read.
+        """Handle a period up to now in which the registry could not be read.
 
-        Either this process was paused, or the store does not answer it.
+        The period has ended or still lasts: either this process was paused, or the
+        store does not answer it.  Grace periods restart.
         """
         self.registry.restart_grace(now_s)
         self._unknown.on_store_unavailable()
@@ -291,7 +292,7 @@
             self.effects += self._judge.suspect(belief, flow, opening.last_s, now_s)
 
     def _check_unanswered_openings(self, now_s: float) -> None:
-        """Report openings that no packet followed to the evidence judge."""
+        """Report unanswered openings to the failure detector."""
         for key, opening in self._openings.pop_unanswered(now_s):
             flow = self.flows.get(key)
             if flow is not None and not flow.opened:
@@ -310,17 +311,17 @@
         known = self.flows.get(packet.flow)
         busy_since_s = None if known is None else known.busy_since_s
         acknowledged = packet.acknowledged if known is None else known.acknowledged
-        reason = self._reset_reason(packet, kind, belief)
+        reason = self._find_reset_reason(packet, kind, belief)
         if reason is not None:
             self.flows.end(packet.flow)
             return self._reset(packet, reason, belief.name, now_s)
         flow_evidence = self.flows.observe(packet, belief, kind, now_s)
         self._record_request(packet, busy_since_s, acknowledged, now_s)
-        self._log_doubt(packet.flow, belief, now_s)
+        self._log_degraded_target(packet.flow, belief, now_s)
         match flow_evidence:
             case FlowEvidence.PROGRESS:
                 self.effects += self._judge.progress(belief, now_s)
-            case FlowEvidence.REPETITION if busy_since_s is not None:
+            case FlowEvidence.RETRANSMISSION if busy_since_s is not None:
                 self.effects += self._judge.suspect(
                     belief, packet.flow, busy_since_s, now_s
                 )
@@ -358,13 +359,15 @@
         if flow.busy_since_s is not None and flow.busy_since_s != busy_since_s:
             self.fitness.requests.record_request(flow, now_s)
 
-    def _log_doubt(self, key: FlowKey, belief: TargetBelief, now_s: float) -> None:
-        """Log, once per flow and doubt, that packets go to a target in doubt."""
+    def _log_degraded_target(
+        self, key: FlowKey, belief: TargetBelief, now_s: float
+    ) -> None:
+        """Log, once per flow and reason, that packets go to a degraded target."""
         degraded_reason = belief.degraded_reason
         flow = self.flows.get(key)
-        if flow is None or flow.noted_doubt == degraded_reason:
+        if flow is None or flow.logged_degraded_reason == degraded_reason:
             return
-        flow.noted_doubt = degraded_reason
+        flow.logged_degraded_reason = degraded_reason
         if degraded_reason:
             age_s = now_s - belief.degraded_since_s
             note = DecisionRecord(
@@ -372,12 +375,12 @@
             )
             self.effects.append(note)
 
-    def _reset_reason(
+    def _find_reset_reason(
         self, packet: Packet, kind: RouteKind, belief: TargetBelief
     ) -> ResetReason | None:
         if packet.closing or belief.reachability is Reachability.REACHABLE:
             return None
-        return self._judge.reset_reason(belief, kind)
+        return self._judge.find_reset_reason(belief, kind)
 
     def _reset(
         self, packet: Packet, reason: ResetReason, target: str, now_s: float
--- a/endivepick/forwarding/held_packets.py
+++ b/endivepick/forwarding/held_packets.py
@@ -1,6 +1,6 @@
 """Packets that are held until their target, or all routes, are known.
 
-Load pattern: an instance has just started, or receives packets of a flow whose target
+Scenario: an instance has just started, or receives packets of a flow whose target
 was registered a moment ago, while many packets of other flows arrive.  The number of
 held packets and the time are bounded, since the caller retransmits soon anyway.
 """
--- a/endivepick/forwarding/mechanisms.py
+++ b/endivepick/forwarding/mechanisms.py
@@ -3,9 +3,9 @@
 Operators leave them enabled.  Disabling one measures its effect in an installation, or
 rules it out when the cause of a failure is investigated.
 
-Three cannot be disabled: packets and lists that are received before the settings are
-read, the cookie, and the target's name in front of each packet, without which no flow
-finds its target.
+Three are always enabled: the handling of packets and lists that arrive before the
+settings are read, the cookie, and the target's number in each packet header.  Without
+the last two, no flow finds its target.
 """
 
 from msgspec import Struct
@@ -45,11 +45,14 @@
         Flows of dead and silent targets are reset before their registry entries are
         given up.
     judge_targets : bool
-        New flows avoid targets that are alive but fail requests.
+        Outlier detection: request outcomes are recorded, baselines are learnt from
+        them, and new flows avoid targets that are alive but fail requests.
     reset_impaired : bool
-        Flows of such targets are reset if it is certain that nothing is lost.
+        Flows of ejected targets are reset once the fault is confirmed: idle flows and,
+        if the target leaves requests unanswered, flows with an overdue idempotent
+        request.
     trickle : bool
-        A target that may have recovered gets few flows at first.
+        A target on probation gets few new flows.
     lapse_grace : bool
         A target whose entry was removed while it was ready is used for a grace period.
     entry_return : bool
--- a/endivepick/forwarding/model.py
+++ b/endivepick/forwarding/model.py
@@ -65,8 +65,8 @@
     sequence : int
         Sequence number of its first byte.
     acknowledged : int
-        Acknowledgement number: bytes of the target that the caller has received.  For
-        an opening packet, the number of copies sent before it.
+        For an opening packet, the number of copies sent before it.  For others, the
+        acknowledgement number: bytes of the target that the caller has received.
     data_bytes : int
         Length of its data.
     """
--- a/endivepick/forwarding/outlier_detector.py
+++ b/endivepick/forwarding/outlier_detector.py
@@ -1,6 +1,6 @@
 """Outlier detection: ejects targets that fail requests although probes succeed.
 
-Load pattern: some targets of a service accept connections and acknowledge data, but
+Scenario: some targets of a service accept connections and acknowledge data, but
 leave requests unanswered, answer them with errors, or lose their connections.  Probes
 do not detect this, and each instance observes few requests per target.
 
@@ -30,7 +30,7 @@
 from endivepick.forwarding.fault_confirmation import (
     ConfirmedFault,
     confirm_fault,
-    has_recent_failure,
+    has_recent_bad_request,
     is_past_startup,
 )
 from endivepick.forwarding.fitness_reports import (
@@ -58,7 +58,7 @@
 OUTLIER_THRESHOLD = 2.0
 """Log-likelihood ratio from which late answers are kept out of the baseline."""
 MAX_EJECTED_SHARE = 0.4
-"""Largest share of a service's slots that may be ejected.
+"""Largest share of a service's slots that may be ejected or on probation.
 
 With more, the remaining targets would be overloaded."""
 EJECTION_TIME_S = 5.0
@@ -66,7 +66,8 @@
 each failed probation."""
 MAX_EJECTION_TIME_S = 24.0
 MIN_PROBATION_S = 2.0
-"""Shortest time for which a returning target gets a small share of new flows only."""
+"""Shortest time for which a target on probation gets only a small share of new
+flows."""
 MAX_PROBATION_S = 10.0
 MIN_PROBATION_ANSWERS = 1.0
 """Decayed count of good answers that ends probation after `MIN_PROBATION_S`; with
@@ -148,7 +149,7 @@
                 round(belief.requests.failed, 1),
                 round(belief.requests.poor, 1),
                 instances=int(belief.requests.bad >= MIN_REPORTED_BAD),
-                fresh=int(has_recent_failure(belief.requests, now_s)),
+                fresh=int(has_recent_bad_request(belief.requests, now_s)),
                 late=round(belief.requests.late, 1),
             )
             for belief in suspects[:MAX_REPORTED_TARGETS]
@@ -389,7 +390,7 @@
 
 
 def _has_passed_probation(belief: TargetBelief, now_s: float) -> bool:
-    """Whether a returning target has completed its probation."""
+    """Whether a target on probation has completed it."""
     probation_s = now_s - belief.fitness_since_s
     if belief.requests.good >= MIN_PROBATION_ANSWERS:
         return probation_s >= MIN_PROBATION_S
--- a/endivepick/forwarding/pauses.py
+++ b/endivepick/forwarding/pauses.py
@@ -1,6 +1,6 @@
 """Detection of pauses of this process, after which its observations are invalid.
 
-Load pattern: an instance is suspended for seconds while the fabric routes its flows to
+Scenario: an instance is suspended for seconds while the fabric routes its flows to
 other instances.  When it resumes, it reads packets that waited in its socket.  Callers
 have retransmitted them through other instances since, where the answers were
 acknowledged.  Counted as unanswered, these requests would eject a target that serves
--- a/endivepick/forwarding/placement.py
+++ b/endivepick/forwarding/placement.py
@@ -20,9 +20,9 @@
 __all__ = ["Candidates", "Placement", "choose_target", "compute_own_zone_share"]
 
 TRIAL_FLOW_SHARE = 0.05
-"""Share of new flows for which targets that may have recovered are considered.  Such a
-target has no flows, so without this limit it would get all new flows even if it has
-not recovered."""
+"""Share of new flows for which targets on probation are considered.  Such a target has
+no flows, so without this limit it would get all new flows even if it has not
+recovered."""
 
 
 class Candidates(Struct, frozen=True):
@@ -36,13 +36,13 @@
     every : list of TargetBelief
         All of them.
     own, others : list of TargetBelief
-        Reachable targets that are not impaired, in the own zone and in others.
+        Reachable targets that are not ejected, in the own zone and in others.
     all_slots : int
         Sum of the slots of `own` and `others`.
     impaired : list of TargetBelief
-        Reachable targets that are impaired.
+        Reachable targets that are ejected.
     returning : bool
-        Some targets of the own zone may have recovered and are on probation.
+        Some targets of the own zone are on probation.
     """
 
     every: list[TargetBelief]
@@ -68,7 +68,11 @@
         )
 
     def exclude(self, tried: Sequence[str]) -> "Candidates":
-        """Return the candidates without targets that were already tried."""
+        """Return the candidates without targets that were already tried.
+
+        Only `own` and `others` lose them.  `every` and `impaired` keep them, so a flow
+        for which only ejected targets are left may go to a tried one again.
+        """
         own = [b for b in self.own if b.name not in tried]
         others = [b for b in self.others if b.name not in tried]
         slots = sum(b.target.slots for b in (*own, *others))
@@ -91,7 +95,8 @@
     belief : TargetBelief
         State of the target.
     candidates : int
-        Number of targets to choose from.
+        Number of targets of the service that accept new flows by their registry state,
+        whether or not they are reachable, ejected or already tried.
     load : float
         Its load per slot at that time.
     reason : str
@@ -128,8 +133,8 @@
     now_s : float
         Current time, in seconds.
     repeatable : bool
-        The flow's requests may be retried elsewhere.  Only such flows are used to test
-        whether a target has recovered.
+        The flow's requests may be retried elsewhere.  Only such flows may go to
+        targets on probation while the own zone has others.
 
     Returns
     -------
--- a/endivepick/forwarding/registry.py
+++ b/endivepick/forwarding/registry.py
@@ -58,7 +58,7 @@
         self._beliefs: dict[str, TargetBelief] = {}
         self._by_service: dict[str, dict[str, TargetBelief]] = {}
         self._cookies = CookieDirectory()
-        self._unsettled: dict[str, TargetBelief] = {}
+        self._targets_to_revisit: dict[str, TargetBelief] = {}
         self._candidates: dict[str, Candidates] = {}
         self._unreadable_cookies: dict[int, str] = {}
         self.restarts: list[TargetRestart] = []
@@ -68,8 +68,10 @@
         self.revision = 0
         """Store revision up to which entries are known."""
         self.oldest_delta_revision = 0
-        """Oldest revision from which a delta can be computed; a list hides earlier
-        removals."""
+        """Oldest revision from which a delta is complete.
+
+        A full list does not show entries that were removed before it, so peers with an
+        older revision need a snapshot."""
 
     def __iter__(self) -> Iterator[TargetBelief]:
         return iter(self._beliefs.values())
@@ -78,9 +80,12 @@
         return len(self._beliefs)
 
     @property
-    def unsettled(self) -> list[TargetBelief]:
-        """Targets whose state depends on time; a small subset of all targets."""
-        return list(self._unsettled.values())
+    def targets_to_revisit(self) -> list[TargetBelief]:
+        """Targets that are not present in the registry or not reachable.
+
+        Expiry and probe retries visit only these, a small subset of all targets.
+        """
+        return list(self._targets_to_revisit.values())
 
     def get(self, name: str) -> TargetBelief | None:
         """Return the state of a target, None if it is unknown."""
@@ -168,7 +173,7 @@
             self.revision = max(self.revision, revision)
 
     def apply_news(self, news: RegistryNews, now_s: float) -> list[BeliefChange]:
-        """Apply changes that another instance sent, if they are newer."""
+        """Apply a snapshot or delta that another instance sent, if it is newer."""
         if news.revision <= self.revision:
             return []
         if news.whole:
@@ -184,7 +189,7 @@
         return changes
 
     def news_since(self, revision: int) -> RegistryNews:
-        """Return the changes since a revision, or a snapshot if it is too old."""
+        """Return the delta since a revision, or a snapshot if that is too old."""
         whole = revision < self.oldest_delta_revision
         newer = [b for b in self if whole or b.revision > revision]
         present = (TargetState.READY, TargetState.DRAINING)
@@ -238,7 +243,7 @@
         target = replace(belief.target, born_ms=born_ms, revision=belief.revision)
         after = self._replace_incarnation(belief, target, now_s)
         after.state, after.state_since_s = belief.state, belief.state_since_s
-        self._index_unsettled(after)
+        self._update_revisit_index(after)
         return [_make_restart_change(belief, after, "answered a probe anew", now_s)]
 
     def mark_unreadable(
@@ -288,17 +293,17 @@
         heard_s : float
             When the store last answered, in seconds.  While it does not answer, an
             instance cannot know whether an entry returned.  Without this check, all
-            targets of a service were given up when the store became unavailable to an
+            targets of a service would be given up if the store became unavailable to an
             instance just after it had dropped entries.
         """
         changes: list[BeliefChange] = []
-        for belief in self.unsettled:
+        for belief in self.targets_to_revisit:
             age_s = now_s - belief.state_since_s
             match belief.state:
                 case TargetState.LAPSED if age_s >= self._settings.lapse_grace_s:
                     if not self._is_removal_confirmed(belief, heard_s):
                         continue
-                    reason = "grace over"
+                    reason = "entry did not return within the grace period"
                     changes += self._apply_event(
                         belief, TargetEvent.GRACE_OVER, reason, now_s
                     )
@@ -314,7 +319,7 @@
             belief.state is TargetState.LAPSED
             and now_s - belief.state_since_s >= self._settings.lapse_grace_s
             and not self._is_removal_confirmed(belief, heard_s)
-            for belief in self.unsettled
+            for belief in self.targets_to_revisit
         )
 
     def _is_removal_confirmed(self, belief: TargetBelief, heard_s: float) -> bool:
@@ -324,11 +329,11 @@
         """Restart the grace period of lapsed entries.
 
         Called when the process was paused or the store does not answer: the entries may
-        have returned meanwhile, or may still return.  Without the restart they were
-        given up before the list was read again, and openings were refused for lack of
-        targets.
+        have returned meanwhile, or may still return.  Without the restart they
+        would be given up before the list is read again, and openings would be refused
+        for lack of targets.
         """
-        for belief in self.unsettled:
+        for belief in self.targets_to_revisit:
             if belief.state is TargetState.LAPSED:
                 belief.state_since_s = now_s
 
@@ -352,7 +357,7 @@
             belief.reachability = after
             belief.reachability_since_s = now_s
             self._candidates.pop(belief.target.service, None)
-            self._index_unsettled(belief)
+            self._update_revisit_index(belief)
             changes.append(
                 _make_change(belief, before.value, after.value, reason, age_s)
             )
@@ -422,17 +427,17 @@
         belief.state = state
         belief.state_since_s = now_s
         self._candidates.pop(belief.target.service, None)
-        self._index_unsettled(belief)
+        self._update_revisit_index(belief)
         return [_make_change(belief, before.value, state.value, reason, age_s)]
 
-    def _index_unsettled(self, belief: TargetBelief) -> None:
-        """Index the targets that a tick must visit; it must not visit all."""
+    def _update_revisit_index(self, belief: TargetBelief) -> None:
+        """Add a target to `targets_to_revisit`, or remove it from there."""
         present = belief.state in (TargetState.READY, TargetState.DRAINING)
         settled = present and belief.reachability is Reachability.REACHABLE
         if settled:
-            self._unsettled.pop(belief.name, None)
+            self._targets_to_revisit.pop(belief.name, None)
         else:
-            self._unsettled[belief.name] = belief
+            self._targets_to_revisit[belief.name] = belief
 
     def _forget(self, belief: TargetBelief) -> None:
         self.oldest_delta_revision = max(self.oldest_delta_revision, belief.revision)
@@ -440,7 +445,7 @@
 
     def _remove(self, belief: TargetBelief) -> None:
         del self._beliefs[belief.name]
-        self._unsettled.pop(belief.name, None)
+        self._targets_to_revisit.pop(belief.name, None)
         self._leave_service(belief)
         self._cookies.remove(belief.name)
         self._candidates.clear()
--- a/endivepick/forwarding/registry_news.py
+++ b/endivepick/forwarding/registry_news.py
@@ -1,4 +1,4 @@
-"""Registry changes that one instance sends to another."""
+"""Snapshots and deltas of the registry that one instance sends to another."""
 
 from msgspec import Struct
 
@@ -27,18 +27,19 @@
 
 
 class RegistryNews(Struct, frozen=True):
-    """Changes of the registry since a revision.
+    """Snapshot of the registry, or its delta since a revision.
 
     Attributes
     ----------
     targets : list of Target
-        Entries written since then.
+        Readable entries; in a delta, those written since the revision.
     removed : list of RemovedTarget
-        Entries that were removed or became unreadable since then.
+        Removed and unreadable entries; in a delta, those that became so since the
+        revision.
     whole : bool
         A snapshot instead of a delta: entries that are not in `targets` were removed.
     revision : int
-        Store revision up to which the changes are complete.
+        Store revision up to which the snapshot or delta is complete.
     """
 
     targets: list[Target]
--- a/endivepick/forwarding/request_counter.py
+++ b/endivepick/forwarding/request_counter.py
@@ -18,6 +18,9 @@
 class RequestCounter:
     """Counts requests of each target as good, unanswered, short or late.
 
+    Unanswered requests are counted in `RequestCounts.failed`, and short ones in
+    `RequestCounts.poor`.
+
     Parameters
     ----------
     flows : FlowTable
@@ -80,16 +83,16 @@
             return
         baseline = self._find_baseline(flow)
         short = baseline is not None and baseline.is_short(size_bytes)
-        late, flow.overdue = flow.overdue, False
+        was_overdue, flow.overdue = flow.overdue, False
         counted_before = flow.answered and not flow.served
         flow.answered = True
         flow.served = flow.served or not short
         counts = decay(flow.belief.requests, now_s)
-        if late:
+        if was_overdue:
             counts.failed = max(0.0, counts.failed - 1.0)
         if not (short and counted_before):
-            self._count_answer(flow, late, short, now_s)
-        if not late or not self._is_outlier(flow.belief, now_s):
+            self._count_answer(flow, was_overdue, short, now_s)
+        if not was_overdue or not self._is_outlier(flow.belief, now_s):
             service = flow.belief.target.service
             self._baselines.add(service, flow.kind, waited_s, size_bytes)
 
@@ -124,17 +127,17 @@
         self.forget_callers(name)
 
     def _count_answer(
-        self, flow: ObservedFlow, late: bool, short: bool, now_s: float
+        self, flow: ObservedFlow, was_overdue: bool, short: bool, now_s: float
     ) -> None:
         counts = flow.belief.requests
         if short:
             counts.poor += 1.0
             counts.last_poor_s = now_s
-        elif late:
+        elif was_overdue:
             counts.late += 1.0
         else:
             counts.good += 1.0
-        if short or late:
+        if short or was_overdue:
             self._add_suspect(flow)
 
     def _find_baseline(self, flow: ObservedFlow) -> RequestBaseline | None:
--- a/endivepick/forwarding/request_sums.py
+++ b/endivepick/forwarding/request_sums.py
@@ -11,11 +11,11 @@
     good : float
         Answered within the baseline.
     failed : float
-        Not answered until long after the baseline.
+        Unanswered long after the baseline; taken back once an answer begins.
     poor : float
-        Answered with a far shorter answer than the baseline, which indicates an error.
+        Short: answered with far less than the baseline, which indicates an error.
     late : float
-        Answered with the usual size, but far later than the baseline.
+        Answered with a size within the baseline, but far later.
     """
 
     __slots__ = ()
--- a/endivepick/forwarding/service_baselines.py
+++ b/endivepick/forwarding/service_baselines.py
@@ -1,6 +1,6 @@
 """Request baselines of each service, learnt by an instance and merged within its zone.
 
-Load pattern: hundreds of instances, each of which observes a few requests per second.
+Scenario: hundreds of instances, each of which observes a few requests per second.
 Alone, each would need tens of seconds after every restart before it could detect an
 overdue request; together, the instances of a zone have a baseline within a second.
 """
@@ -21,6 +21,8 @@
 class UsualCounts(Struct, frozen=True, array_like=True):
     """Baseline of requests of one kind, as exchanged between instances.
 
+    "Usual" in names of reports means that a value belongs to a baseline.
+
     Attributes
     ----------
     service : str
--- a/endivepick/forwarding/settings.py
+++ b/endivepick/forwarding/settings.py
@@ -39,8 +39,8 @@
         A flow without packets for longer no longer counts as load, in seconds; the
         timeout of the configuration takes precedence.
     repeat_after_s : float
-        Repeated data that arrives sooner than this was reordered in the network, in
-        seconds; callers retransmit after 0.2 s.
+        Data retransmitted sooner than this was reordered in the network, in seconds;
+        callers retransmit after 0.2 s.
     opening_answer_s : float
         The target is probed when no packet has followed an opening for this long, in
         seconds; callers send a copy after 0.2 s without an answer, and data within some
@@ -53,19 +53,18 @@
         when all attempts fail: one packet may be lost, or this machine may process the
         answer late.
     probe_compared_s : float
-        The last attempt ends after this time, in seconds, or as long after another
-        target has accepted a connection as that connection took.  This rules out a
-        delay in this instance's own link or processor.
+        Minimum duration of the last attempt, in seconds.  It then ends when the control
+        target has answered and as much time again has passed, or at its own timeout.
+        This rules out a delay in this instance's own link or processor.
     zones : int
         Number of availability zones of the installation.
     zone_headroom : float
-        A zone keeps all its flows while its share of the slots, times this factor,
-        covers its share of the flows; services run at a third to a half of their
-        capacity.
+        A zone keeps all its flows while ``own_slots * zones / all_slots`` times this
+        factor is at least 1; services run at a third to a half of their capacity.
     spill_busy : float
         Requests in progress per slot, as seen by one instance, from which new flows
-        leave the zone.  Its instances share the targets, which have a queue at that
-        point.
+        leave the zone.  Each instance sees only its own requests, so at this value at
+        all instances, the targets already have queues.
     busy_weight : float
         Number of idle flows that a request in progress counts as, in addition to its
         own flow; an idle flow keeps a slot busy for a few percent of the time.
--- a/endivepick/forwarding/tests/test_forwarder.py
+++ b/endivepick/forwarding/tests/test_forwarder.py
@@ -205,7 +205,7 @@
         verdict = self.core.on_packet(data(flow_key(), self.cookie), b"", 1.1)
         self.assertIsInstance(verdict, Forward)
 
-    def test_packets_to_a_target_in_doubt_are_logged_once(self):
+    def test_packets_to_a_degraded_target_are_logged_once(self):
         draining = make_target("i-5", phase=TargetPhase.DRAINING, revision=20)
         self.core.on_packet(data(flow_key(), self.cookie), b"", 1.0)
         self.core.on_target(draining, 2.0)
--- a/endivepick/forwarding/tests/test_registry.py
+++ b/endivepick/forwarding/tests/test_registry.py
@@ -159,19 +159,19 @@
         self.registry.apply_entry(draining, 2.0)
         self.assertEqual(len(self.candidates()), 6)
 
-    def test_unsettled_targets_are_those_that_a_tick_may_change(self):
-        self.assertEqual(self.registry.unsettled, [])
+    def test_targets_to_revisit_are_those_that_a_tick_may_change(self):
+        self.assertEqual(self.registry.targets_to_revisit, [])
         self.registry.apply_removal("i-2", 25, 5.0)
         silent = self.registry.get("i-3")
         event = ReachabilityEvent.PROBE_SILENT
         self.registry.record_reachability(silent, event, "probe: silent", 5.0)
-        names = {belief.name for belief in self.registry.unsettled}
+        names = {belief.name for belief in self.registry.targets_to_revisit}
         self.assertEqual(names, {"i-2", "i-3"})
         event = ReachabilityEvent.PROGRESS
         self.registry.record_reachability(silent, event, "progress", 6.0)
         self.registry.expire(5.0 + GRACE_S)
         self.registry.expire(5.0 + GRACE_S + RETENTION_S)
-        self.assertEqual(self.registry.unsettled, [])
+        self.assertEqual(self.registry.targets_to_revisit, [])
 
     def test_a_target_that_was_gone_takes_flows_when_it_is_listed_again(self):
         self.registry.apply_removal("i-2", 25, 5.0)
--- a/endivepick/forwarding/tests/test_restarts.py
+++ b/endivepick/forwarding/tests/test_restarts.py
@@ -1,6 +1,6 @@
 """Targets that restart under their names.
 
-Load pattern: a target's process ends and restarts within a second.  Callers still hold
+Scenario: a target's process ends and restarts within a second.  Callers still hold
 flows that the new process does not know, and instances learn of the restart in several
 ways, at different times.
 """
@@ -118,7 +118,7 @@
         self.restart(19.0, 20.0)
         self.core.tick(30.0)
         self.assertIs(self.belief().state, TargetState.READY)
-        self.assertEqual(self.core.registry.unsettled, [])
+        self.assertEqual(self.core.registry.targets_to_revisit, [])
 
     def test_restarted_target_of_another_service_gets_no_flows_of_the_former(self):
         self.restart(19.0, 20.0, service="packs")
--- a/endivepick/forwarding/tests/test_unreadable.py
+++ b/endivepick/forwarding/tests/test_unreadable.py
@@ -1,6 +1,6 @@
 """Entries that become unreadable, of known targets and of unknown ones.
 
-Load pattern: another writer corrupts entries of the registry while flows are open.
+Scenario: another writer corrupts entries of the registry while flows are open.
 """
 
 import unittest
--- a/endivepick/forwarding/unknown_cookies.py
+++ b/endivepick/forwarding/unknown_cookies.py
@@ -23,7 +23,9 @@
     Parameters
     ----------
     settle_s : float
-        How long after the first list a missing entry may still return, in seconds.
+        How long after the first list a missing entry may still return, in seconds.  The
+        forwarding core passes the grace period `lapse_grace_s`, which also covers the
+        propagation of the entry, and is 0 if `lapse_grace` is disabled.
 
     Examples
     --------
