--- a/endivepick/forwarder/news.py
+++ b/endivepick/forwarder/news_handler.py
@@ -4,9 +4,9 @@
 
 from endivepick.clock import steady_now_s
 from endivepick.forwarder.decision_log import DecisionLog
-from endivepick.forwarder.feed import FeedChanges, FeedList
 from endivepick.forwarder.peers import PeerSnapshot
 from endivepick.forwarder.ports import FeedKind, ItemRemoved, UnreadableItem
+from endivepick.forwarder.store_feed import FeedChanges, FeedList
 from endivepick.forwarding import (
     Configuration,
     ConfigurationChange,
--- a/endivepick/forwarder/tests/test_feeding.py
+++ b/endivepick/forwarder/tests/test_feeding.py
@@ -6,14 +6,13 @@
 import msgspec
 
 from endivepick.clock import steady_now_s
-from endivepick.forwarder import feeding
-from endivepick.forwarder.feeding import ZoneFeeder
 from endivepick.forwarder.http import Response, http_server
 from endivepick.forwarder.peers import SEEN_PATH
 from endivepick.forwarder.ports import FeedKind
 from endivepick.forwarder.settings import decode_settings
 from endivepick.forwarder.tests.test_settings import GOOD
 from endivepick.forwarder.tests.zone_case import NOTHING, TIMEOUT_S, ZoneCase
+from endivepick.forwarder.zone_feeder import ZoneFeeder
 from endivepick.forwarder.zone_messages import (
     FeederAhead,
     FeederFull,
--- a/endivepick/forwarder/tests/test_zone.py
+++ b/endivepick/forwarder/tests/test_zone.py
@@ -6,7 +6,6 @@
 import msgspec
 
 from endivepick.clock import steady_now_s
-from endivepick.forwarder import zone
 from endivepick.forwarder.freshness import ANSWER_SLACK_S
 from endivepick.forwarder.http import Response, http_server
 from endivepick.forwarder.ports import FeederClaim, FeedKind
--- a/endivepick/forwarder/feeding.py
+++ b/endivepick/forwarder/zone_feeder.py
@@ -6,14 +6,14 @@
 from gevent.event import Event
 
 from endivepick.clock import steady_now_s
-from endivepick.forwarder.feed import StoreFeed, heard_before_s
-from endivepick.forwarder.feeders import Askers
+from endivepick.forwarder.feeder_election import Askers
 from endivepick.forwarder.freshness import POLL_WAIT_S, freshness_of
 from endivepick.forwarder.http import Response, json_response
 from endivepick.forwarder.logs import BoundedLog
-from endivepick.forwarder.peer_book import Neighbours
+from endivepick.forwarder.peer_directory import Neighbours
 from endivepick.forwarder.ports import FeedKind
 from endivepick.forwarder.settings import ForwarderSettings
+from endivepick.forwarder.store_feed import StoreFeed, heard_before_s
 from endivepick.forwarder.zone_messages import (
     FeederAhead,
     FeederFull,
