--- a/endivepick/forwarding/forwarder.py
+++ b/endivepick/forwarding/forwarder.py
@@ -79,7 +79,9 @@
         """Effects to carry out; the caller clears the list."""
         self._random_share = random_share
         self._openings = RecentOpenings(settings)
-        self._judge = FailureDetector(settings, self.registry, self.flows, self.routes)
+        self._failure_detector = FailureDetector(
+            settings, self.registry, self.flows, self.routes
+        )
         self.fitness = OutlierDetector(settings, self.registry, self.flows)
         self._unknown = UnknownCookies(settings.lapse_grace_s)
         self._held = HeldPackets(settings)
@@ -190,7 +192,7 @@
         changes = self.registry.apply_start_time(belief, result.shown_born_ms, now_s)
         self._handle_belief_changes(changes, now_s)
         belief = self.registry.get(result.target) or belief
-        self.effects += self._judge.on_probe(belief, result.outcome, now_s)
+        self.effects += self._failure_detector.on_probe(belief, result.outcome, now_s)
 
     def on_wall_clock(self, ahead_s: float) -> None:
         """Record how far the wall clock is ahead of this process's steady clock.
@@ -204,23 +206,30 @@
         """Handle a peer's hint that a target does not answer."""
         belief = self.registry.get(target)
         if belief is not None:
-            self.effects += self._judge.verify_hint(belief, now_s)
+            self.effects += self._failure_detector.verify_hint(belief, now_s)
 
     def seen(self, now_s: float) -> FitnessReport:
         """Build the report of this instance's observations, for the zone's report."""
         report = self.fitness.report(now_s)
         return replace(
-            report, silent=self._judge.find_silent_targets(now_s)[:MAX_REPORTED_TARGETS]
+            report,
+            silent=self._failure_detector.find_silent_targets(now_s)[
+                :MAX_REPORTED_TARGETS
+            ],
         )
 
     def has_suspects(self, now_s: float) -> bool:
         """Whether a target is an outlier suspect or was recently found silent."""
-        return self.fitness.has_suspects or bool(self._judge.find_silent_targets(now_s))
+        return self.fitness.has_suspects or bool(
+            self._failure_detector.find_silent_targets(now_s)
+        )
 
     def on_zone_report(self, report: FitnessReport, now_s: float) -> None:
         """Apply the merged observations of the instances of the zone."""
         self.fitness.receive_zone_report(report, now_s)
-        self.effects += self._judge.verify_silent_targets(report.silent, now_s)
+        self.effects += self._failure_detector.verify_silent_targets(
+            report.silent, now_s
+        )
 
     def on_registry_unavailable(self, now_s: float) -> None:
         """Handle a period up to now in which the registry could not be read.
@@ -248,7 +257,7 @@
         self._handle_belief_changes(self.registry.expire(now_s, heard_s), now_s)
         if self.registry.awaits_confirmation(now_s, heard_s):
             self._request_registry_read(now_s)
-        self.effects += self._judge.retry_probes(now_s)
+        self.effects += self._failure_detector.retry_probes(now_s)
         self.effects += self.fitness.tick(now_s)
 
     def _on_opening(self, packet: Packet, route: Route | None, now_s: float) -> Verdict:
@@ -289,14 +298,16 @@
     ) -> None:
         belief = self.registry.get(opening.targets[-1])
         if belief is not None:
-            self.effects += self._judge.suspect(belief, flow, opening.last_s, now_s)
+            self.effects += self._failure_detector.suspect(
+                belief, flow, opening.last_s, now_s
+            )
 
     def _check_unanswered_openings(self, now_s: float) -> None:
         """Report unanswered openings to the failure detector."""
         for key, opening in self._openings.pop_unanswered(now_s):
             flow = self.flows.get(key)
             if flow is not None and not flow.opened:
-                self.effects += self._judge.on_opening_unanswered(
+                self.effects += self._failure_detector.on_opening_unanswered(
                     flow.belief, key, opening.last_s, now_s
                 )
 
@@ -320,9 +331,9 @@
         self._log_degraded_target(packet.flow, belief, now_s)
         match flow_evidence:
             case FlowEvidence.PROGRESS:
-                self.effects += self._judge.progress(belief, now_s)
+                self.effects += self._failure_detector.progress(belief, now_s)
             case FlowEvidence.RETRANSMISSION if busy_since_s is not None:
-                self.effects += self._judge.suspect(
+                self.effects += self._failure_detector.suspect(
                     belief, packet.flow, busy_since_s, now_s
                 )
             case _:
@@ -380,7 +391,7 @@
     ) -> ResetReason | None:
         if packet.closing or belief.reachability is Reachability.REACHABLE:
             return None
-        return self._judge.find_reset_reason(belief, kind)
+        return self._failure_detector.find_reset_reason(belief, kind)
 
     def _reset(
         self, packet: Packet, reason: ResetReason, target: str, now_s: float
@@ -438,7 +449,9 @@
         restarts, self.registry.restarts = self.registry.restarts, []
         for restart in restarts:
             began_s = self._earliest_start_s(restart.after.target, now_s)
-            self.effects += self._judge.reset_former_incarnation(restart, began_s)
+            self.effects += self._failure_detector.reset_former_incarnation(
+                restart, began_s
+            )
 
     def _earliest_start_s(self, target: Target, now_s: float) -> float:
         """Return a lower bound of a target's start, in seconds of this process."""
@@ -457,11 +470,17 @@
                 continue
             match belief.state:
                 case TargetState.LAPSED:
-                    self.effects += self._judge.on_entry_removed(belief, now_s)
+                    self.effects += self._failure_detector.on_entry_removed(
+                        belief, now_s
+                    )
                 case TargetState.UNREADABLE:
-                    self.effects += self._judge.on_entry_removed(belief, now_s)
+                    self.effects += self._failure_detector.on_entry_removed(
+                        belief, now_s
+                    )
                 case TargetState.GONE if belief.flows:
-                    self.effects += self._judge.on_entry_removed(belief, now_s)
-                    self.effects += self._judge.reset_flows(belief)
+                    self.effects += self._failure_detector.on_entry_removed(
+                        belief, now_s
+                    )
+                    self.effects += self._failure_detector.reset_flows(belief)
                 case _:
                     pass
--- a/endivepick/model/_evidence_mutants.py
+++ b/endivepick/model/_evidence_mutants.py
@@ -160,7 +160,9 @@
 
 def _judged_by(mutant: type[FailureDetector]) -> Callable[[ForwardingCore], None]:
     def change(core: ForwardingCore) -> None:
-        core._judge = mutant(core.settings, core.registry, core.flows, core.routes)
+        core._failure_detector = mutant(
+            core.settings, core.registry, core.flows, core.routes
+        )
 
     return change
 
--- a/endivepick/model/_restart_mutants.py
+++ b/endivepick/model/_restart_mutants.py
@@ -82,7 +82,7 @@
     def on_target(self, target: Target, now_s: float) -> None:
         """Let the judge reset all flows."""
         judge = AllReset(self.settings, self.registry, self.flows, self.routes)
-        self._judge = judge
+        self._failure_detector = judge
         super().on_target(target, now_s)
 
 
