--- a/endivepick/forwarder/tests/test_feeding.py
+++ b/endivepick/forwarder/tests/test_feeding.py
@@ -211,7 +211,7 @@
             asked.append((path, ZoneQuestion.read(query)))
             return Response(200)
 
-        self.core.fitness.receive_zone_report(self.report(5.0), steady_now_s())
+        self.core.outlier_detector.receive_zone_report(self.report(5.0), steady_now_s())
         self.core.registry.get("i-1").requests.failed = 5.0
         self.core.registry.get("i-1").requests.at_s = steady_now_s()
         with http_server("127.0.0.1:0", answer) as address:
@@ -249,7 +249,9 @@
         self.feed()
         for failed in (-5.0, 1e300):
             self.assertEqual(self.ask(failed).targets, [])
-        self.core.fitness.receive_zone_report(self.report(-1.0, -5.0), steady_now_s())
+        self.core.outlier_detector.receive_zone_report(
+            self.report(-1.0, -5.0), steady_now_s()
+        )
         self.core.tick(steady_now_s())
 
     def test_answer_of_an_older_build_has_an_empty_report(self):
--- a/endivepick/forwarder/zone_feeder.py
+++ b/endivepick/forwarder/zone_feeder.py
@@ -166,7 +166,7 @@
         if not self.feeding:
             return
         merged = self._merge_zone_reports()
-        outliers = self._core.fitness.outlier_names(steady_now_s())
+        outliers = self._core.outlier_detector.outlier_names(steady_now_s())
         outliers |= {target.name for target in merged.silent}
         if not outliers <= self._known_outliers:
             self._alert_number += 1
@@ -188,7 +188,7 @@
             a: entry for a, entry in self._reports.items() if entry[0] >= oldest_s
         }
         reports = [
-            self._core.seen(now_s),
+            self._core.build_report(now_s),
             *(report for _, report in self._reports.values()),
         ]
         if now_s - self._baselines_at_s >= BASELINE_PERIOD_S:
--- a/endivepick/forwarder/zone_member.py
+++ b/endivepick/forwarder/zone_member.py
@@ -357,7 +357,7 @@
             # is requested again.
             config = max(config, self._requested_config_revision)
         registry = self._core.registry.revision
-        report = self._core.seen(steady_now_s())
+        report = self._core.build_report(steady_now_s())
         poll = ZoneQuestion(self._settings.advertised_address, config, registry, report)
         try:
             path = f"{NEWS_PATH}?{poll.query}"
@@ -400,7 +400,7 @@
             gevent.spawn(self._send_report, self._feeder_address)
 
     def _send_report(self, feeder: str) -> None:
-        report = self._core.seen(steady_now_s())
+        report = self._core.build_report(steady_now_s())
         if not report.is_urgent:
             return
         poll = ZoneQuestion(self._settings.advertised_address, 0, 0, report)
--- a/endivepick/forwarding/forwarder.py
+++ b/endivepick/forwarding/forwarder.py
@@ -82,7 +82,7 @@
         self._failure_detector = FailureDetector(
             settings, self.registry, self.flows, self.routes
         )
-        self.fitness = OutlierDetector(settings, self.registry, self.flows)
+        self.outlier_detector = OutlierDetector(settings, self.registry, self.flows)
         self._unknown = UnknownCookies(settings.lapse_grace_s)
         self._held = HeldPackets(settings)
         self._registry_requested_s = float("-inf")
@@ -208,9 +208,9 @@
         if belief is not None:
             self.effects += self._failure_detector.verify_hint(belief, now_s)
 
-    def seen(self, now_s: float) -> FitnessReport:
+    def build_report(self, now_s: float) -> FitnessReport:
         """Build the report of this instance's observations, for the zone's report."""
-        report = self.fitness.report(now_s)
+        report = self.outlier_detector.report(now_s)
         return replace(
             report,
             silent=self._failure_detector.find_silent_targets(now_s)[
@@ -220,13 +220,13 @@
 
     def has_suspects(self, now_s: float) -> bool:
         """Whether a target is an outlier suspect or was recently found silent."""
-        return self.fitness.has_suspects or bool(
+        return self.outlier_detector.has_suspects or bool(
             self._failure_detector.find_silent_targets(now_s)
         )
 
     def on_zone_report(self, report: FitnessReport, now_s: float) -> None:
         """Apply the merged observations of the instances of the zone."""
-        self.fitness.receive_zone_report(report, now_s)
+        self.outlier_detector.receive_zone_report(report, now_s)
         self.effects += self._failure_detector.verify_silent_targets(
             report.silent, now_s
         )
@@ -258,7 +258,7 @@
         if self.registry.awaits_confirmation(now_s, heard_s):
             self._request_registry_read(now_s)
         self.effects += self._failure_detector.retry_probes(now_s)
-        self.effects += self.fitness.tick(now_s)
+        self.effects += self.outlier_detector.tick(now_s)
 
     def _on_opening(self, packet: Packet, route: Route | None, now_s: float) -> Verdict:
         if route is None:
@@ -366,9 +366,9 @@
         if busy_since_s is not None and flow.busy_since_s != busy_since_s:
             size_bytes = (packet.acknowledged - acknowledged) % SEQUENCE_NUMBERS
             waited_s = now_s - busy_since_s
-            self.fitness.requests.answered(flow, waited_s, size_bytes, now_s)
+            self.outlier_detector.requests.answered(flow, waited_s, size_bytes, now_s)
         if flow.busy_since_s is not None and flow.busy_since_s != busy_since_s:
-            self.fitness.requests.record_request(flow, now_s)
+            self.outlier_detector.requests.record_request(flow, now_s)
 
     def _log_degraded_target(
         self, key: FlowKey, belief: TargetBelief, now_s: float
--- a/endivepick/forwarding/tests/test_fitness.py
+++ b/endivepick/forwarding/tests/test_fitness.py
@@ -138,10 +138,10 @@
 
     def tick(self, share=True):
         if share and len(self.cores) > 1:
-            reports = [core.fitness.report(self.now_s) for core in self.cores]
+            reports = [core.outlier_detector.report(self.now_s) for core in self.cores]
             together = merge_reports(reports)
             for core in self.cores:
-                core.fitness.receive_zone_report(together, self.now_s)
+                core.outlier_detector.receive_zone_report(together, self.now_s)
         for core in self.cores:
             core.tick(self.now_s)
             resets = take(core, Reset)
@@ -467,7 +467,7 @@
         for _ in range(20):
             zone.now_s += TICK_S
             merged = merge_reports([self.make_report(failed=10_000.0)])
-            core.fitness.receive_zone_report(merged, zone.now_s)
+            core.outlier_detector.receive_zone_report(merged, zone.now_s)
             core.tick(zone.now_s)
         self.assertEqual(take(core, Reset), [])
 
@@ -482,7 +482,9 @@
         ]
         for _ in range(20):
             zone.now_s += TICK_S
-            core.fitness.receive_zone_report(merge_reports(reports), zone.now_s)
+            core.outlier_detector.receive_zone_report(
+                merge_reports(reports), zone.now_s
+            )
             core.tick(zone.now_s)
             resets += take(core, Reset)
         self.assertEqual(zone.ejected(), {"i-3"})
@@ -492,7 +494,7 @@
         zone = Zone()
         zone.run(5.0, 80.0)
         core = zone.cores[0]
-        core.fitness.receive_zone_report(
+        core.outlier_detector.receive_zone_report(
             self.make_report(failed=20.0, born_ms=7), zone.now_s
         )
         core.tick(zone.now_s)
@@ -502,7 +504,7 @@
         zone = Zone()
         zone.run(5.0, 80.0)
         core = zone.cores[0]
-        core.fitness.receive_zone_report(
+        core.outlier_detector.receive_zone_report(
             self.make_report(failed=20.0), zone.now_s - 5.0
         )
         core.tick(zone.now_s)
@@ -514,7 +516,7 @@
         zone = Zone(targets=60)
         zone.run(4.0, 200.0)
         core, counted = zone.cores[0], []
-        samples = core.fitness._samples
+        samples = core.outlier_detector._samples
         sum_requests = samples._sum_requests
 
         def count_and_sum(service, now_s):
--- a/endivepick/forwarding/tests/test_silence.py
+++ b/endivepick/forwarding/tests/test_silence.py
@@ -64,7 +64,7 @@
         first = self.make()
         name = self.silent_at(first).name
         core, flow, _ = self.with_flows_at(name)
-        core.on_zone_report(merge_reports([first.seen(3.1)]), 3.1)
+        core.on_zone_report(merge_reports([first.build_report(3.1)]), 3.1)
         self.assertEqual(answer_probes(core, SILENT, 3.4), [name])
         self.assertIn(flow, [reset.flow for reset in take(core, Reset)])
 
@@ -74,7 +74,7 @@
         core, _, belief = self.with_flows_at(name)
         probed = []
         for n in range(20):
-            core.on_zone_report(first.seen(3.1), 3.1 + 0.7 * n)
+            core.on_zone_report(first.build_report(3.1), 3.1 + 0.7 * n)
             probed += answer_probes(core, ALIVE, 3.2 + 0.7 * n)
         self.assertEqual(probed, [name])
         self.assertIs(belief.reachability, Reachability.REACHABLE)
@@ -85,7 +85,7 @@
         self.silent_at(first)
         core = self.make()
         core.effects.clear()
-        core.on_zone_report(first.seen(3.1), 3.1)
+        core.on_zone_report(first.build_report(3.1), 3.1)
         self.assertEqual(take(core, ProbeTarget), [])
 
     def test_report_on_another_incarnation_is_ignored(self):
@@ -98,15 +98,15 @@
         core = self.make()
         self.silent_at(core)
         self.assertTrue(core.has_suspects(3.5))
-        self.assertTrue(core.seen(3.5).is_urgent)
+        self.assertTrue(core.build_report(3.5).is_urgent)
         self.assertFalse(core.has_suspects(9.0))
-        self.assertFalse(core.seen(9.0).is_urgent)
+        self.assertFalse(core.build_report(9.0).is_urgent)
 
     def test_targets_of_other_zones_are_not_reported(self):
         # A partitioned zone finds all targets of other zones silent.
         core = make_core([make_target(f"i-{n}", "b") for n in range(3)])
         self.silent_at(core)
-        self.assertEqual(core.seen(3.1).silent, [])
+        self.assertEqual(core.build_report(3.1).silent, [])
 
     def test_number_of_reported_targets_is_bounded(self):
         silent = [SilentTarget(f"i-{n}", 1) for n in range(1000)]
@@ -118,11 +118,11 @@
         first = self.make()
         name = self.silent_at(first).name
         core, _, _ = self.with_flows_at(name, mechanisms=off)
-        core.on_zone_report(first.seen(3.1), 3.1)
+        core.on_zone_report(first.build_report(3.1), 3.1)
         self.assertEqual(take(core, ProbeTarget), [])
         reporting = self.make(mechanisms=off)
         self.silent_at(reporting)
-        self.assertEqual(reporting.seen(3.1).silent, [])
+        self.assertEqual(reporting.build_report(3.1).silent, [])
 
 
 class TestControl(unittest.TestCase):
