--- a/endivepick/membership/_anti_entropy.py
+++ b/endivepick/membership/_anti_entropy.py
@@ -39,7 +39,7 @@
         self._handovers = handovers
         self._outbox = outbox
         self._cursor = 0
-        self._started_s: float | None = None
+        self._last_progress_s: float | None = None
         self._next_request_s = float("-inf")
         self._next_digest_s: float | None = None
 
@@ -53,9 +53,9 @@
             self._continue_joining(now_s, random_number)
 
     def _continue_joining(self, now_s: float, random_number: int) -> None:
-        if self._started_s is None:
-            self._started_s = now_s
-        if now_s - self._started_s >= self._settings.join_timeout_s:
+        if self._last_progress_s is None:
+            self._last_progress_s = now_s
+        if now_s - self._last_progress_s >= self._settings.join_timeout_s:
             self._outbox.log("join timed out; continuing without a peer's view")
             self._table.own.joined = True
             return
@@ -135,7 +135,7 @@
             return
         if next_cursor > self._cursor:
             self._cursor = next_cursor
-            self._started_s = now_s
+            self._last_progress_s = now_s
             self._next_request_s = now_s + self._settings.join_retry_s
             self._send_request(sender)
 
--- a/endivepick/membership/_death_queries.py
+++ b/endivepick/membership/_death_queries.py
@@ -11,9 +11,10 @@
     """Answers queries from the member table or, if it has no entry, by a probe.
 
     Incarnations are random numbers without an order.  An unknown incarnation of a
-    known name is dead if the name answers a later probe as another incarnation.  An
-    incarnation of an unknown name is dead if no update about it arrives within
-    ``unknown_dead_after_s``.
+    known name is dead if the name answers a later probe as another incarnation.  If
+    the name is unknown, unidentified or declared dead, the incarnation is dead if no
+    update about it arrives within ``unknown_dead_after_s``, but not before this
+    instance has joined.
     """
 
     def __init__(
@@ -54,7 +55,7 @@
 
     def prune(self, oldest_s: float) -> None:
         """Remove queries that were first made before a time."""
-        for question in [
+        for query in [
             q for q, asked_s in self._first_asked_s.items() if asked_s < oldest_s
         ]:
-            del self._first_asked_s[question]
+            del self._first_asked_s[query]
--- a/endivepick/membership/_gossip_queue.py
+++ b/endivepick/membership/_gossip_queue.py
@@ -17,7 +17,7 @@
     Parameters
     ----------
     factor : int
-        Each update is sent ``factor * log2(peers)`` times, rounded up.
+        Each update is sent ``factor * ceil(log2(peers + 2))`` times.
     """
 
     def __init__(self, factor: int) -> None:
--- a/endivepick/membership/_handover_log.py
+++ b/endivepick/membership/_handover_log.py
@@ -10,9 +10,9 @@
 from endivepick.membership.settings import MembershipSettings
 
 _MIN_REMAINING_S = 2.0
-"""Received entries with no more remaining time are ignored.
+"""Received entries that expire within this time are ignored.
 
-Remaining times are rounded to whole seconds.
+Remaining times are rounded down to whole seconds.
 """
 
 
--- a/endivepick/membership/_member_table.py
+++ b/endivepick/membership/_member_table.py
@@ -45,8 +45,10 @@
         self.losses = MassLossDetector(settings)
         self.rings = ProbeRings(settings, own.name, own.to_view().zone)
         self.timers = SuspicionTimers(settings, self.losses)
-        self.gossip: GossipQueue[str] = GossipQueue(settings.spread_factor)
-        self.short_gossip: GossipQueue[str] = GossipQueue(settings.spread_factor)
+        # Own status and new incarnations, which always need a full update.
+        self.full_update_queue: GossipQueue[str] = GossipQueue(settings.spread_factor)
+        # Later changes of known incarnations; a short update suffices.
+        self.short_update_queue: GossipQueue[str] = GossipQueue(settings.spread_factor)
         self._by_incarnation: dict[int, Member] = {}
         self._views: dict[str, InstanceView] = {}
         self._eligible_names: set[str] = set()
@@ -79,9 +81,9 @@
         """Return up to ``count`` updates to piggyback on one message."""
         names: list[str] = []
         if not self._has_short_overflow:
-            others = min(len(self.gossip), count // 2)
-            names += self.short_gossip.take(count - others)
-        names += self.gossip.take(count - len(names))
+            others = min(len(self.full_update_queue), count // 2)
+            names += self.short_update_queue.take(count - others)
+        names += self.full_update_queue.take(count - len(names))
         updates = [self.find_update(name) for name in names]
         return [update for update in updates if update is not None]
 
@@ -89,13 +91,13 @@
         """Return short updates for one message if too many are queued for full ones."""
         if not self._has_short_overflow:
             return []
-        names = self.short_gossip.take(self._settings.short_count)
+        names = self.short_update_queue.take(self._settings.short_count)
         members = [self.members[name] for name in names]
         return [member.to_short_update() for member in members]
 
     @property
     def _has_short_overflow(self) -> bool:
-        return len(self.short_gossip) > self._settings.piggyback_count
+        return len(self.short_update_queue) > self._settings.piggyback_count
 
     # Events
 
@@ -186,8 +188,8 @@
         self.dead.pop(name, None)
         self.rings.remove(name)
         self.timers.stop(name)
-        self.gossip.discard(name)
-        self.short_gossip.discard(name)
+        self.full_update_queue.discard(name)
+        self.short_update_queue.discard(name)
         self.losses.remove(name)
         old = self._views.pop(name, None)
         if old is not None:
@@ -196,7 +198,7 @@
 
     def publish_own_status(self) -> None:
         """Gossip and publish a change of this instance's own status."""
-        self.gossip.put(self.own.name, len(self.members))
+        self.full_update_queue.put(self.own.name, len(self.members))
         self._set_view(self.own.name, self.own.to_view())
 
     def publish(self, member: Member) -> None:
@@ -255,7 +257,9 @@
             self.publish_own_status()
         elif own.superseded_by != known:
             self._outbox.add(Superseded(own.superseded_by))
-            self._outbox.log("superseded by another incarnation of this name")
+            self._outbox.log(
+                "superseded by a newer incarnation; beginning planned stop"
+            )
             self.publish_own_status()
 
     def _supersedes(self, update: MemberUpdate, member: Member) -> bool:
@@ -270,11 +274,11 @@
         self.dead.pop(member.name, None)
         self._by_incarnation.pop(member.incarnation, None)
         member.reset_to_incarnation(update, now_s)
-        self.short_gossip.discard(member.name)
+        self.short_update_queue.discard(member.name)
         self._by_incarnation[member.incarnation] = member
         self.rings.add(member.name, member.zone)
         if self._gossip_enabled:
-            self.gossip.put(member.name, len(self.members))
+            self.full_update_queue.put(member.name, len(self.members))
         self._merge_same_incarnation(now_s, member, update, changed=True)
 
     def _record_superseded(self, now_s: float, incarnation: int, name: str) -> None:
@@ -318,10 +322,10 @@
         return self._set_suspect(now_s, member, update.accuser)
 
     def _accepts_reported_death(self, now_s: float, member: Member) -> bool:
-        """Tell whether a death reported by a peer is accepted.
+        """Count the peer as lost; tell whether its reported death is accepted.
 
-        It only counts as a suspicion if a recent probe was answered, or in a mass
-        loss.
+        The report only counts as a suspicion if a recent probe was answered, or in a
+        mass loss.
         """
         self.losses.mark_lost(member.name)
         if now_s - member.last_ack_s < self._settings.fresh_evidence_s:
@@ -341,6 +345,8 @@
         if is_new_suspicion:
             member.set_liveness(Liveness.SUSPECT)
             self.rings.remove(member.name)
+            # Count the peer again if its earlier death was removed from the counts;
+            # `timers.start` then marks it lost.
             self.losses.mark_alive(member.name, member.zone)
             self.timers.start(member.name, now_s)
             self._outbox.log("suspects a peer", member.name)
@@ -364,8 +370,8 @@
     def _gossip_and_publish(self, member: Member) -> None:
         if member.is_identified and self._gossip_enabled:
             # Peers may not know an incarnation whose full update is still queued.
-            known = member.name not in self.gossip
-            queue = self.short_gossip if known else self.gossip
+            known = member.name not in self.full_update_queue
+            queue = self.short_update_queue if known else self.full_update_queue
             queue.put(member.name, len(self.members))
         self.publish(member)
 
--- a/endivepick/membership/_probe_rings.py
+++ b/endivepick/membership/_probe_rings.py
@@ -130,13 +130,17 @@
             yield name
 
     def _find_cross_zone_targets(self, ring: _Ring) -> Iterator[str]:
-        """Yield peers whose nearest predecessor of another zone is this instance."""
+        """Yield peers whose nearest predecessor of another zone is this instance.
+
+        If no instance of another zone precedes a peer within ``_MAX_ZONE_STEPS``, its
+        direct predecessor probes it.
+        """
         following = list(self._next_names(ring, _MAX_ZONE_STEPS))
         if not following:
             return
         zone = self._zone_by_name[following[0]]
         if zone == self._zone:
-            if self._is_last_of_zone_run(ring):
+            if self._successor_lacks_cross_zone_prober(ring):
                 yield following[0]
             return
         for name in following:
@@ -144,8 +148,8 @@
                 return
             yield name
 
-    def _is_last_of_zone_run(self, ring: _Ring) -> bool:
-        """Tell whether the successor has no predecessor of another zone in reach."""
+    def _successor_lacks_cross_zone_prober(self, ring: _Ring) -> bool:
+        """Tell whether the nearest predecessors of the successor share its zone."""
         preceding = zip(
             range(_MAX_ZONE_STEPS - 1), ring.iterate_from(self._name, -1), strict=False
         )
--- a/endivepick/membership/_recent_answers.py
+++ b/endivepick/membership/_recent_answers.py
@@ -13,7 +13,7 @@
 
 
 class RecentAnswers:
-    """Stores the last probe answer sent to each peer.
+    """Stores the sequence number of the last probe answered, per peer.
 
     The connection to a newly discovered peer may not be established when the first
     answer is sent.  Without a retransmission the peer would suspect this instance.
--- a/endivepick/membership/_seed_contacts.py
+++ b/endivepick/membership/_seed_contacts.py
@@ -11,10 +11,10 @@
 class SeedContacts:
     """Sends requests to seed addresses until the platform's list has arrived.
 
-    Addresses of known peers are skipped, since these peers are probed anyway.  The
-    others get one request per ``join_retry_s``, in random order.  This continues
-    after an answer, because the answering peer may itself be joining and know no
-    other peers.
+    Addresses of known peers are skipped, since these peers are probed anyway.  Every
+    ``join_retry_s``, one of the others, chosen at random, gets a request.  This
+    continues after an answer, because the answering peer may itself be joining and
+    know no other peers.
     """
 
     def __init__(
--- a/endivepick/membership/_suspicion.py
+++ b/endivepick/membership/_suspicion.py
@@ -36,6 +36,7 @@
         suspicion = self._suspicions.get(name)
         if suspicion is None or not accuser or accuser in suspicion.accusers:
             return False
+        # The first accuser starts the suspicion; only later ones confirm it.
         if len(suspicion.accusers) > self._settings.suspect_confirmations:
             return False
         suspicion.accusers.add(accuser)
@@ -61,6 +62,7 @@
     def _compute_expiry_s(self, member: Member, suspicion: _Suspicion) -> float:
         settings = self._settings
         if member.was_listed and not member.is_listed:
+            # Removal from the platform's list confirms the failure.
             return suspicion.started_s + settings.suspect_min_s
         if self._losses.is_mass_loss(member.zone):
             # Rounding up to whole seconds batches the deaths, so that consumers
@@ -73,6 +75,7 @@
         confirmations_max = settings.suspect_confirmations
         if confirmations_max == 0:
             return settings.suspect_min_s
+        # The first accuser does not count as a confirmation.
         confirmations = min(confirmations_max, max(0, len(suspicion.accusers) - 1))
         reduction = log(confirmations + 1) / log(confirmations_max + 1)
         span_s = settings.suspect_max_s - settings.suspect_min_s
--- a/endivepick/membership/core.py
+++ b/endivepick/membership/core.py
@@ -36,8 +36,8 @@
     """View that one instance has of all others.
 
     The core has no socket, clock or random generator; each event is passed the time
-    and returns the actions to perform.  A wrong view costs an additional hop or
-    load balance, but never safety.
+    and returns the actions to perform.  A wrong view may cause an additional
+    hop or uneven load, but not incorrect forwarding.
 
     Parameters
     ----------
@@ -109,8 +109,9 @@
         """Tell whether an incarnation was declared dead or superseded.
 
         The name of an unknown incarnation is probed first.  The incarnation counts
-        as dead once the name answers as another incarnation, or when the name stays
-        unknown for ``unknown_dead_after_s``.
+        as dead once the name answers as another incarnation.  If the name is unknown,
+        unidentified or declared dead, it counts as dead after
+        ``unknown_dead_after_s``, but not before this instance has joined.
         """
         if name == self._own.name:
             return incarnation != self._own.incarnation
@@ -158,6 +159,7 @@
         listed = {entry.name: entry for entry in entries}
         me = listed.pop(self._own.name, None)
         if me is not None and me.leaving:
+            # An older list may refer to an earlier incarnation of this name.
             self._request_leave(now_s - age_s >= self._started_s)
         for entry in listed.values():
             self._merge_listed(now_s, entry, now_s - age_s)
@@ -229,7 +231,7 @@
     def announce_hand_over(
         self, service: str, name: str, incarnation: int
     ) -> list[Action]:
-        """Record the handover of a service's flows to a successor."""
+        """Record the handover of a service's flows and queue it for gossip."""
         now_s = self._now_s or 0.0
         own_incarnation = self._own.incarnation
         self._handovers.record_handover(
@@ -243,7 +245,10 @@
         if self._now_s is None:
             self._started_s = now_s
         elif now_s - self._now_s > self._settings.pause_s:
-            self._outbox.log("pause detected; restarting all timers")
+            self._outbox.log(
+                "no event for a while, process was probably paused; "
+                "restarting suspicion timers, dropping open probes"
+            )
             self._table.health.set_worst()
             self._table.timers.restart_all(now_s)
             self._prober.drop_open_probes(now_s)
@@ -264,8 +269,8 @@
             self._table.publish_own_status()
         return self._outbox.drain()
 
-    def _request_leave(self, is_addressed: bool) -> None:
-        if is_addressed and not self._leave_requested:
+    def _request_leave(self, applies_to_this_incarnation: bool) -> None:
+        if applies_to_this_incarnation and not self._leave_requested:
             self._leave_requested = True
             self._outbox.add(LeaveRequested())
 
--- a/endivepick/membership/measure.py
+++ b/endivepick/membership/measure.py
@@ -19,7 +19,7 @@
 from endivepick.membership._simulated_fleet import TICK_S, SimulatedFleet
 from endivepick.membership.actions import Action, Send
 from endivepick.membership.core import Membership
-from endivepick.membership.measure_fleet import LINK_IDLE_S
+from endivepick.membership.measure_fleet import CONNECTION_IDLE_S
 from endivepick.membership.peer_messages import (
     Ack,
     Liveness,
@@ -74,7 +74,7 @@
         self.core = Membership(MembershipSettings(), me)
         self.updates = {u.name: u for u in map(_make_update, range(1, size))}
         self.names = list(self.updates)
-        self.watchers = _choose_watchers(self.names, self.random)
+        self.probers = _choose_probers(self.names, self.random)
         self.partners: set[str] = set()
         self.sent_messages = 0
         self.sent_bytes = 0
@@ -110,7 +110,7 @@
             tick = partial(self.core.tick, self.now_s, self.random.getrandbits(64))
             self._handle(self.tick_timer.run(tick))
             if number % per_period == 0:
-                name = self.random.choice(self.watchers)
+                name = self.random.choice(self.probers)
                 self.receive(name, Ping(number, 1, 0, [], []))
 
     def receive(self, name: str, message: MembershipMessage) -> None:
@@ -134,7 +134,7 @@
                 self.receive(action.to_name, Ack(action.message.sequence, [], []))
 
 
-def _choose_watchers(names: list[str], random: Random) -> list[str]:
+def _choose_probers(names: list[str], random: Random) -> list[str]:
     """Return the names of the peers that probe the node."""
     settings = MembershipSettings()
     if len(names) < settings.all_probed_up_to:
@@ -172,7 +172,7 @@
     dict
         Rates per second of simulated time, processor time in microseconds, memory
         per peer in bytes, and ``partners``: the number of peers that the node sent
-        to in the last ``LINK_IDLE_S``.
+        to in the last ``CONNECTION_IDLE_S``.
     """
     tracemalloc.start()
     node = _SimulatedNode(size, seed)
@@ -182,9 +182,9 @@
     tracemalloc.stop()
     node.run(_SETTLE_S)
     node.reset()
-    node.run(duration_s - LINK_IDLE_S)
+    node.run(duration_s - CONNECTION_IDLE_S)
     node.partners.clear()
-    node.run(LINK_IDLE_S)
+    node.run(CONNECTION_IDLE_S)
     busy_s = node.tick_timer.total_s + node.message_timer.total_s
     return {
         "measure": "cost",
--- a/endivepick/membership/measure_fleet.py
+++ b/endivepick/membership/measure_fleet.py
@@ -19,7 +19,7 @@
 
 SIZES = (32, 128, 512)
 ZONES = 14
-LINK_IDLE_S = 30.0
+CONNECTION_IDLE_S = 30.0
 """Time after which the daemon closes an idle connection."""
 _TIME_LIMIT_S = 120.0
 _STEP_S = 0.05
@@ -44,9 +44,9 @@
 
 def _measure_links_at_rest(fleet: SimulatedFleet) -> dict[str, float]:
     """Count connections in use and messages in a fleet without changes."""
-    fleet.run(LINK_IDLE_S)
+    fleet.run(CONNECTION_IDLE_S)
     fleet.actions.clear()
-    fleet.run(LINK_IDLE_S)
+    fleet.run(CONNECTION_IDLE_S)
     partners: dict[str, set[str]] = {name: set() for name in fleet.nodes}
     sent = [(n, a) for _, n, a in fleet.actions if isinstance(a, Send)]
     for name, action in sent:
@@ -60,7 +60,7 @@
 
 
 def _rate_per_s(
-    count: float, fleet: SimulatedFleet, duration_s: float = LINK_IDLE_S
+    count: float, fleet: SimulatedFleet, duration_s: float = CONNECTION_IDLE_S
 ) -> float:
     return round(count / duration_s / len(fleet.nodes), 2)
 
--- a/endivepick/membership/settings.py
+++ b/endivepick/membership/settings.py
@@ -52,7 +52,7 @@
         ``1 + health_max``.
     dead_probe_period_s : float
         Time between two probes of dead peers, in seconds.  In a fleet larger than
-        ``all_probed_up_to``, all instances together send at most that many probes
+        ``all_probed_up_to``, all instances together send on average that many probes
         per period to each dead peer.
     dead_kept_s : float
         Time for which dead peers are stored, in seconds.
@@ -68,7 +68,7 @@
         Maximum number of short updates per message; they are used when updates of
         more than ``piggyback_count`` known peers are queued.
     spread_factor : int
-        Each update is sent ``spread_factor * log2(peers)`` times, rounded up.
+        Each update is sent ``spread_factor * ceil(log2(peers + 2))`` times.
     join_retry_s : float
         Time between two join requests, in seconds.
     join_timeout_s : float
--- a/endivepick/records/_anti_entropy.py
+++ b/endivepick/records/_anti_entropy.py
@@ -121,7 +121,7 @@
             )
             messages.append(self._build_reply(digest.question))
         # Both sides receive the other's digest; the side with the lower revision
-        # requests the changes.
+        # requests the changes, and at equal revisions both request.
         own_revision = self._cache.revision
         if not in_sync and digest.revision >= own_revision:
             messages.append(ConfigRequest(own_revision, own_revision))
--- a/endivepick/records/_feeder_selector.py
+++ b/endivepick/records/_feeder_selector.py
@@ -11,6 +11,8 @@
 class FeederSelector:
     """Selects the highest-ranked feeder that is not silent.
 
+    If all are silent, it selects the highest-ranked one.
+
     Parameters
     ----------
     settings : DisseminationSettings
--- a/endivepick/records/_schema_models.py
+++ b/endivepick/records/_schema_models.py
@@ -14,7 +14,10 @@
 
 def _check_name(value: str) -> str:
     if NAME_PATTERN.fullmatch(value) is None:
-        raise ValueError("use lower-case letters, digits and '-', at most 63")
+        raise ValueError(
+            "use 1 to 63 lower-case letters, digits or '-', "
+            "starting with a letter or digit"
+        )
     return value
 
 
@@ -47,7 +50,10 @@
     seen: set[str] = set()
     for value in values:
         if value in seen:
-            raise ValueError(f"{field} {value} is listed twice; list each target once")
+            raise ValueError(
+                f"{field} {value} is used by two targets; "
+                f"give each target its own {field}"
+            )
         seen.add(value)
 
 
@@ -80,7 +86,7 @@
 
     @model_validator(mode="after")
     def _check_targets(self) -> Self:
-        _check_unique("target", self.targets)
+        _check_unique("address", self.targets)
         for address in self.drain:
             if address not in self.targets:
                 raise ValueError(
@@ -113,6 +119,6 @@
 
     @model_validator(mode="after")
     def _check_targets(self) -> Self:
-        _check_unique("target", [target.name for target in self.targets])
+        _check_unique("name", [target.name for target in self.targets])
         _check_unique("address", [target.address for target in self.targets])
         return self
--- a/endivepick/records/_status_body.py
+++ b/endivepick/records/_status_body.py
@@ -14,7 +14,11 @@
 
 STATUS_SCHEMA_VERSION = 1
 RECORD_ROWS = 64
-"""Number of records above which only those not in force or refused have a row."""
+"""Maximum number of records that all have a row.
+
+Above it, only records that are refused, not yet in force or have unknown fields have
+a row.
+"""
 INSTANCE_ROWS = 256
 """Maximum instance rows in one object; the rest are only counted."""
 TARGET_ROWS = 512
@@ -61,7 +65,7 @@
         Instances of the zone that are not considered dead.
     states : mapping
         State of each member, by name.
-    shown : ShownRows
+    shown : RowSelection
         Members that have a row.
     all_refusals : bool
         Whether the report lists every refused record.
@@ -98,7 +102,7 @@
         Unexpired part of each instance that sent one, by name.
     silent : collection of str
         Instances whose last part has expired.  Their rows stay unchanged because
-        they may consider another instance the writer.
+        a silent instance may be sending to another writer.
     keep_all_rows : bool
         Whether the rows of all instances without a part stay unchanged, because a
         new writer has not yet received a part from each of them.
--- a/endivepick/records/_subscribers.py
+++ b/endivepick/records/_subscribers.py
@@ -9,14 +9,14 @@
 
 
 @dataclass(frozen=True)
-class _Subscription:
+class _PeerEntry:
     report: SubtreeReport | None
     expires_at_s: float
     subscribed: bool
 
 
 class Subscribers:
-    """Peers that subscribed to changes, with their latest reports.
+    """Peers that subscribe to changes or send reports, with their latest reports.
 
     Parameters
     ----------
@@ -27,28 +27,30 @@
     def __init__(self, settings: DisseminationSettings) -> None:
         self._settings = settings
         self._duration_s = settings.digest_interval_s * settings.silence_intervals
-        self._peers: dict[str, _Subscription] = {}
+        self._peers: dict[str, _PeerEntry] = {}
 
     def update_subscription(
         self, name: str, subscribe: bool, report: SubtreeReport | None, now_s: float
     ) -> None:
-        """Start, renew or end the subscription of a peer that sent a digest."""
+        """Add, renew or remove the entry of a peer that sent a digest."""
         if not subscribe and report is None:
             self._peers.pop(name, None)
             return
-        self._peers[name] = _Subscription(report, now_s + self._duration_s, subscribe)
+        self._peers[name] = _PeerEntry(report, now_s + self._duration_s, subscribe)
 
     def expire(self, now_s: float) -> None:
-        """Remove the subscriptions that were not renewed in time."""
-        kept = self._peers.items()
-        self._peers = {name: peer for name, peer in kept if peer.expires_at_s > now_s}
+        """Remove the peers whose entries were not renewed in time."""
+        entries = self._peers.items()
+        self._peers = {
+            name: peer for name, peer in entries if peer.expires_at_s > now_s
+        }
 
     def list_subscribed(self) -> list[str]:
         """Return the peers that receive changes."""
         return [name for name, peer in self._peers.items() if peer.subscribed]
 
     def merge_reports(self, own: SubtreeReport) -> SubtreeReport:
-        """Merge the report of this instance with those of its subscribers."""
+        """Merge the report of this instance with those received from peers."""
         reports = [own] + [peer.report for peer in self._peers.values() if peer.report]
         names_hash = 0
         for report in reports:
--- a/endivepick/records/_transfer.py
+++ b/endivepick/records/_transfer.py
@@ -164,8 +164,8 @@
     def _next_part(
         self, sender: str, delta: ConfigDelta, is_complete: bool
     ) -> ConfigRequest | None:
-        # Above its own revision the sender may still receive older changes, which
-        # later parts would not include.
+        # Above `delta.revision` the sender may lack changes; continuing past it would
+        # skip those that arrive later.
         if not is_complete or not delta.start < delta.end <= delta.revision:
             return None
         self._progress[sender] = (delta.asked, delta.end)
--- a/endivepick/records/active_records.py
+++ b/endivepick/records/active_records.py
@@ -69,9 +69,9 @@
 
     Examples
     --------
-    >>> book = ActiveRecords()
+    >>> active = ActiveRecords()
     >>> stored = StoredObject("service", "notes", 3, {"schema_version": 9})
-    >>> [change.refused.in_force for change in book.apply([Change(None, stored)])]
+    >>> [change.refused.in_force for change in active.apply([Change(None, stored)])]
     [0]
     """
 
--- a/endivepick/records/cache.py
+++ b/endivepick/records/cache.py
@@ -291,7 +291,8 @@
             self._digest.toggle(cached.key, cached.version)
 
     def _prune_tombstones(self) -> None:
-        # Only its tombstone keeps an object deleted while it is above the revision.
+        # Keep tombstones above the revision: without one, `offer` would accept an
+        # older version of the deleted object.
         while self._index.tombstone_count > self._max_tombstones:
             oldest = self._objects[self._index.oldest_tombstone()]
             if oldest.version > self._revisions[oldest.kind]:
--- a/endivepick/records/cost.py
+++ b/endivepick/records/cost.py
@@ -78,7 +78,7 @@
 
     Attributes
     ----------
-    way : str
+    strategy : str
         Label of the strategy in the table.
     platform_calls_per_s : float
         Calls of all instances together, including watches that time out.
@@ -156,35 +156,38 @@
     links = 2 * (watchers - 1 + min(fleet.zones - 1, settings.zones_per_digest))
     rumours = ceil(log(fleet.instances)) + RUMOUR_MARGIN
     direct_subscribers = max(0, zone - watchers) / watchers
-    some_calls = fleet.zones * watchers * watch
+    watcher_calls_per_s = fleet.zones * watchers * watch
+    # An exchange consists of a digest and a reply.  The ends of a link each start one
+    # per interval.  With gossip, each instance starts one and answers one on average,
+    # and both sends and receives each push.
     return [
         DisseminationCost(
             "every instance watches", fleet.instances * watch, push, push, 1
         ),
         DisseminationCost(
             "watchers feed their zone",
-            some_calls,
+            watcher_calls_per_s,
             2 * digest + push,
             links * 2 * digest + direct_subscribers * (2 * digest + push) + push,
             2,
         ),
         DisseminationCost(
             "watchers feed tiers (chosen)",
-            some_calls,
+            watcher_calls_per_s,
             2 * digest + push,
             links * 2 * digest + fan_out * (2 * digest + push) + push,
             2 + _count_lower_tiers(zone, watchers, settings.fan_out),
         ),
         DisseminationCost(
             "gossip of digests only",
-            some_calls,
+            watcher_calls_per_s,
             4 * digest + 2 * push,
             4 * digest + 2 * push,
             ceil(log(fleet.instances, 2) + log(fleet.instances)),
         ),
         DisseminationCost(
             "gossip of rumours",
-            some_calls,
+            watcher_calls_per_s,
             4 * digest + 2 * rumours * push,
             4 * digest + 2 * rumours * push,
             ceil(log(fleet.instances, rumours)) + 1,
--- a/endivepick/records/dissemination.py
+++ b/endivepick/records/dissemination.py
@@ -119,12 +119,15 @@
 
     @property
     def names_all_refusals(self) -> bool:
-        """Whether the report has all refused records, below its length limit."""
+        """Whether the report is certainly not truncated.
+
+        This holds if it has fewer entries than the limit.
+        """
         return len(self.zone_report.refused) < self._settings.refused_records
 
     def zone_members(self) -> tuple[str, ...]:
         """Return all instances of the zone that are not considered dead."""
-        return self._roles.ranked + self._roles.departing
+        return self._roles.ranked + self._roles.leaving
 
     def handle(
         self, event: DisseminationEvent, now_s: float
@@ -185,6 +188,8 @@
         changes = self._cache.offer_list(
             object_list.kind, object_list.revision, object_list.objects
         )
+        # Kinds are listed in the order of `cache.kinds`, so the last one completes the
+        # listing.
         if object_list.kind == self._cache.kinds[-1]:
             self._readiness.record_full_listing()
         return tuple(changes)
@@ -278,6 +283,7 @@
         previous = self._feeder.name
         feeder = self._feeder.choose(self._feeders, now_s)
         if previous not in (None, feeder):
+            # A digest without `subscribe` and report ends the subscription.
             self._send(previous, self._exchange.digest(reply=True))
         if feeder is not None:
             digest = self._exchange.digest(
--- a/endivepick/records/roles.py
+++ b/endivepick/records/roles.py
@@ -26,7 +26,7 @@
     ----------
     ranked : tuple of str
         Instances that are eligible for a role, watchers first.
-    departing : tuple of str
+    leaving : tuple of str
         Instances that are leaving; they receive changes but hold no role.
     watchers : tuple of str
         Instances that watch the platform.  Each suspected watcher has a substitute.
@@ -35,7 +35,7 @@
     """
 
     ranked: tuple[str, ...]
-    departing: tuple[str, ...]
+    leaving: tuple[str, ...]
     watchers: tuple[str, ...]
     suspected: frozenset[str]
 
@@ -71,15 +71,15 @@
         Computing the first choice takes time linear in the size of the tier, so
         callers should cache the result until the membership changes.
         """
-        tier, children = self._find_tiers(name, settings)
+        feeder_tier, own_tier = self._find_tiers(name, settings)
         first = (
-            [_assign_balanced(children, tier)[name]]
-            if tier and name in children
+            [_assign_balanced(own_tier, feeder_tier)[name]]
+            if feeder_tier and name in own_tier
             else []
         )
-        chosen = rank(f"feeder:{name}", (peer for peer in tier if peer != name))
+        chosen = rank(f"feeder:{name}", (peer for peer in feeder_tier if peer != name))
         fallbacks = [
-            peer for peer in self.watchers if peer not in tier and peer != name
+            peer for peer in self.watchers if peer not in feeder_tier and peer != name
         ]
         # Removes duplicates and keeps their first position.
         choices = dict.fromkeys(first + chosen + fallbacks)
@@ -91,7 +91,7 @@
         """Return the tier above an instance, and its own tier unless it watches."""
         if name in self.watchers:
             return self.watchers, ()
-        receivers = self.ranked + self.departing
+        receivers = self.ranked + self.leaving
         position = receivers.index(name) if name in receivers else len(receivers)
         # Substitutes are not counted, so that a suspicion does not shift the tiers.
         start, size = 0, min(settings.watchers, len(self.ranked))
@@ -105,7 +105,9 @@
         return self.ranked[start : start + size], receivers[start + size : end]
 
 
-def _assign_balanced(children: Sequence[str], feeders: Sequence[str]) -> dict[str, str]:
+def _assign_balanced(
+    subscribers: Sequence[str], feeders: Sequence[str]
+) -> dict[str, str]:
     """Assign instances to feeders with consistent hashing with bounded loads.
 
     Each instance takes the next feeder on a hash ring that has capacity left, so no
@@ -113,9 +115,9 @@
     instance moves few of the others.
     """
     ring = sorted((xxh3_64_intdigest(name.encode()), name) for name in feeders)
-    capacity = [-(-len(children) // len(ring))] * len(ring)
+    capacity = [-(-len(subscribers) // len(ring))] * len(ring)
     assigned = {}
-    for name in children:
+    for name in subscribers:
         slot = bisect(ring, (xxh3_64_intdigest(name.encode()), name)) % len(ring)
         while not capacity[slot]:
             slot = (slot + 1) % len(ring)
--- a/endivepick/records/schema.py
+++ b/endivepick/records/schema.py
@@ -83,7 +83,10 @@
     """
     if NAME_PATTERN.fullmatch(name) is None:
         return _build_failure(
-            name, "name", "use lower-case letters, digits and '-', at most 63"
+            name,
+            "name",
+            "use 1 to 63 lower-case letters, digits or '-', "
+            "starting with a letter or digit",
         )
     if not isinstance(body, Mapping):
         return _build_failure(name, "body", "write a JSON object")
@@ -141,10 +144,10 @@
     known = " or ".join(map(str, SCHEMA_VERSIONS))
     if type(schema_version) is int and schema_version > NEWEST_SCHEMA_VERSION:
         return (
-            f"schema {schema_version} is newer than this program; update it "
-            f"everywhere first, or write schema {known}"
+            f"schema {schema_version} is newer than this program; upgrade all "
+            f"instances first, or write schema {known}"
         )
-    return f"write the whole number {known}"
+    return f"missing or unsupported; write the whole number {known}"
 
 
 def _first_error(error: ValidationError) -> tuple[str, str]:
@@ -264,13 +267,13 @@
     targets = record.targets
     lost = []
     if any(target.zone != body.zone for target in targets):
-        lost.append("targets.zone: left empty, the targets stand in several zones")
+        lost.append("targets.zone: left empty, the targets are in several zones")
     if any(target.slots != body.slots for target in targets):
         lost.append(f"targets.slots: {body.slots}, the smallest, for all")
     if any(target.connections != body.connections for target in targets):
         lost.append(f"targets.connections: {body.connections}, the smallest, for all")
     if any(target.name != target.address for target in targets):
-        lost.append("targets.name: the address takes its place")
+        lost.append("targets.name: replaced by the address")
     defaults = ServiceRecord("", 0, 1, "", record.affinity, ())
     for field in ("waiting_per_slot", "spill_share"):
         if getattr(record, field) != getattr(defaults, field):
--- a/endivepick/records/status_groups.py
+++ b/endivepick/records/status_groups.py
@@ -91,14 +91,14 @@
     size : int
         Maximum mean number of instances per group.
     """
-    all_members = roles.ranked + roles.departing
+    all_members = roles.ranked + roles.leaving
     groups = group_count(len(all_members), size)
     if groups == 0:
         return None
     number = compute_group_number(name, groups)
     eligible = _filter_group(number, groups, roles.ranked)
     members = frozenset(eligible) | frozenset(
-        _filter_group(number, groups, roles.departing)
+        _filter_group(number, groups, roles.leaving)
     )
     # The lowest-ranked member writes, because the first ones hold roles of the zone.
     writer = eligible[-1] if eligible else None
--- a/endivepick/records/tests/test_roles.py
+++ b/endivepick/records/tests/test_roles.py
@@ -20,7 +20,7 @@
 
 
 def find_first_feeders(roles):
-    subscribers = [n for n in roles.ranked + roles.departing if n not in roles.watchers]
+    subscribers = [n for n in roles.ranked + roles.leaving if n not in roles.watchers]
     return {name: roles.rank_feeders(name, SETTINGS)[0] for name in subscribers}
 
 
