--- a/endivepick/bench/_capacity_model.py
+++ b/endivepick/bench/_capacity_model.py
@@ -417,7 +417,7 @@
         changes_per_s,
     )
     ways = cost.estimate_dissemination_costs(shape, DisseminationSettings())
-    return next(way for way in ways if "chosen" in way.way)
+    return next(strategy for strategy in ways if "chosen" in strategy.strategy)
 
 
 def estimate_capacity(
--- a/endivepick/records/cost.py
+++ b/endivepick/records/cost.py
@@ -88,7 +88,7 @@
         Consecutive messages from the platform to the last instance.
     """
 
-    way: str
+    strategy: str
     platform_calls_per_s: float
     leaf_bytes_per_s: float
     busiest_bytes_per_s: float
@@ -393,7 +393,7 @@
         print(f"  status of a zone: {objects} objects, {zone} B and {group} B a group")
         for cost in estimate_dissemination_costs(fleet, settings):
             print(
-                f"  {cost.way:30} {cost.platform_calls_per_s:9.2f} calls/s"
+                f"  {cost.strategy:30} {cost.platform_calls_per_s:9.2f} calls/s"
                 f" {cost.leaf_bytes_per_s:8.0f} B/s {cost.busiest_bytes_per_s:9.0f}"
                 f" B/s busiest {cost.hops:3} hops"
             )
