--- a/endivepick/tests/compatibility/_kinds.py
+++ b/endivepick/tests/compatibility/_kinds.py
@@ -1,4 +1,4 @@
-"""Every structure that goes over the wire, and example values of it."""
+"""Structures that are sent over the network, with example values of each."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -32,8 +32,8 @@
 NOW_S = 0.0
 
 
-class PlainKeys:
-    """Keys whose code says nothing, so that samples need no secret."""
+class FixedMacKeys:
+    """Keys with a constant authentication code, so that samples need no secret."""
 
     def sign(self, data):
         return 1, bytes(16)
@@ -45,62 +45,62 @@
         return True
 
 
-TOKENS = TokenCodec(PlainKeys(), lifetime_s=1e9)
+TOKENS = TokenCodec(FixedMacKeys(), lifetime_s=1e9)
 
 
 @dataclass(frozen=True)
-class Wire:
-    """How one family of structures is encoded and decoded.
+class MessageFamily:
+    """Encoding and decoding of one family of structures.
 
-    ``pack`` encodes plain lists in place of structures, to test with what no
-    present structure holds.
+    ``encode_arrays`` encodes plain lists in place of structures. Tests use it for
+    content that no structure of this build can hold.
     """
 
     kinds: tuple[type, ...]
     encode: Callable[[Any], bytes]
     decode: Callable[[bytes, type], Any]
-    pack: Callable[[Any], bytes]
+    encode_arrays: Callable[[Any], bytes]
 
 
-def _peer_list(message):
+def _encode_peer_arrays(message):
     return msgspec.msgpack.encode(["a", 1, CLOCK, message])
 
 
-def _packet_list(packet):
+def _encode_packet_arrays(packet):
     return encode_packet(packet)
 
 
-def _token_list(token):
+def _encode_token_arrays(token):
     return bytes([0, 0, 0, 1]) + msgspec.msgpack.encode(token) + bytes(16)
 
 
-WIRES = {
-    "caller": Wire(
+MESSAGE_FAMILIES = {
+    "caller": MessageFamily(
         get_args(CallerPacket),
         encode_packet,
         lambda data, kind: decode_caller_packet(data),
-        _packet_list,
+        _encode_packet_arrays,
     ),
-    "instance": Wire(
+    "instance": MessageFamily(
         get_args(InstancePacket),
         encode_packet,
         lambda data, kind: decode_instance_packet(data),
-        _packet_list,
+        _encode_packet_arrays,
     ),
-    "peer": Wire(
+    "peer": MessageFamily(
         get_args(AnyPeerMessage),
         lambda message: encode_envelope(Envelope("a", 1, CLOCK, message)),
         lambda data, kind: decode_envelope(data).message,
-        _peer_list,
+        _encode_peer_arrays,
     ),
-    "token": Wire(
+    "token": MessageFamily(
         (FlowToken,),
         TOKENS.seal,
         lambda data, kind: TOKENS.unseal(data, NOW_S),
-        _token_list,
+        _encode_token_arrays,
     ),
-    # Travel within parts of requests and answers, or as pieces of a hand-over.
-    "part": Wire(
+    # Sent within the parts of requests and answers, or in pieces during a handover.
+    "part": MessageFamily(
         (RequestHead, AnswerHead)
         + tuple(k for k in get_args(AnyPeerMessage) if k.__name__ == "HandOver"),
         encode_struct,
@@ -110,25 +110,25 @@
 }
 
 
-def example(kind):
-    """Return a value of a structure in which no field has its default."""
-    return _value(msgspec.inspect.type_info(kind), count(1))
+def make_example(kind):
+    """Return an instance of a structure in which no field has its default value."""
+    return _make_value(msgspec.inspect.type_info(kind), count(1))
 
 
-def _value(info, numbers):
+def _make_value(info, numbers):
     match info:
         case msgspec.inspect.StructType(cls=cls, fields=fields):
-            return cls(*(_value(field.type, numbers) for field in fields))
+            return cls(*(_make_value(field.type, numbers) for field in fields))
         case msgspec.inspect.UnionType(types=types):
-            return _value(types[0], numbers)
+            return _make_value(types[0], numbers)
         case msgspec.inspect.ListType(item_type=item):
-            return [_value(item, numbers), _value(item, numbers)]
+            return [_make_value(item, numbers), _make_value(item, numbers)]
         case msgspec.inspect.VarTupleType(item_type=item):
-            return (_value(item, numbers), _value(item, numbers))
+            return (_make_value(item, numbers), _make_value(item, numbers))
         case msgspec.inspect.TupleType(item_types=items):
-            return tuple(_value(item, numbers) for item in items)
+            return tuple(_make_value(item, numbers) for item in items)
         case msgspec.inspect.DictType(key_type=key, value_type=value):
-            return {_value(key, numbers): _value(value, numbers)}
+            return {_make_value(key, numbers): _make_value(value, numbers)}
         case msgspec.inspect.EnumType(cls=cls):
             return list(cls)[-1]
         case msgspec.inspect.BoolType():
@@ -141,37 +141,39 @@
             return f"text {next(numbers)}"
         case msgspec.inspect.BytesType():
             return f"bytes {next(numbers)}".encode()
-    raise TypeError(f"say here how to make an example of {info}")
+    raise TypeError(f"no example value is defined for type {info}")
 
 
-def named(value):
-    """Return a value as JSON can hold it, with the names of fields."""
+def to_json_value(value):
+    """Return a JSON-compatible form of a value, with field names."""
     match value:
         case msgspec.Struct():
             fields = {name: getattr(value, name) for name in value.__struct_fields__}
             return {
                 "kind": type(value).__name__,
-                "fields": {name: named(field) for name, field in fields.items()},
+                "fields": {
+                    name: to_json_value(field) for name, field in fields.items()
+                },
             }
         case list() | tuple():
-            return [named(item) for item in value]
+            return [to_json_value(item) for item in value]
         case dict():
-            return {key: named(item) for key, item in value.items()}
+            return {key: to_json_value(item) for key, item in value.items()}
         case bytes():
             return value.hex()
     return value
 
 
-def as_lists(value, more):
-    """Return the arrays that a structure is encoded as, each with ``more``."""
+def to_arrays(value, more):
+    """Return the arrays that encode a structure, each extended by ``more``."""
     match value:
         case msgspec.Struct():
             tag = value.__struct_config__.tag
             fields = [getattr(value, name) for name in value.__struct_fields__]
             head = [] if tag is None else [tag]
-            return head + [as_lists(field, more) for field in fields] + list(more)
+            return head + [to_arrays(field, more) for field in fields] + list(more)
         case list() | tuple():
-            return [as_lists(item, more) for item in value]
+            return [to_arrays(item, more) for item in value]
         case dict():
-            return {key: as_lists(item, more) for key, item in value.items()}
+            return {key: to_arrays(item, more) for key, item in value.items()}
     return value
--- a/endivepick/tests/compatibility/generate.py
+++ b/endivepick/tests/compatibility/generate.py
@@ -1,14 +1,19 @@
-"""Writes one encoded example of each structure of this build.
+"""Write one encoded example of each structure of this build.
 
 ``python -m endivepick.tests.compatibility.generate`` adds the next numbered file to
-the folder ``samples`` if a structure has changed.  Earlier files stay as they are:
-they show that messages of those builds are still understood.
+the folder ``samples`` if a structure has changed. Earlier files stay unchanged,
+because the tests decode them to show that messages of those builds are still
+understood.
 """
 
 import json
 from pathlib import Path
 
-from endivepick.tests.compatibility._kinds import WIRES, example, named
+from endivepick.tests.compatibility._kinds import (
+    MESSAGE_FAMILIES,
+    make_example,
+    to_json_value,
+)
 
 FOLDER = Path(__file__).parent / "samples"
 
@@ -18,21 +23,21 @@
     return [
         {
             "wire": name,
-            "encoded": wire.encode(example(kind)).hex(),
-            "value": named(example(kind)),
+            "encoded": family.encode(make_example(kind)).hex(),
+            "value": to_json_value(make_example(kind)),
         }
-        for name, wire in WIRES.items()
-        for kind in wire.kinds
+        for name, family in MESSAGE_FAMILIES.items()
+        for kind in family.kinds
     ]
 
 
 def sample_files():
-    """Return the files of samples, oldest first."""
+    """Return the sample files, oldest first."""
     return sorted(FOLDER.glob("*.json"))
 
 
 def read_samples(path):
-    """Return the samples of a file."""
+    """Return the samples stored in a file."""
     return json.loads(path.read_text())
 
 
--- a/endivepick/tests/compatibility/test_wire.py
+++ b/endivepick/tests/compatibility/test_wire.py
@@ -7,7 +7,12 @@
 from endivepick.records.cache import CACHED_KINDS, RecordCache
 from endivepick.records.objects import StoredObject
 from endivepick.records.peer_messages import InventoryRequest
-from endivepick.tests.compatibility._kinds import WIRES, as_lists, example, named
+from endivepick.tests.compatibility._kinds import (
+    MESSAGE_FAMILIES,
+    make_example,
+    to_arrays,
+    to_json_value,
+)
 from endivepick.tests.compatibility.generate import (
     read_samples,
     sample_files,
@@ -15,39 +20,41 @@
 )
 
 UNKNOWN_TAG = 127
-MORE = ("a field of a newer build", {"and": [1, "other", b"type"]})
+ADDED_FIELDS = ("a field of a newer build", {"and": [1, "other", b"type"]})
 
 
 def kinds():
-    for name, wire in WIRES.items():
-        for kind in wire.kinds:
-            yield f"{name} {kind.__name__}", wire, kind
+    for name, family in MESSAGE_FAMILIES.items():
+        for kind in family.kinds:
+            yield f"{name} {kind.__name__}", family, kind
 
 
 class TestSamples(unittest.TestCase):
-    def assert_holds(self, sample, decoded):
-        """Check all that the sample holds; newer fields of ``decoded`` may add."""
+    def assert_contains(self, sample, decoded):
+        """Check that ``decoded`` has all of the sample; it may have newer fields."""
         match sample:
             case {"kind": kind, "fields": fields}:
                 self.assertEqual(decoded["kind"], kind)
                 for name, field in fields.items():
-                    self.assert_holds(field, decoded["fields"][name])
+                    self.assert_contains(field, decoded["fields"][name])
             case [*items]:
                 self.assertEqual(len(items), len(decoded))
                 for item, other in zip(items, decoded, strict=True):
-                    self.assert_holds(item, other)
+                    self.assert_contains(item, other)
             case _:
                 self.assertEqual(sample, decoded)
 
     def test_messages_of_all_earlier_builds_are_understood(self):
-        by_name = {(n, k.__name__): k for n, w in WIRES.items() for k in w.kinds}
+        by_name = {
+            (n, k.__name__): k for n, w in MESSAGE_FAMILIES.items() for k in w.kinds
+        }
         for path in sample_files():
             for sample in read_samples(path):
                 name = sample["wire"], sample["value"]["kind"]
                 with self.subTest(path.name, sample=name):
                     data = bytes.fromhex(sample["encoded"])
-                    decoded = WIRES[name[0]].decode(data, by_name[name])
-                    self.assert_holds(sample["value"], named(decoded))
+                    decoded = MESSAGE_FAMILIES[name[0]].decode(data, by_name[name])
+                    self.assert_contains(sample["value"], to_json_value(decoded))
 
     def test_newest_samples_are_those_of_this_build(self):
         self.assertEqual(
@@ -58,7 +65,10 @@
 
 
 class TestFixedSets(unittest.TestCase):
-    """What may not grow: an older build would drop or delete; see the design note."""
+    """Sets that must not grow.
+
+    An older build would drop or delete what it does not know; see the design note.
+    """
 
     def test_kinds_of_cached_objects(self):
         self.assertEqual(set(CACHED_KINDS), {"instance", "keyring", "service"})
@@ -81,43 +91,45 @@
 
 class TestNewerBuilds(unittest.TestCase):
     def test_fields_that_a_newer_build_added_are_passed_over(self):
-        for name, wire, kind in kinds():
+        for name, family, kind in kinds():
             with self.subTest(name):
-                value = example(kind)
-                data = wire.pack(as_lists(value, MORE))
-                self.assertEqual(wire.decode(data, kind), value)
+                value = make_example(kind)
+                data = family.encode_arrays(to_arrays(value, ADDED_FIELDS))
+                self.assertEqual(family.decode(data, kind), value)
 
     def test_lists_are_encoded_as_the_structures(self):
-        for name, wire, kind in kinds():
+        for name, family, kind in kinds():
             with self.subTest(name):
-                value = example(kind)
-                self.assertEqual(wire.pack(as_lists(value, ())), wire.encode(value))
+                value = make_example(kind)
+                self.assertEqual(
+                    family.encode_arrays(to_arrays(value, ())), family.encode(value)
+                )
 
     def test_unknown_kinds_are_an_expected_failure(self):
         for name in ("caller", "instance", "peer"):
-            wire = WIRES[name]
+            family = MESSAGE_FAMILIES[name]
             with self.subTest(name), self.assertRaises(PacketInvalidError):
-                wire.decode(wire.pack([UNKNOWN_TAG, *MORE]), None)
+                family.decode(family.encode_arrays([UNKNOWN_TAG, *ADDED_FIELDS]), None)
 
     def test_unknown_kind_of_a_peer_is_told_from_a_broken_message(self):
-        wire = WIRES["peer"]
+        family = MESSAGE_FAMILIES["peer"]
         for reason, message in (
-            (UNKNOWN_KIND, [UNKNOWN_TAG, *MORE]),
-            ("malformed_peer_message", [wire.kinds[0].__struct_config__.tag]),
+            (UNKNOWN_KIND, [UNKNOWN_TAG, *ADDED_FIELDS]),
+            ("malformed_peer_message", [family.kinds[0].__struct_config__.tag]),
             ("malformed_peer_message", []),
             ("malformed_peer_message", "text"),
         ):
             with self.subTest(message=message):
                 with self.assertRaises(PacketInvalidError) as raised:
-                    wire.decode(wire.pack(message), None)
+                    family.decode(family.encode_arrays(message), None)
                 self.assertEqual(raised.exception.reason, reason)
 
     def test_cut_off_structures_are_expected_failures(self):
-        for name, wire, kind in kinds():
+        for name, family, kind in kinds():
             with self.subTest(name):
-                data = wire.encode(example(kind))
+                data = family.encode(make_example(kind))
                 with self.assertRaises((PacketInvalidError, TokenInvalidError)):
-                    wire.decode(data[:-20] + bytes(16 * (name[:5] == "token")), kind)
+                    family.decode(data[:-20] + bytes(16 * (name[:5] == "token")), kind)
 
 
 if __name__ == "__main__":
--- a/endivepick/tests/promises/_forger.py
+++ b/endivepick/tests/promises/_forger.py
@@ -1,4 +1,4 @@
-"""Caller that sends requests under tokens of its own making."""
+"""Caller that sends requests under tokens that a test made."""
 
 import json
 import select
@@ -13,7 +13,7 @@
 from standins.control import parse_address
 from standins.process import wait_until
 
-__all__ = ["Forger", "seal"]
+__all__ = ["ForgedTokenCaller", "seal_token"]
 
 _RECEIVE_BYTES = 2048
 _REPEAT_S = 0.2
@@ -21,32 +21,32 @@
 _DEADLINE_MS = 10_000
 
 
-def seal(keys: TokenKeys, token: FlowToken) -> bytes:
+def seal_token(keys: TokenKeys, token: FlowToken) -> bytes:
     """Sign a token."""
     return TokenCodec(keys, _LIFETIME_S).seal(token)
 
 
 @dataclass(frozen=True)
-class Forger:
-    """Sends single datagrams and reads what comes back; repeats nothing else.
+class ForgedTokenCaller:
+    """Sends single datagrams and reads replies; retransmits only ``Open``.
 
     Attributes
     ----------
     socket : socket.socket
-        Connected to the fabric.
+        UDP socket, connected to the fabric.
     """
 
     socket: socket.socket
 
     @staticmethod
-    def connected(fabric_address: str) -> "Forger":
-        """Return one that talks to a fabric."""
+    def connected(fabric_address: str) -> "ForgedTokenCaller":
+        """Return a caller with a socket that is connected to a fabric."""
         connection = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
         connection.connect(parse_address(fabric_address))
-        return Forger(connection)
+        return ForgedTokenCaller(connection)
 
     def open(self, service: str) -> Opened:
-        """Open a flow."""
+        """Open a flow, with retransmissions."""
         found: list[Opened] = []
 
         def opened() -> bool:
@@ -63,7 +63,7 @@
         return [decode_instance_packet(self.socket.recv(_RECEIVE_BYTES)) for _ in ready]
 
     def send_request(self, sealed: bytes, echo: str, seq: int = 1) -> None:
-        """Send a request of one datagram under a token."""
+        """Send a request that fits one datagram under a sealed token."""
         body: dict[str, Any] = {"work_ms": 0, "answer_bytes": 0, "echo": echo}
         head = RequestHead("POST", "/work", [], json.dumps(body).encode())
         data = encode_struct(head)
--- a/endivepick/tests/promises/_loaded.py
+++ b/endivepick/tests/promises/_loaded.py
@@ -1,4 +1,4 @@
-"""Scaffolding for tests with callers, and with targets that change under them."""
+"""Test case with caller processes, for tests in which targets change under load."""
 
 import signal
 from collections import Counter
@@ -7,27 +7,27 @@
 from typing import Any
 
 from endivepick.core.rendezvous import owner
-from endivepick.tests.promises._uneven import UnevenTestCase
+from endivepick.tests.promises._uneven import ConfigurationTestCase
 from standins.clustersettings import ClusterSettings
 from standins.nodes import Target
 from standins.process import wait_until
 from standins.shapes import SMALL
 
-__all__ = ["LoadedTestCase"]
+__all__ = ["LoadTestCase"]
 
-RUNS = ("start", "stream_start")
-SLOW_PROBE_MS = 700
-"""Each way; a probe takes more of them than the time allowed for it."""
+RUN_EVENTS = ("start", "stream_start")
+PROBE_DELAY_MS = 700
+"""Delay in each direction. Its sum over a probe exceeds the timeout of the probe."""
 _END_TIMEOUT_S = 60.0
 
 
-class LoadedTestCase(UnevenTestCase):
-    """Adds callers, and targets that each test finds in service."""
+class LoadTestCase(ConfigurationTestCase):
+    """Adds caller processes; all targets are in service when a test starts."""
 
     settings = ClusterSettings(
         SMALL,
         faults=True,
-        # The memory fits the length of the callers' flows.
+        # The arrival memory matches the length of the callers' flows.
         instance_settings={
             "dispatch": {
                 "draining_note_s": 1,
@@ -41,35 +41,35 @@
         super().setUp()
         self._callers = 0
 
-    def mend(self) -> None:
-        """Take back all faults; all targets serve again."""
-        super().mend()
-        self.put_back()
+    def restore_cluster(self) -> None:
+        """Remove all faults and return all targets to service."""
+        super().restore_cluster()
+        self.restore_targets()
 
-    def put_back(self) -> None:
-        """Put all targets into service again."""
+    def restore_targets(self) -> None:
+        """Return all targets to service."""
         for target in self.cluster.targets.values():
             target.control(drain=False)
         services = self.cluster.shape.services
         for service in services:
             self.cluster.write_record(service)
-        if not self.all_serve():
-            # Only a request that succeeds ends the trial of a target that was ejected.
+        if not self.all_targets_ready():
+            # Only a successful request ends the probation of an ejected target.
             with self.load(*(service.name for service in services)):
-                wait_until(self.all_serve, "all targets to serve")
+                wait_until(self.all_targets_ready, "all targets to serve")
 
-    def all_serve(self) -> bool:
-        """Tell whether all instances see all targets of the shape in service."""
+    def all_targets_ready(self) -> bool:
+        """Tell whether all instances see all targets of the shape as ready."""
         return all(
-            {t["name"] for t in shown["targets"] if t["state"] == "ready"}
+            {t["name"] for t in service_status["targets"] if t["state"] == "ready"}
             == {plan.name for plan in service.targets}
             for service in self.cluster.shape.services
-            for shown in self.dispatchers(service.name)
+            for service_status in self.service_statuses(service.name)
         )
 
     @contextmanager
     def load(self, *services: str) -> Iterator[None]:
-        """Run a caller process, with requests and streams, in the block."""
+        """Run a caller process that sends requests and reads streams in the block."""
         self._callers += 1
         name = f"{self.id().rpartition('.')[2]}-{self._callers}"
         launcher = self.cluster.launcher
@@ -100,12 +100,12 @@
             process.wait(_END_TIMEOUT_S)
 
     def runs(self, service: str) -> Counter[str]:
-        """Count what began at each target of a service."""
-        events = self.target_events(*RUNS)
+        """Count the requests and streams that started at each target of a service."""
+        events = self.target_events(*RUN_EVENTS)
         return Counter(e["target"] for e in events if e["service"] == service)
 
     def wait_busy(self, service: str, *targets: str) -> None:
-        """Wait until more work begins at each of some targets."""
+        """Wait until further work starts at each of these targets."""
         before = self.runs(service)
 
         def busy() -> bool:
@@ -114,31 +114,31 @@
 
         wait_until(busy, f"work at {targets}")
 
-    def blind(self, name: str, target: Target) -> None:
-        """Let an instance reach a target, but too slowly for its probes."""
+    def delay_probes(self, name: str, target: Target) -> None:
+        """Delay an instance's link to a target so that probes time out."""
         assert self.cluster.faults is not None
         self.cluster.faults.add_rule(
-            {"type": "delay", "delay_ms": SLOW_PROBE_MS},
+            {"type": "delay", "delay_ms": PROBE_DELAY_MS},
             source=name,
             route=f"target:{target.plan.name}",
         )
 
         def unhealthy() -> bool:
-            shown = self.seen(name, target)
-            return bool(shown) and not shown["healthy"]
+            service_status = self.target_view(name, target)
+            return bool(service_status) and not service_status["healthy"]
 
         wait_until(unhealthy, f"probes of {target.plan.name} by {name} to fail")
 
-    def seen(self, name: str, target: Target) -> dict[str, Any]:
-        """Return what an instance shows of a target, empty if it does not use it."""
-        for shown in self.dispatchers(target.plan.service, [name]):
-            for one in shown["targets"]:
-                if one["name"] == target.plan.name:
-                    return dict(one)
+    def target_view(self, name: str, target: Target) -> dict[str, Any]:
+        """Return a target's entry in an instance's status; empty if there is none."""
+        for service_status in self.service_statuses(target.plan.service, [name]):
+            for target_status in service_status["targets"]:
+                if target_status["name"] == target.plan.name:
+                    return dict(target_status)
         return {}
 
     def owner_of(self, service: str) -> str:
-        """Return the instance that opens a service's flows."""
+        """Return the instance that owns new flows of a service."""
         name = owner(service, sorted(self.cluster.instances))
         assert name is not None
         return name
--- a/endivepick/tests/promises/_planned.py
+++ b/endivepick/tests/promises/_planned.py
@@ -1,4 +1,4 @@
-"""Scaffolding for tests of planned changes: callers, their work and its evidence."""
+"""Test case for planned changes: callers, their requests and the checks of them."""
 
 import itertools
 import json
@@ -17,21 +17,21 @@
     PendingRequest,
     open_caller,
 )
-from endivepick.tests.promises._waiting import in_thread, wait
+from endivepick.tests.promises._waiting import call_in_thread, wait
 from standins.cluster import Cluster, ClusterSettings, cluster
 from standins.evidence import read_evidence
 from standins.nodes import Instance
 from standins.payload import verify_answer
 from standins.shapes import SMALL, Shape
 
-__all__ = ["PlannedChangeTestCase", "StreamReader", "Work"]
+__all__ = ["PlannedChangeTestCase", "StreamReader", "WorkRequest"]
 
 SESSIONS, EXPORTS = "sessions", "exports"
 _numbers = itertools.count(1)
 
 
-def roomy(shape: Shape, slots: int = 16) -> Shape:
-    """Give all targets so many slots that requests seldom wait for each other."""
+def with_target_slots(shape: Shape, slots: int = 16) -> Shape:
+    """Return a shape whose targets have so many slots that requests rarely wait."""
     services = [
         replace(s, targets=tuple(replace(t, slots=slots) for t in s.targets))
         for s in shape.services
@@ -39,20 +39,20 @@
     return replace(shape, services=tuple(services))
 
 
-def _takes_roles(peer: dict[str, Any]) -> bool:
+def _is_alive_and_ready(peer: dict[str, Any]) -> bool:
     return bool(peer["ready"]) and peer["state"] == "alive"
 
 
 @dataclass(frozen=True)
-class Work:
-    """A request that was sent to a target's ``/work``."""
+class WorkRequest:
+    """Request that was sent to a target's ``/work``."""
 
     echo: str
     pending: PendingRequest
 
 
 class StreamReader:
-    """Reads an event stream in a task of its own."""
+    """Reads an event stream in a separate task."""
 
     def __init__(self, stream: EventStream) -> None:
         self.ids: list[int] = []
@@ -69,15 +69,15 @@
             self.end = repr(error)
 
     def close(self) -> None:
-        """Give the stream up."""
+        """Stop reading and close the stream."""
         self._task.kill()
         self._stream.close()
 
 
 class PlannedChangeTestCase(unittest.TestCase):
-    """One installation for all tests of a class, and a new caller for each."""
+    """Runs one cluster for all tests of a class and a new caller for each test."""
 
-    settings = ClusterSettings(roomy(SMALL), faults=True)
+    settings = ClusterSettings(with_target_slots(SMALL), faults=True)
     cluster: Cluster
 
     @classmethod
@@ -92,36 +92,36 @@
     # Instances.
 
     def owner_of(self, service: str) -> str:
-        """Return the instance at which a new flow of a service is held."""
-        wait(self._all_agree, "one view of all instances")
+        """Return the instance that holds a new flow of a service."""
+        wait(self._views_agree, "one view of all instances")
         before = self.flows_held(self.cluster.instances)
         self.open(service)
         after = self.flows_held(self.cluster.instances)
         return max(after, key=lambda name: after[name] - before[name])
 
     def flows_held(self, names: Iterable[str]) -> dict[str, int]:
-        """Return how many flows each of these instances holds."""
+        """Return the number of flows that each of these instances holds."""
         return {name: self.flows_at(name) for name in names}
 
-    def _all_agree(self) -> bool:
+    def _views_agree(self) -> bool:
         names = set(self.cluster.instances)
         views = [
-            in_thread(instance.status)["peers"]
+            call_in_thread(instance.status)["peers"]
             for instance in self.cluster.instances.values()
         ]
         return all(
-            names == {peer["name"] for peer in view if _takes_roles(peer)}
+            names == {peer["name"] for peer in view if _is_alive_and_ready(peer)}
             for view in views
         )
 
     def flows_at(self, name: str) -> int:
-        return int(in_thread(self.cluster.instances[name].status)["flows"])
+        return int(call_in_thread(self.cluster.instances[name].status)["flows"])
 
     def begin_stop(self, name: str) -> None:
-        """Begin a planned stop; whatever is stopped is started after the test."""
-        self.addCleanup(self.start_missing)
+        """Begin a planned stop; the instance is started again after the test."""
+        self.addCleanup(self.start_missing_instances)
         self.addCleanup(self._end_stop, self.cluster.instances[name])
-        in_thread(self.cluster.begin_stop, name)
+        call_in_thread(self.cluster.begin_stop, name)
 
     def _end_stop(self, instance: Instance) -> None:
         name = instance.plan.name
@@ -129,21 +129,21 @@
             self.finish_stop(name)
 
     def finish_stop(self, name: str) -> int:
-        return int(in_thread(self.cluster.finish_stop, name))
+        return int(call_in_thread(self.cluster.finish_stop, name))
 
     def stop(self, name: str) -> int:
-        """Stop an instance as planned; return its exit status."""
+        """Stop an instance gracefully and return its exit status."""
         self.begin_stop(name)
         return self.finish_stop(name)
 
-    def start_missing(self) -> None:
-        """Bring the installation back to its full size."""
+    def start_missing_instances(self) -> None:
+        """Start the instances of the cluster's shape that do not run."""
         names = {plan.name for plan in self.cluster.shape.instances}
         missing = names - set(self.cluster.instances)
         if missing:
-            in_thread(self.cluster.start_instances, sorted(missing))
+            call_in_thread(self.cluster.start_instances, sorted(missing))
 
-    # Work.
+    # Requests.
 
     def open(self, service: str) -> Flow:
         return self.caller.open(service, deadline_s=20.0).unwrap()
@@ -156,7 +156,7 @@
         idempotent: bool = False,
         deadline_s: float = 25.0,
         filler_bytes: int = 0,
-    ) -> Work:
+    ) -> WorkRequest:
         echo = f"{self.id().rpartition('.')[2]}.{next(_numbers)}"
         body = {"work_ms": work_ms, "answer_bytes": answer_bytes, "echo": echo}
         pending = flow.send(
@@ -166,7 +166,7 @@
             idempotent=idempotent,
             deadline_s=deadline_s,
         )
-        return Work(echo, pending)
+        return WorkRequest(echo, pending)
 
     def stream(self, flow: Flow, interval_ms: float = 20, count: int = 100_000):
         path = f"/events?count={count}&interval_ms={interval_ms}&echo=s{next(_numbers)}"
@@ -175,20 +175,20 @@
         wait(lambda: reader.ids or reader.end, "the first event")
         return reader
 
-    def wait_running(self, works: Iterable[Work]) -> None:
-        """Wait until the targets have begun to run these requests."""
+    def wait_running(self, works: Iterable[WorkRequest]) -> None:
+        """Wait until the targets have started these requests."""
         echoes = {work.echo for work in works}
         wait(lambda: echoes <= self.runs().keys(), "requests to run")
 
     def runs(self) -> dict[str, list[Any]]:
-        """Return what the targets ran, by ``echo``."""
+        """Return the runs that the targets logged, by ``echo``."""
         logs = self.cluster.launcher.logs("targets")
         return read_evidence([], logs, []).runs_by_echo()
 
-    # Verdicts.
+    # Checks.
 
-    def assert_answered(self, works: Iterable[Work]) -> None:
-        """Check that each request got its whole answer and ran once."""
+    def assert_answered(self, works: Iterable[WorkRequest]) -> None:
+        """Check that each request ran once and got its complete answer."""
         for work in works:
             result = work.pending.result()
             self.assertIsInstance(result, Success, f"{work.echo}: {result}")
@@ -196,8 +196,8 @@
             self.assertEqual(verdict, "whole", work.echo)
             self.assertEqual(len(self.runs()[work.echo]), 1, work.echo)
 
-    def assert_goes_on(self, reader: StreamReader) -> None:
-        """Check that a stream still brings events, and brought each once."""
+    def assert_stream_continues(self, reader: StreamReader) -> None:
+        """Check that a stream still delivers events and delivered each of them once."""
         seen = len(reader.ids)
         wait(lambda: reader.end or len(reader.ids) > seen + 5, "more events")
         self.assertEqual(reader.end, "")
--- a/endivepick/tests/promises/_raw_caller.py
+++ b/endivepick/tests/promises/_raw_caller.py
@@ -1,4 +1,4 @@
-"""Caller that sends chosen datagrams: in copies, late, and through any instance."""
+"""Caller that sends chosen datagrams: duplicated, late, or through any instance."""
 
 import itertools
 import json
@@ -30,11 +30,11 @@
 )
 from standins.control import parse_address
 
-__all__ = ["RawCaller", "RawFlow", "RawRequest", "Word"]
+__all__ = ["RawCaller", "RawFlow", "RawRequest", "Reply"]
 
-Word = AnswerPart | Refused | Outcome
-"""What ends a request, or begins its answer."""
-CLOSINGS = 3
+Reply = AnswerPart | Refused | Outcome
+"""Packet that ends a request or carries a part of its answer."""
+CLOSE_COPIES = 3
 _BUFFER_BYTES = 4 << 20
 _RECEIVE_BYTES = 2048
 _REPEAT_S = 0.1
@@ -43,7 +43,7 @@
 
 @dataclass(frozen=True)
 class RawFlow:
-    """A flow as its ``Opened`` told it."""
+    """Flow as described by its ``Opened`` packet."""
 
     flow_id: int
     binding: int
@@ -52,7 +52,7 @@
 
 @dataclass(frozen=True)
 class RawRequest:
-    """A request of one datagram, which stays the same in all its copies."""
+    """Request of one datagram; all its copies are identical."""
 
     flow: RawFlow
     seq: int
@@ -62,19 +62,19 @@
 
     @property
     def key(self) -> str:
-        """Idempotency key that the target's log shows."""
+        """Idempotency key as it appears in the target's log."""
         return f"{self.flow.flow_id:016x}-{self.flow.binding:016x}-{self.seq}"
 
 
 class RawCaller:
-    """Sends datagrams as told and keeps what comes back; repeats nothing.
+    """Sends the given datagrams and stores replies; retransmits only ``Open``.
 
     Parameters
     ----------
     fabric_address : str
         ``host:port`` of the fabric.
     name : str
-        Beginning of the ``echo`` of each request.
+        Prefix of the ``echo`` of each request.
     """
 
     def __init__(self, fabric_address: str, name: str) -> None:
@@ -83,7 +83,7 @@
         self._name = name
         self._numbers = itertools.count(1)
         self._opened: dict[int, Opened] = {}
-        self._words: dict[tuple[int, int], list[InstancePacket]] = defaultdict(list)
+        self._replies: dict[tuple[int, int], list[InstancePacket]] = defaultdict(list)
         self._reissued: dict[int, list[Reissued]] = defaultdict(list)
         self._socket = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
         self._socket.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, _BUFFER_BYTES)
@@ -91,7 +91,7 @@
         self._reader = gevent.spawn(self._read)
 
     def close(self) -> None:
-        """End the task and close the socket."""
+        """Stop the reader task and close the socket."""
         self._reader.kill()
         self._socket.close()
 
@@ -105,12 +105,12 @@
                 case Reissued(old_binding=binding):
                     self._reissued[binding].append(packet)
                 case _ if hasattr(packet, "seq"):
-                    self._words[packet.binding, packet.seq].append(packet)
+                    self._replies[packet.binding, packet.seq].append(packet)
 
     # Sending.
 
     def open(self, service: str) -> RawFlow:
-        """Open a flow."""
+        """Open a flow, with retransmissions."""
         open_id = next(self._numbers)
         datagram = encode_packet(Open(open_id, service))
         with gevent.Timeout(_OPEN_S, TimeoutError(f"no flow to {service}")):
@@ -128,7 +128,7 @@
         idempotent: bool = False,
         deadline_ms: int = 30_000,
     ) -> RawRequest:
-        """Build a request for a target's ``/work``; it is not sent yet."""
+        """Build a request for a target's ``/work`` without sending it."""
         seq = 1 + sum(known.flow == flow for known in self.requests)
         echo = f"{self._name}.{next(self._numbers)}"
         body = {"work_ms": work_ms, "answer_bytes": answer_bytes, "echo": echo}
@@ -141,28 +141,30 @@
         return made
 
     def send(self, requests: Iterable[RawRequest], copies: int = 1) -> None:
-        """Send copies of requests, in turn."""
+        """Send each request once per round, ``copies`` rounds in all."""
         wanted = list(requests)
         for _ in range(copies):
             for request in wanted:
                 self._socket.send(request.datagram)
             gevent.sleep(0)
 
-    def ask(self, request: RawRequest, next_index: int = 0, window: int = 64) -> None:
-        """Ask for the answer from a part on."""
+    def request_answer(
+        self, request: RawRequest, next_index: int = 0, window: int = 64
+    ) -> None:
+        """Request the answer from the part ``next_index`` on."""
         self._acknowledge(request, next_index, window, done=False)
 
-    def forget(self, request: RawRequest) -> None:
-        """Tell the owner that the answer arrived."""
+    def acknowledge_answer(self, request: RawRequest) -> None:
+        """Tell the owner that the answer is complete, so that it may discard it."""
         self._acknowledge(request, 0, 64, done=True)
 
     def cancel(self, request: RawRequest) -> None:
-        """Give a request up."""
+        """Cancel a request."""
         self._socket.send(encode_packet(Cancel(request.flow.token, request.seq)))
 
     def close_flow(self, flow: RawFlow) -> None:
-        """Say that the flow is closed, more than once as the library does."""
-        for _ in range(CLOSINGS):
+        """Send ``FlowClosed`` several times, as the caller library does."""
+        for _ in range(CLOSE_COPIES):
             self._socket.send(encode_packet(FlowClosed(flow.token)))
 
     def _acknowledge(
@@ -173,29 +175,29 @@
         )
         self._socket.send(encode_packet(packet))
 
-    # What came back.
+    # Replies.
 
     def packets(self, request: RawRequest) -> list[InstancePacket]:
-        """Return all that came for a request."""
-        return self._words[request.flow.binding, request.seq]
+        """Return all packets received for a request."""
+        return self._replies[request.flow.binding, request.seq]
 
-    def words(self, request: RawRequest) -> list[Word]:
-        """Return answer parts and final words that came for a request."""
-        return [packet for packet in self.packets(request) if isinstance(packet, Word)]
+    def replies(self, request: RawRequest) -> list[Reply]:
+        """Return the answer parts and final replies received for a request."""
+        return [packet for packet in self.packets(request) if isinstance(packet, Reply)]
 
     def reissued(self, flow: RawFlow) -> list[Reissued]:
-        """Return the tokens that were offered in place of a flow's first."""
+        """Return the tokens that were issued to replace a flow's first token."""
         return self._reissued[flow.binding]
 
-    def renewed(self, flow: RawFlow) -> RawFlow:
-        """Return a flow with the last token that was offered for it."""
+    def with_newest_token(self, flow: RawFlow) -> RawFlow:
+        """Return the flow with the newest token that was issued for it."""
         last = self.reissued(flow)[-1]
         return RawFlow(flow.flow_id, last.binding, last.token)
 
     def was_refused(self, request: RawRequest) -> bool:
-        """Tell whether anyone said "not run"."""
-        return any(isinstance(word, Refused) for word in self.words(request))
+        """Tell whether any instance refused the request as not run."""
+        return any(isinstance(reply, Refused) for reply in self.replies(request))
 
-    def heard(self, request: RawRequest) -> int:
-        """Count the packets that came for a request or replaced its token."""
+    def count_packets(self, request: RawRequest) -> int:
+        """Count packets received for a request and tokens issued for its flow."""
         return len(self.packets(request)) + len(self.reissued(request.flow))
--- a/endivepick/tests/promises/_uneven.py
+++ b/endivepick/tests/promises/_uneven.py
@@ -1,4 +1,4 @@
-"""Scaffolding for tests in which instances hold uneven configurations."""
+"""Test case in which instances hold different configurations."""
 
 import itertools
 import json
@@ -14,7 +14,7 @@
 from standins.process import wait_until
 from standins.shapes import SMALL
 
-__all__ = ["EXPORTS", "NORTH", "SESSIONS", "SOUTH", "UnevenTestCase"]
+__all__ = ["EXPORTS", "NORTH", "SESSIONS", "SOUTH", "ConfigurationTestCase"]
 
 SESSIONS, EXPORTS = "sessions", "exports"
 NORTH, SOUTH = SMALL.zones
@@ -28,14 +28,14 @@
 
 
 class LogTail:
-    """Reads growing logs, each line once."""
+    """Reads growing log files incrementally and parses each line once."""
 
     def __init__(self) -> None:
         self._lines: dict[Path, list[dict[str, Any]]] = {}
         self._offsets: dict[Path, int] = {}
 
     def read(self, path: Path) -> list[dict[str, Any]]:
-        """Return all lines of a log that are complete."""
+        """Return all complete lines of a log."""
         known = self._lines.setdefault(path, [])
         if not path.exists():
             return known
@@ -48,8 +48,8 @@
         return known
 
 
-class UnevenTestCase(unittest.TestCase):
-    """One installation for all tests of a class; each test leaves it healthy."""
+class ConfigurationTestCase(unittest.TestCase):
+    """Runs one cluster for all tests of a class; each test restores it."""
 
     settings = ClusterSettings(SMALL, faults=True)
     cluster: Cluster
@@ -62,12 +62,12 @@
         cls._tail = LogTail()
 
     def setUp(self) -> None:
-        self.addCleanup(self.mend)
+        self.addCleanup(self.restore_cluster)
         self.platform = self.cluster.platform
         self.wait_agreed()
 
-    def mend(self) -> None:
-        """Take back all faults and start what is missing."""
+    def restore_cluster(self) -> None:
+        """Remove all faults and start missing instances."""
         self.cluster.heal()
         self.platform.control(**_NO_FAULTS)
         for name in self.cluster.instances:
@@ -80,12 +80,12 @@
     # Instances.
 
     def names(self, *zones: str) -> list[str]:
-        """Return the instances of some zones, or of all."""
+        """Return the names of the instances in some zones, by default in all."""
         plans = self.cluster.shape.instances
         return [plan.name for plan in plans if plan.zone in (zones or (plan.zone,))]
 
     def wait_agreed(self) -> None:
-        """Wait until all instances see each other ready."""
+        """Wait until all instances see each other as alive and ready."""
         names = set(self.names())
 
         def agreed() -> bool:
@@ -94,19 +94,19 @@
         wait_until(agreed, "one view of all instances")
 
     def live_peers(self, name: str) -> set[str]:
-        """Return whom an instance sees alive and ready, itself included."""
+        """Return the instances that one sees as alive and ready, itself included."""
         peers = self.cluster.instances[name].status()["peers"]
         return {p["name"] for p in peers if p["state"] == "alive" and p["ready"]}
 
     def restart(self, names: Iterable[str], same_ports: bool = True) -> None:
-        """Kill instances at once and start them again."""
+        """Kill instances and then start them again."""
         restarted = list(names)
         for name in restarted:
             self.cluster.kill_instance(name)
         self.cluster.start_instances(restarted, same_ports)
 
     def replace(self, names: Iterable[str]) -> None:
-        """Stop instances as planned, then start others in their place."""
+        """Stop instances gracefully, then start replacements under the same names."""
         replaced = list(names)
         for name in replaced:
             self.cluster.begin_stop(name)
@@ -117,11 +117,11 @@
     # Links.
 
     def cut_platform(self, *zones: str, action: str = "cut") -> None:
-        """Cut zones off from the platform only."""
+        """Cut the links between zones and the platform only."""
         self._cut(zones, [PLATFORM_ZONE], action)
 
     def cut_peers(self, *zones: str, action: str = "cut") -> None:
-        """Cut instances of these zones off from those of all others, both ways."""
+        """Cut the peer links between these zones and all others in both directions."""
         for zone in zones:
             others = [other for other in self.cluster.shape.zones if other != zone]
             self._cut([zone], others, action, route="peer:*")
@@ -139,12 +139,12 @@
     # Records.
 
     def change(self, service: str = SESSIONS, **fields: Any) -> int:
-        """Change fields of a record; return the accepted version."""
+        """Change fields of a record and return the accepted version."""
         stored = self.platform.change_record(service, lambda body: body.update(fields))
         return int(stored["version"])
 
-    def touch(self, service: str = SESSIONS) -> int:
-        """Make a new version with the same content."""
+    def write_new_version(self, service: str = SESSIONS) -> int:
+        """Write a new version with the same content."""
         return self.change(service)
 
     def delete(self, service: str) -> None:
@@ -154,24 +154,26 @@
         with platform_client(self.platform.api) as client:
             client.delete(SERVICE_KIND, service, stored["version"]).unwrap()
 
-    def held(self, service: str, name: str) -> int:
-        """Return the version that an instance has in force, 0 for none."""
+    def version_in_force(self, service: str, name: str) -> int:
+        """Return the version in force at an instance, or 0 if there is none."""
         records = self.cluster.instances[name].status()["records"]
         return int(records.get(service, 0))
 
     def wait_in_force(
         self, version: int, service: str = SESSIONS, names: Iterable[str] = ()
     ) -> None:
-        """Wait until instances have exactly this version, all by default."""
+        """Wait until exactly this version is in force at instances (default: all)."""
         wanted = list(names) or self.names()
 
         def in_force() -> bool:
-            return all(self.held(service, name) == version for name in wanted)
+            return all(
+                self.version_in_force(service, name) == version for name in wanted
+            )
 
         wait_until(in_force, f"{service} version {version} at {wanted}")
 
     def in_force_when_ready(self, service: str, name: str) -> int:
-        """Return what an instance had in force when it became ready, 0 for none."""
+        """Return the version in force when an instance became ready, 0 for none."""
         version = 0
         for line in self._tail.read(self.cluster.instances[name].log):
             match line.get("event"):
@@ -181,10 +183,10 @@
                     version = 0
                 case "state_changed" if line["new"] == "ready":
                     return version
-        raise AssertionError(f"{name} has not become ready")
+        raise AssertionError(f"log of {name} has no transition to ready")
 
     def wait_logged(self, name: str, event: str, text: str) -> None:
-        """Wait until an instance logged an event with a text."""
+        """Wait until an instance has logged an event that contains a text."""
 
         def logged() -> bool:
             lines = self._tail.read(self.cluster.instances[name].log)
@@ -193,7 +195,7 @@
         wait_until(logged, f"{event} at {name}")
 
     def assert_never_reverted(self) -> None:
-        """Check in the logs that no process went back to an earlier version."""
+        """Check in the logs that no process reverted to an earlier version."""
         for path in self.cluster.launcher.logs("instances"):
             highest: dict[str, int] = {}
             for line in self._tail.read(path):
@@ -204,17 +206,17 @@
 
     # Targets.
 
-    def dispatchers(
+    def service_statuses(
         self, service: str, names: Iterable[str] = ()
     ) -> Iterator[dict[str, Any]]:
-        """Yield what instances that place requests for a service show of it."""
+        """Yield a service's status at each instance that dispatches its requests."""
         for name in list(names) or list(self.cluster.instances):
-            for shown in self.cluster.instances[name].status()["services"]:
-                if shown["service"] == service:
-                    yield shown
+            for service_status in self.cluster.instances[name].status()["services"]:
+                if service_status["service"] == service:
+                    yield service_status
 
     def target_events(self, *events: str) -> list[dict[str, Any]]:
-        """Return events of all targets' logs."""
+        """Return the lines of all targets' logs that record these events."""
         logs = self.cluster.launcher.logs("targets")
         lines = itertools.chain.from_iterable(map(self._tail.read, logs))
         return [line for line in lines if line["event"] in events]
--- a/endivepick/tests/promises/_waiting.py
+++ b/endivepick/tests/promises/_waiting.py
@@ -1,18 +1,18 @@
-"""Waits during which the callers' tasks of the test process go on."""
+"""Waits that let the callers' gevent tasks in the test process run."""
 
 from collections.abc import Callable
 from typing import Any
 
 import gevent
 
-__all__ = ["in_thread", "wait"]
+__all__ = ["call_in_thread", "wait"]
 
 _POLL_S = 0.02
 _WAIT_S = 60.0
 
 
-def in_thread(function: Callable[..., Any], *arguments: Any, **named: Any) -> Any:
-    """Make a blocking call while the callers' tasks go on."""
+def call_in_thread(function: Callable[..., Any], *arguments: Any, **named: Any) -> Any:
+    """Make a blocking call in a thread, while the callers' tasks run."""
     return gevent.get_hub().threadpool.apply(function, arguments, named)
 
 
@@ -22,9 +22,9 @@
     state: Callable[[], Any] | None = None,
     poll_s: float = _POLL_S,
 ) -> Any:
-    """Wait for a condition; return its value.
+    """Wait until a condition holds and return its value.
 
-    If it does not hold in time, the error tells ``state`` as well.
+    If it does not hold in time, the error includes the value of ``state``.
     """
     with gevent.Timeout(_WAIT_S, False):
         while not (value := condition()):
--- a/endivepick/tests/promises/test_point1_planned_change.py
+++ b/endivepick/tests/promises/test_point1_planned_change.py
@@ -1,4 +1,4 @@
-"""Point 1: established flows survive the replacement of everything, under load."""
+"""Point 1: established flows survive replacement of all processes under load."""
 
 import signal
 import unittest
@@ -9,7 +9,7 @@
     EXPORTS,
     SESSIONS,
     PlannedChangeTestCase,
-    roomy,
+    with_target_slots,
 )
 from endivepick.tests.promises._waiting import wait
 from standins.checker import check
@@ -21,7 +21,7 @@
 
 
 class TestReplacementUnderLoad(PlannedChangeTestCase):
-    settings = ClusterSettings(roomy(SMALL))
+    settings = ClusterSettings(with_target_slots(SMALL))
 
     def start_load(self):
         services = (SESSIONS, EXPORTS)
@@ -65,7 +65,7 @@
         targets = gevent.get_hub().threadpool.spawn(self.replace_targets)
         for plan in self.cluster.shape.instances:
             self.assertEqual(self.stop(plan.name), 0, plan.name)
-            self.start_missing()
+            self.start_missing_instances()
         targets.get()
         load.signal(signal.SIGTERM)
         load.wait(60.0)
--- a/endivepick/tests/promises/test_point2_key_rotation.py
+++ b/endivepick/tests/promises/test_point2_key_rotation.py
@@ -33,12 +33,12 @@
 
 
 class TestKeyRotation(unittest.TestCase):
-    """No token of a new key may meet an instance that lacks the key."""
+    """A new key signs tokens only once every instance has it."""
 
     def setUp(self):
         settings = ClusterSettings(SMALL, faults=True, instance_settings=SETTINGS)
         self.cluster = self.enterContext(cluster(settings))
-        # An instance that is ready may not have found its peers yet.
+        # An instance that is ready may not have discovered its peers yet.
         wait_agreed(self.cluster)
 
     def start_load(self):
@@ -59,17 +59,17 @@
         outcome = run_command("keys", "rotate", platform)
         self.assertEqual(outcome.code, 0, outcome.err)
 
-    def signing(self):
-        """Return the number of the key that each instance signs with."""
+    def signing_key_ids(self):
+        """Return the ids of the keys with which the instances sign."""
         instances = self.cluster.instances.values()
-        return {one.status()["keyring"]["current"] for one in instances}
+        return {instance.status()["keyring"]["current"] for instance in instances}
 
     def count(self, name, label, *instances):
         return sum(
-            read_metrics(self.cluster.instances[one].http_address).get(
+            read_metrics(self.cluster.instances[instance_name].http_address).get(
                 f"endivepick_{name}_total{label}", 0.0
             )
-            for one in instances or self.cluster.instances
+            for instance_name in instances or self.cluster.instances
         )
 
     def lagging_is_dead(self):
@@ -78,15 +78,15 @@
         return states[LAGGING] == "dead"
 
     def wait_for_further_checks(self):
-        """Wait until the pending key was looked at twice more, or signs."""
+        """Wait until the pending key was checked twice more, or until it signs."""
 
         def checks():
             return self.count("key_checks", '{result="waits"}', "north-1", "north-2")
 
         wanted = checks() + 2
         wait_until(
-            lambda: checks() >= wanted or self.signing() != {1},
-            "two further looks at the pending key",
+            lambda: checks() >= wanted or self.signing_key_ids() != {1},
+            "two further checks of the pending key",
         )
 
     def test_instance_that_lags_is_waited_for(self):
@@ -99,11 +99,15 @@
         self.rotate()
         wait_until(self.lagging_is_dead, f"{LAGGING} to be given up")
         self.wait_for_further_checks()
-        self.assertEqual(self.signing(), {1})
+        self.assertEqual(self.signing_key_ids(), {1})
         self.cluster.heal()
-        wait_until(lambda: self.signing() == {2}, "the second key to sign everywhere")
+        wait_until(
+            lambda: self.signing_key_ids() == {2}, "the second key to sign everywhere"
+        )
         self.rotate()
-        wait_until(lambda: self.signing() == {3}, "the third key to sign everywhere")
+        wait_until(
+            lambda: self.signing_key_ids() == {3}, "the third key to sign everywhere"
+        )
         relayed = self.count("packets_relayed", "")
         wait_until(
             lambda: self.count("packets_relayed", "") > relayed + 100,
--- a/endivepick/tests/promises/test_point3_whole_answers.py
+++ b/endivepick/tests/promises/test_point3_whole_answers.py
@@ -1,4 +1,4 @@
-"""Point 3: a caller gets the whole answer to its own request, and only that."""
+"""Point 3: a caller gets the complete answer to its own request and no other."""
 
 import signal
 import unittest
@@ -11,20 +11,20 @@
 from endivepick.tests.promises._disturbed import (
     EXPORTS,
     SESSIONS,
-    DisturbedTestCase,
+    FaultInjectionTestCase,
 )
-from endivepick.tests.promises._waiting import in_thread, wait
+from endivepick.tests.promises._waiting import call_in_thread, wait
 from standins.payload import verify_event
 
 LARGE_ANSWER_BYTES = 8 << 20
 WAIT_S = 60
 
 
-class TestWholeAnswers(DisturbedTestCase):
+class TestWholeAnswers(FaultInjectionTestCase):
     def test_late_crossed_duplicated_and_reordered_parts(self):
         caller = self.new_caller()
         flows = [self.open(caller, service) for service in (SESSIONS, EXPORTS)]
-        self.disturb_fabric(loss=0.1, duplicate=0.3, delay_ms_max=60)
+        self.set_fabric_faults(loss=0.1, duplicate=0.3, delay_ms_max=60)
         works = [
             self.send(flow, work_ms=number % 4 * 15, answer_bytes=number * 4000)
             for number in range(24)
@@ -38,7 +38,7 @@
     def test_two_flows_of_one_caller_with_the_same_request_numbers(self):
         caller = self.new_caller()
         flows = [self.open(caller, SESSIONS), self.open(caller, SESSIONS)]
-        self.disturb_fabric(duplicate=0.5, delay_ms_max=30)
+        self.set_fabric_faults(duplicate=0.5, delay_ms_max=30)
         works = [
             self.send(flow, work_ms=10, answer_bytes=3000)
             for _ in range(16)
@@ -50,13 +50,13 @@
 
     def test_large_answer_through_loss(self):
         flow = self.open(self.new_caller(), EXPORTS)
-        self.disturb_fabric(loss=0.05)
+        self.set_fabric_faults(loss=0.05)
         self.assert_whole(self.send(flow, answer_bytes=LARGE_ANSWER_BYTES))
 
     def test_answer_that_comes_after_its_caller_gave_up(self):
         caller = self.new_caller()
         flow = self.open(caller, EXPORTS)
-        self.disturb_fabric(delay_ms_min=300, delay_ms_max=400)
+        self.set_fabric_faults(delay_ms_min=300, delay_ms_max=400)
         given_up = self.send(flow, answer_bytes=20_000, deadline_s=0.5)
         result = given_up.result()
         self.assertIsInstance(result, Failure)
@@ -66,7 +66,7 @@
 
     def test_stream_brings_each_event_once_and_in_order(self):
         flow = self.open(self.new_caller(), SESSIONS)
-        self.disturb_fabric(loss=0.1, duplicate=0.3, delay_ms_max=40)
+        self.set_fabric_faults(loss=0.1, duplicate=0.3, delay_ms_max=40)
         stream = flow.stream("/events?count=300&interval_ms=5&echo=ordered")
         events = list(stream)
         self.assertEqual(len(events), 300)
@@ -74,12 +74,12 @@
             self.assertTrue(verify_event(event.data, "ordered", number), event)
 
 
-class SilentCallerTestCase(DisturbedTestCase):
-    """Owners cancel requests after a silence; nothing else ends them in time."""
+class SilentCallerTestCase(FaultInjectionTestCase):
+    """Owners cancel requests of silent callers; other timeouts exceed the test."""
 
     silence_s = 3.0
     settings = replace(
-        DisturbedTestCase.settings, record_settings={"request_timeout_s": 600}
+        FaultInjectionTestCase.settings, record_settings={"request_timeout_s": 600}
     )
 
     @classmethod
@@ -115,7 +115,7 @@
             },
         )
         process = launcher.spawn("gone", "standins.load", [f"--settings={path}"])
-        in_thread(process.wait_ready)
+        call_in_thread(process.wait_ready)
         echoes = [f"gone.0.{flow}.1.1" for flow in range(3)]
         self.wait_running(echoes)
         process.signal(signal.SIGKILL)
@@ -124,15 +124,15 @@
 
 
 class TestCallerOutOfReach(SilentCallerTestCase):
-    """All its packets are lost for longer than an owner waits for word of it."""
+    """All packets are lost for longer than the owner's caller timeout."""
 
     def test_stream_goes_on(self):
         flow = self.open(self.new_caller(), SESSIONS)
         stream = flow.stream("/events?count=100000&interval_ms=20&echo=far")
         numbers = [int(next(stream).event_id) for _ in range(10)]
-        self.disturb_fabric(loss=1.0)
+        self.set_fabric_faults(loss=1.0)
         wait(lambda: self.target_events().count("echo", "stream_end")["far"], "its end")
-        self.disturb_fabric()
+        self.set_fabric_faults()
         with gevent.Timeout(WAIT_S):
             while len(numbers) < 300:
                 numbers.append(int(next(stream).event_id))
@@ -143,9 +143,9 @@
         self.control_targets(EXPORTS, stuck=True)
         work = self.send(self.open(self.new_caller(), EXPORTS), deadline_s=600.0)
         self.wait_running([work.echo])
-        self.disturb_fabric(loss=1.0)
+        self.set_fabric_faults(loss=1.0)
         self.wait_cancelled([work.echo])
-        self.disturb_fabric()
+        self.set_fabric_faults()
         with gevent.Timeout(WAIT_S):
             self.assertIsInstance(work.result().failure(), OutcomeUnknown)
 
@@ -157,12 +157,12 @@
         super().setUp()
         self.control_targets(EXPORTS, stuck=True)
 
-    def send_stuck(self, flow):
+    def send_blocked_request(self, flow):
         return self.send(flow, deadline_s=600.0)
 
     def test_running_request(self):
         flow = self.open(self.new_caller(), EXPORTS)
-        work = self.send_stuck(flow)
+        work = self.send_blocked_request(flow)
         self.wait_running([work.echo])
         work.pending.cancel()
         self.assertIsInstance(work.result().failure(), OutcomeUnknown)
@@ -170,7 +170,7 @@
 
     def test_closed_flow(self):
         flow = self.open(self.new_caller(), EXPORTS)
-        works = [self.send_stuck(flow) for _ in range(6)]
+        works = [self.send_blocked_request(flow) for _ in range(6)]
         echoes = {work.echo for work in works}
         running = wait(lambda: self.running(echoes, count=4), "all slots to be taken")
         flow.close()
@@ -180,9 +180,9 @@
 
     def test_waiting_request(self):
         flow = self.open(self.new_caller(), EXPORTS)
-        running = [self.send_stuck(flow) for _ in range(4)]
+        running = [self.send_blocked_request(flow) for _ in range(4)]
         self.wait_running(work.echo for work in running)
-        waiting = self.send_stuck(flow)
+        waiting = self.send_blocked_request(flow)
         owner = self.owner_of(EXPORTS)
         wait(lambda: self.waiting_at(owner) == 1, "a request to wait")
         waiting.pending.cancel()
--- a/endivepick/tests/promises/test_point4_not_run_is_true.py
+++ b/endivepick/tests/promises/test_point4_not_run_is_true.py
@@ -1,20 +1,20 @@
-"""Point 4: a request that was refused as "not run" did not run and never does."""
+"""Point 4: a request that was refused as "not run" never ran and never runs."""
 
 import unittest
 from dataclasses import replace
 
 from endivepick.client import NotRun, OutcomeUnknown
 from endivepick.core.messages import Refused
-from endivepick.tests.promises._disturbed import EXPORTS, DisturbedTestCase
+from endivepick.tests.promises._disturbed import EXPORTS, FaultInjectionTestCase
 from endivepick.tests.promises._waiting import wait
 
 COPIES = 5
 _SUSPICION_ENDS = ("suspect_min_s", "suspect_max_s", "mass_dead_after_s")
 
 
-class TestCopies(DisturbedTestCase):
+class TestCopies(FaultInjectionTestCase):
     settings = replace(
-        DisturbedTestCase.settings, record_settings={"waiting_per_slot": 2}
+        FaultInjectionTestCase.settings, record_settings={"waiting_per_slot": 2}
     )
 
     def test_at_several_instances_at_once(self):
@@ -22,41 +22,43 @@
         flow = caller.open(EXPORTS)
         requests = [caller.request(flow, work_ms=20) for _ in range(12)]
         caller.send(requests, copies=3 * COPIES)
-        self.wait_words(caller, requests)
+        self.wait_for_replies(caller, requests)
         self.assert_promises()
         for request in requests:
-            # Everyone who asked got the same word.
-            kinds = {type(word) for word in caller.words(request)}
+            # All copies got the same kind of reply.
+            kinds = {type(reply) for reply in caller.replies(request)}
             self.assertEqual(len(kinds), 1, kinds)
 
     def test_late_copies_of_refused_requests(self):
         caller = self.new_raw_caller()
         flow = caller.open(EXPORTS)
-        # No slot gets free before the deadline of those who wait is over.
+        # No slot becomes free before the deadline of the waiting requests.
         self.control_targets(EXPORTS, stuck=True)
         blocking = [caller.request(flow, work_ms=5) for _ in range(4)]
         caller.send(blocking)
         self.wait_running(request.echo for request in blocking)
-        soon = [caller.request(flow, work_ms=5, deadline_ms=300) for _ in range(6)]
-        # Alone, since a crowd that overtakes them would fill the queue.
-        self.wait_words(caller, soon)
-        crowd = [caller.request(flow, work_ms=5) for _ in range(30)]
-        caller.send(crowd)
-        wait(lambda: any(map(caller.was_refused, crowd)), "a refusal")
+        short_deadline = [
+            caller.request(flow, work_ms=5, deadline_ms=300) for _ in range(6)
+        ]
+        # Sent alone, since later requests that overtake them would fill the queue.
+        self.wait_for_replies(caller, short_deadline)
+        later_requests = [caller.request(flow, work_ms=5) for _ in range(30)]
+        caller.send(later_requests)
+        wait(lambda: any(map(caller.was_refused, later_requests)), "a refusal")
         self.control_targets(EXPORTS, stuck=False)
-        self.wait_words(caller, caller.requests)
+        self.wait_for_replies(caller, caller.requests)
         reasons = {
-            word.reason
+            reply.reason
             for request in caller.requests
-            for word in caller.words(request)
-            if isinstance(word, Refused)
+            for reply in caller.replies(request)
+            if isinstance(reply, Refused)
         }
         self.assertIn("queue_full", reasons)
         self.assertTrue(reasons & {"deadline_passed", "wait_too_long"}, reasons)
         self.assert_promises()
-        # Also when the owner has been told to forget its answers.
+        # The promises hold also after the owner was told to discard its answers.
         for request in caller.requests:
-            caller.forget(request)
+            caller.acknowledge_answer(request)
         self.assert_promises()
 
     def test_copies_that_a_paused_relay_held_back(self):
@@ -66,11 +68,11 @@
         flow = caller.open(EXPORTS)
         self.control_targets(EXPORTS, shed=True)
         requests = [caller.request(flow) for _ in range(6)]
-        self.spray([relay])
-        with self.frozen(relay):
+        self.route_callers_to([relay])
+        with self.paused(relay):
             caller.send(requests, copies=COPIES)
-            self.spray([owner])
-            self.wait_words(caller, requests)
+            self.route_callers_to([owner])
+            self.wait_for_replies(caller, requests)
         self.assertTrue(all(caller.was_refused(request) for request in requests))
         self.control_targets(EXPORTS, shed=False)
         self.assert_promises()
@@ -85,94 +87,94 @@
         self.assert_promises()
 
 
-class TestAnswersLost(DisturbedTestCase):
+class TestAnswersLost(FaultInjectionTestCase):
     def test_between_target_and_owner(self):
         flow = self.open(self.new_caller(), EXPORTS)
         self.assert_whole(self.send(flow))
         self.add_rule("drop_answers", route="target:exports-*")
         works = [self.send(flow, idempotent=n % 2 == 0) for n in range(12)]
-        runs_and_ends = [work.result() for work in works]
+        results = [work.result() for work in works]
         self.heal()
         self.assert_promises()
-        # Those that ran and whose answer was lost may not be called "not run".
+        # Requests that ran and lost their answer must not be reported as "not run".
         ran = self.runs()
         lost = [w for w in works if ran[w.echo]]
         self.assertTrue(lost)
         for work in lost:
             self.assertIsInstance(work.result().failure(), OutcomeUnknown)
-        self.assertEqual(len(runs_and_ends), 12)
+        self.assertEqual(len(results), 12)
 
     def test_between_owner_and_caller(self):
         caller = self.new_raw_caller()
         flow = caller.open(EXPORTS)
         requests = [caller.request(flow, work_ms=5) for _ in range(8)]
-        self.disturb_callers(loss=1.0)
+        self.set_faults_towards_callers(loss=1.0)
         caller.send(requests, copies=COPIES)
         self.wait_running(request.echo for request in requests)
         self.wait_idle()
-        self.disturb_callers(loss=0.0)
-        self.wait_words(caller, requests)
+        self.set_faults_towards_callers(loss=0.0)
+        self.wait_for_replies(caller, requests)
         self.assert_promises()
 
     def test_between_owner_and_caller_with_copies_until_all_run(self):
         caller = self.new_raw_caller()
         flow = caller.open(EXPORTS)
         requests = [caller.request(flow, work_ms=5) for _ in range(8)]
-        self.disturb_callers(loss=1.0)
+        self.set_faults_towards_callers(loss=1.0)
         caller.send(requests, copies=COPIES)
         self.send_until_running(caller, requests)
         self.wait_idle()
-        self.disturb_callers(loss=0.0)
-        self.wait_words(caller, requests)
+        self.set_faults_towards_callers(loss=0.0)
+        self.wait_for_replies(caller, requests)
         self.assert_promises()
 
     def test_between_owner_and_caller_while_the_owner_is_given_up(self):
-        """All first copies meet instances that offer a new token, which is lost."""
+        """All first copies reach relays that issue a new token, which is lost."""
         owner = self.owner_of(EXPORTS)
         caller = self.new_raw_caller()
         flow = caller.open(EXPORTS)
         requests = [caller.request(flow, work_ms=5) for _ in range(8)]
         self.cluster.freeze_instance(owner)
-        self.wait_given_up(owner)
-        self.disturb_callers(loss=1.0)
-        self.spray(self.others(owner))
+        self.wait_declared_dead(owner)
+        self.set_faults_towards_callers(loss=1.0)
+        self.route_callers_to(self.others(owner))
         caller.send(requests, copies=COPIES)
-        self.spray(None)
+        self.route_callers_to(None)
         self.cluster.thaw_instance(owner)
         self.send_until_running(caller, requests)
         self.wait_idle()
-        self.disturb_callers(loss=0.0)
-        self.wait_words(caller, requests)
+        self.set_faults_towards_callers(loss=0.0)
+        self.wait_for_replies(caller, requests)
         self.assert_promises()
 
 
-class TestOwnerSuspected(DisturbedTestCase):
-    """An owner that stood still is suspected for long, and not given up."""
+class TestOwnerSuspected(FaultInjectionTestCase):
+    """An owner that was paused is suspected for long and not declared dead."""
 
     settings = replace(
-        DisturbedTestCase.settings,
-        instance_settings=DisturbedTestCase.settings.instance_settings
+        FaultInjectionTestCase.settings,
+        instance_settings=FaultInjectionTestCase.settings.instance_settings
         | {"membership": dict.fromkeys(_SUSPICION_ENDS, 60.0)},
     )
 
     def test_requests_over_relays_run_although_no_answer_is_heard(self):
-        """Relays dropped the packets of a flow while they suspected its owner."""
+        """Guards against relays that drop packets while they suspect the owner."""
         owner = self.owner_of(EXPORTS)
         caller = self.new_raw_caller()
         flow = caller.open(EXPORTS)
         requests = [caller.request(flow, work_ms=5) for _ in range(8)]
         self.cluster.freeze_instance(owner)
         self.wait_suspected(owner)
-        self.disturb_callers(loss=1.0)
-        self.spray(self.others(owner))
+        self.set_faults_towards_callers(loss=1.0)
+        self.route_callers_to(self.others(owner))
         caller.send(requests)
-        self.wait_relayed(requests)
+        self.wait_received_by_relays(requests)
         self.cluster.thaw_instance(owner)
         self.wait_running(request.echo for request in requests)
         self.wait_idle()
-        self.spray(None)
-        self.disturb_callers(loss=0.0)
-        self.wait_words(caller, requests)
+        self.route_callers_to(None)
+        self.set_faults_towards_callers(loss=0.0)
+        self.wait_for_replies(caller, requests)
         self.assert_promises()
 
 
--- a/endivepick/tests/promises/test_point5_at_most_once.py
+++ b/endivepick/tests/promises/test_point5_at_most_once.py
@@ -1,4 +1,4 @@
-"""Point 5: a non-idempotent request runs at most once, by the targets' own logs."""
+"""Point 5: a non-idempotent request runs at most once, as the targets' logs show."""
 
 import unittest
 
@@ -8,18 +8,18 @@
 from endivepick.tests.promises._disturbed import (
     EXPORTS,
     SESSIONS,
-    DisturbedTestCase,
+    FaultInjectionTestCase,
 )
-from endivepick.tests.promises._waiting import in_thread
+from endivepick.tests.promises._waiting import call_in_thread
 
 COPIES = 5
 
 
-class TestCopies(DisturbedTestCase):
+class TestCopies(FaultInjectionTestCase):
     def test_resends_and_duplicates_on_the_way(self):
         caller = self.new_caller()
         flows = [self.open(caller, service) for service in (SESSIONS, EXPORTS) * 2]
-        self.disturb_fabric(loss=0.2, duplicate=0.5, delay_ms_max=120)
+        self.set_fabric_faults(loss=0.2, duplicate=0.5, delay_ms_max=120)
         works = [self.send(flow, work_ms=10) for _ in range(10) for flow in flows]
         for work in works:
             self.assert_whole(work)
@@ -33,24 +33,26 @@
         caller.send(requests, copies=COPIES)
         self.wait_running(request.echo for request in requests)
         caller.send(requests, copies=COPIES)
-        self.wait_words(caller, requests)
+        self.wait_for_replies(caller, requests)
         self.assert_promises()
         self.assertEqual({self.runs()[request.echo] for request in requests}, {1})
 
 
-class TestTargetFails(DisturbedTestCase):
+class TestTargetFails(FaultInjectionTestCase):
     def test_target_that_breaks_the_connection_after_the_run(self):
         self.control_targets(EXPORTS, close_after_run=True)
         flow = self.open(self.new_caller(), EXPORTS)
-        once = [self.send(flow, work_ms=20) for _ in range(6)]
-        again = [self.send(flow, work_ms=20, idempotent=True) for _ in range(6)]
-        for work in once + again:
+        non_idempotent_works = [self.send(flow, work_ms=20) for _ in range(6)]
+        idempotent_works = [
+            self.send(flow, work_ms=20, idempotent=True) for _ in range(6)
+        ]
+        for work in non_idempotent_works + idempotent_works:
             self.assertIsInstance(work.result().failure(), OutcomeUnknown)
         self.control_targets(EXPORTS, close_after_run=False)
         self.assert_promises()
         runs = self.runs()
-        self.assertTrue(all(runs[work.echo] == 1 for work in once))
-        self.assertTrue(any(runs[work.echo] > 1 for work in again))
+        self.assertTrue(all(runs[work.echo] == 1 for work in non_idempotent_works))
+        self.assertTrue(any(runs[work.echo] > 1 for work in idempotent_works))
 
     def test_connection_that_breaks_within_the_answer(self):
         flow = self.open(self.new_caller(), EXPORTS)
@@ -74,12 +76,12 @@
         requests = [raw.request(raw_flow, work_ms=5) for _ in range(8)]
         raw.send(requests)
         for target in self.cluster.service_targets(EXPORTS):
-            in_thread(self.cluster.kill_target, target.plan.name)
-            in_thread(self.cluster.start_target, target.plan)
+            call_in_thread(self.cluster.kill_target, target.plan.name)
+            call_in_thread(self.cluster.start_target, target.plan)
         for work in running + queued:
             work.result()
         self.assert_whole(self.send(flow))
-        self.wait_words(raw, requests)
+        self.wait_for_replies(raw, requests)
         self.assert_promises()
 
 
--- a/endivepick/tests/promises/test_point5_closed_flows.py
+++ b/endivepick/tests/promises/test_point5_closed_flows.py
@@ -1,4 +1,4 @@
-"""Point 5: what an owner has forgotten never runs again; idle flows it keeps."""
+"""Point 5: requests of expired closed flows never run again; idle flows are kept."""
 
 import unittest
 from dataclasses import replace
@@ -6,15 +6,15 @@
 from endivepick.tests.promises._disturbed import (
     EXPORTS,
     SESSIONS,
-    DisturbedTestCase,
+    FaultInjectionTestCase,
 )
-from endivepick.tests.promises._waiting import in_thread, wait
+from endivepick.tests.promises._waiting import call_in_thread, wait
 
 FORGET_AFTER_S = 1
-"""Age at which owners forget closed flows, in seconds; 60 in use."""
+"""Age at which owners discard closed flows; the default is 60 seconds."""
 
 
-class TestClosedFlows(DisturbedTestCase):
+class TestClosedFlows(FaultInjectionTestCase):
     @classmethod
     def setUpClass(cls):
         groups = cls.settings.instance_settings | {
@@ -29,16 +29,16 @@
         self.caller = self.new_raw_caller()
 
     def run_and_close(self, *services):
-        """Return requests that ran, of flows that were closed."""
+        """Run a request on a new flow of each service and close the flows."""
         flows = [self.caller.open(service) for service in services]
         requests = [self.caller.request(flow) for flow in flows]
-        self.wait_words(self.caller, requests)
+        self.wait_for_replies(self.caller, requests)
         for flow in flows:
             self.caller.close_flow(flow)
         return requests
 
     def wait_forgotten(self, requests):
-        """Send copies until the owners know nothing of them any more."""
+        """Send copies until the owners have discarded the requests' flows."""
 
         def forgotten():
             self.caller.send(requests)
@@ -71,22 +71,22 @@
         self.caller.send(requests, copies=3)
         self.assertEqual(self.finish_stop(self.owner), 0)
         self.assert_ran_once(requests)
-        in_thread(self.cluster.start_instances, [self.owner])
+        call_in_thread(self.cluster.start_instances, [self.owner])
         self.assert_ran_once(requests)
 
     def test_copies_after_the_owner_was_killed_and_started_again(self):
         requests = self.run_and_close(SESSIONS, SESSIONS)
         self.wait_forgotten(requests)
-        in_thread(self.cluster.kill_instance, self.owner, listed=True)
-        in_thread(self.cluster.start_instance, self.owner)
+        call_in_thread(self.cluster.kill_instance, self.owner, listed=True)
+        call_in_thread(self.cluster.start_instance, self.owner)
         self.assert_ran_once(requests)
 
     def test_binding_that_a_relay_drew_is_forgotten_too(self):
         requests = self.run_and_close(SESSIONS)
         self.wait_forgotten(requests)
-        [flow] = [self.caller.renewed(one.flow) for one in requests]
+        [flow] = [self.caller.with_newest_token(one.flow) for one in requests]
         again = self.caller.request(flow)
-        self.wait_words(self.caller, [again])
+        self.wait_for_replies(self.caller, [again])
         self.caller.close_flow(flow)
         self.wait_forgotten([again])
         self.assert_ran_once([*requests, again])
--- a/endivepick/tests/promises/test_point5_owner_lost.py
+++ b/endivepick/tests/promises/test_point5_owner_lost.py
@@ -1,4 +1,4 @@
-"""Point 5: a non-idempotent request runs at most once although its owner is lost."""
+"""Point 5: a non-idempotent request runs at most once even if its owner is lost."""
 
 import unittest
 from dataclasses import replace
@@ -9,14 +9,14 @@
 from endivepick.tests.promises._disturbed import (
     EXPORTS,
     SESSIONS,
-    DisturbedTestCase,
+    FaultInjectionTestCase,
 )
-from endivepick.tests.promises._waiting import in_thread, wait
+from endivepick.tests.promises._waiting import call_in_thread, wait
 
 COPIES = 5
 
 
-class TestOwnerKilled(DisturbedTestCase):
+class TestOwnerKilled(FaultInjectionTestCase):
     def setUp(self):
         super().setUp()
         self.owner = self.owner_of(EXPORTS)
@@ -25,36 +25,36 @@
         self.raw = self.new_raw_caller()
         self.raw_flow = self.raw.open(EXPORTS)
 
-    def hold_work(self):
-        """Let no work end before the owner is killed, however late it started."""
+    def block_targets(self):
+        """Block the targets, so that no work ends before the owner is killed."""
         self.control_targets(EXPORTS, stuck=True)
 
     def fill_slots(self):
-        self.hold_work()
+        self.block_targets()
         flow = self.open(self.caller, EXPORTS)
         works = [self.send(flow) for _ in range(4)]
         self.wait_running(work.echo for work in works)
         return works
 
     def kill_owner(self, listed=False):
-        in_thread(self.cluster.kill_instance, self.owner, listed=listed)
+        call_in_thread(self.cluster.kill_instance, self.owner, listed=listed)
         self.control_targets(EXPORTS, stuck=False)
 
-    def assert_unknown(self, works):
+    def assert_outcome_unknown(self, works):
         for work in works:
             self.assertIsInstance(work.result().failure(), OutcomeUnknown)
 
     def test_before_the_send(self):
         running = self.fill_slots()
         queued = [self.send(self.flow) for _ in range(4)]
-        again = [self.send(self.flow, idempotent=True) for _ in range(4)]
+        idempotent_works = [self.send(self.flow, idempotent=True) for _ in range(4)]
         requests = [self.raw.request(self.raw_flow) for _ in range(4)]
         self.raw.send(requests, copies=2)
         wait(lambda: all(map(self.raw.packets, requests)), "acceptance")
         self.kill_owner()
         self.raw.send(requests, copies=COPIES)
-        self.assert_unknown(running + queued)
-        for work in again:
+        self.assert_outcome_unknown(running + queued)
+        for work in idempotent_works:
             self.assert_whole(work)
         self.assert_whole(self.send(self.flow))
         self.assert_promises()
@@ -62,41 +62,41 @@
         self.assertFalse(any(runs[work.echo] for work in queued))
 
     def test_after_the_send(self):
-        self.hold_work()
+        self.block_targets()
         works = [self.send(self.flow) for _ in range(2)]
-        again = [self.send(self.flow, idempotent=True) for _ in range(2)]
-        self.wait_running(work.echo for work in works + again)
+        idempotent_works = [self.send(self.flow, idempotent=True) for _ in range(2)]
+        self.wait_running(work.echo for work in works + idempotent_works)
         self.kill_owner()
-        self.assert_unknown(works)
-        for work in again:
+        self.assert_outcome_unknown(works)
+        for work in idempotent_works:
             self.assert_whole(work)
         self.assert_promises()
 
     def test_restarted_under_its_old_name(self):
         ran = [self.raw.request(self.raw_flow) for _ in range(4)]
         self.raw.send(ran)
-        self.wait_words(self.raw, ran)
+        self.wait_for_replies(self.raw, ran)
         works = self.fill_slots()
         requests = [self.raw.request(self.raw_flow) for _ in range(4)]
         self.raw.send(requests)
         self.kill_owner(listed=True)
-        in_thread(self.cluster.start_instance, self.owner)
+        call_in_thread(self.cluster.start_instance, self.owner)
         self.raw.send(ran + requests, copies=COPIES)
-        self.assert_unknown(works)
+        self.assert_outcome_unknown(works)
         self.assert_whole(self.send(self.flow, idempotent=True))
         self.assert_promises()
 
 
-class TestHandOver(DisturbedTestCase):
+class TestHandOver(FaultInjectionTestCase):
     def setUp(self):
         super().setUp()
-        self.giver = self.owner_of(EXPORTS)
-        self.successor = self.owner_of(EXPORTS, without=[self.giver])
+        self.leaving_owner = self.owner_of(EXPORTS)
+        self.successor = self.owner_of(EXPORTS, without=[self.leaving_owner])
         self.caller = self.new_caller()
         self.raw = self.new_raw_caller()
 
     def queue_requests(self):
-        """Fill all slots from one flow, and let requests wait on others."""
+        """Fill all slots from one flow and queue requests on two others."""
         busy, flow = self.open(self.caller, EXPORTS), self.open(self.caller, EXPORTS)
         raw_flow = self.raw.open(EXPORTS)
         running = [self.send(busy, work_ms=1200) for _ in range(4)]
@@ -109,10 +109,10 @@
 
     def test_giver_killed_after_it_sent_its_flows(self):
         running, works, requests = self.queue_requests()
-        self.begin_stop_unaccepted(self.giver, self.successor)
+        self.begin_stop_without_acceptance(self.leaving_owner, self.successor)
         self.wait_logged(self.successor, "transfer_taken")
         self.raw.send(requests, copies=COPIES)
-        in_thread(self.cluster.kill_instance, self.giver)
+        call_in_thread(self.cluster.kill_instance, self.leaving_owner)
         self.raw.send(requests, copies=COPIES)
         for work in running + works:
             work.result()
@@ -121,37 +121,37 @@
 
     def test_successor_killed_after_it_took_the_flows(self):
         running, works, requests = self.queue_requests()
-        self.begin_stop_unaccepted(self.giver, self.successor)
+        self.begin_stop_without_acceptance(self.leaving_owner, self.successor)
         self.wait_logged(self.successor, "transfer_taken")
         self.raw.send(requests, copies=COPIES)
-        in_thread(self.cluster.kill_instance, self.successor)
+        call_in_thread(self.cluster.kill_instance, self.successor)
         for work in running + works:
             work.result()
         self.heal()
         self.raw.send(requests, copies=COPIES)
-        self.finish_stop(self.giver)
+        self.finish_stop(self.leaving_owner)
         self.assert_promises()
 
     def test_hand_over_that_is_sent_again_and_again(self):
         running, works, requests = self.queue_requests()
-        self.begin_stop_unaccepted(self.giver, self.successor)
+        self.begin_stop_without_acceptance(self.leaving_owner, self.successor)
         self.wait_logged(self.successor, "transfer_taken")
-        # The successor runs them while the giver still asks it to take them.
+        # The successor runs them while the leaving owner still retransmits.
         for work in works:
             self.assert_whole(work)
         self.raw.send(requests, copies=COPIES)
         self.heal()
-        self.finish_stop(self.giver)
+        self.finish_stop(self.leaving_owner)
         for work in running:
             self.assert_whole(work)
         self.assert_promises()
 
 
-class TestCutZone(DisturbedTestCase):
-    settings = replace(DisturbedTestCase.settings, seed=5)
+class TestCutZone(FaultInjectionTestCase):
+    settings = replace(FaultInjectionTestCase.settings, seed=5)
     cut = "south"
     long_ms = 20000
-    """Longer than the two sides need to give each other up, also on a busy machine."""
+    """Exceeds the time in which the sides declare each other dead on a busy machine."""
 
     def test_both_sides_serve(self):
         sides = [
@@ -166,10 +166,10 @@
         requests = [raw.request(f, work_ms=200) for f in raw_flows for _ in range(3)]
         raw.send(requests)
         self.wait_running(work.echo for work in running)
-        in_thread(self.cluster.cut_zone, self.cut)
+        call_in_thread(self.cluster.cut_zone, self.cut)
         for side in sides:
-            # Copies of the same requests, and new ones, at each side in turn.
-            self.spray(side)
+            # Each side in turn gets copies of the same requests and new requests.
+            self.route_callers_to(side)
             raw.send(requests, copies=COPIES)
             works = [self.send(flow, work_ms=5) for flow in flows for _ in range(3)]
             for flow in flows:
@@ -180,13 +180,13 @@
         for work in running:
             self.assertIsInstance(work.result().failure(), OutcomeUnknown)
         self.heal()
-        self.spray(None)
+        self.route_callers_to(None)
         for flow in flows:
             self.wait_served(flow)
         self.assert_promises()
 
     def wait_served(self, flow):
-        """Wait until requests of a flow are answered; targets may be out of reach."""
+        """Send requests until one is answered; targets may be unreachable at first."""
 
         def is_answered():
             return is_successful(self.send(flow, idempotent=True).result())
--- a/endivepick/tests/promises/test_point6_leaving_targets.py
+++ b/endivepick/tests/promises/test_point6_leaving_targets.py
@@ -1,42 +1,46 @@
 """Point 6: a backend server that is leaving gets no new work, from any instance.
 
-What is new work is read from the targets' logs.  These tests wait until every
-instance that places requests of the service shows the target as leaving and has
-no request there any more; from then on nothing may begin there, however much
-begins elsewhere.
+New work is read from the targets' logs. These tests wait until every instance that
+dispatches requests of the service shows the target as leaving and has no request in
+flight there. From then on no work may start at the target, however much starts at
+others.
 
 An instance that is cut off from the platform and from all peers learns of a drain
-only from the target itself.  If only the record says it, it cannot know; see
-``docs/operators/drain.md``.
+only from the target itself. It cannot learn of a drain that only the record states;
+see ``docs/operators/drain.md``.
 """
 
 import unittest
 from collections import Counter
 
-from endivepick.tests.promises._loaded import LoadedTestCase
+from endivepick.tests.promises._loaded import LoadTestCase
 from endivepick.tests.promises._uneven import EXPORTS, NORTH, SESSIONS, SOUTH
 from standins.process import wait_until
 
 FURTHER_RUNS = 30
-LEAVING = ("draining", "gone")
-
-
-class TestLeavingTargets(LoadedTestCase):
-    def wait_left(self, service, target, names):
-        """Wait until instances show a target as leaving, with no request there."""
-
-        def left():
-            shown = [self.seen(name, self.cluster.targets[target]) for name in names]
-            known = [one for one in shown if one]
-            done = all(o["state"] in LEAVING and not o["in_flight"] for o in known)
-            # What was sent to open a stream has arrived.
-            streams = sum(one["streams"] for one in known)
+LEAVING_STATES = ("draining", "gone")
+
+
+class TestLeavingTargets(LoadTestCase):
+    def wait_drained(self, service, target, names):
+        """Wait until instances show a target as leaving, with no request in flight."""
+
+        def is_drained():
+            views = [
+                self.target_view(name, self.cluster.targets[target]) for name in names
+            ]
+            known = [view for view in views if view]
+            done = all(
+                o["state"] in LEAVING_STATES and not o["in_flight"] for o in known
+            )
+            # Requests that open streams have arrived at the target.
+            streams = sum(view["streams"] for view in known)
             return done and self.open_streams(target) >= streams
 
-        wait_until(left, f"{target} to be left alone by {names}")
+        wait_until(is_drained, f"{target} to have no requests of {names}")
 
     def open_streams(self, target):
-        """Count the streams that a target's log shows open."""
+        """Count the streams that are open according to a target's log."""
         counts = Counter(
             line["event"]
             for line in self.target_events("stream_start", "stream_end")
@@ -45,8 +49,8 @@
         return counts["stream_start"] - counts["stream_end"]
 
     def assert_no_new_work(self, service, target, names=()):
-        """Check that nothing more begins at a target while much begins elsewhere."""
-        self.wait_left(service, target, names or self.names())
+        """Check that no work starts at a target while much starts at others."""
+        self.wait_drained(service, target, names or self.names())
         before = self.runs(service)
 
         def enough():
@@ -83,7 +87,7 @@
                 self.cluster.drain_target(EXPORTS, target)
                 self.assert_no_new_work(EXPORTS, target)
                 self.cluster.heal()
-                self.put_back()
+                self.restore_targets()
                 self.wait_busy(EXPORTS, target)
 
     def test_drains_itself_during_an_outage(self):
@@ -98,10 +102,10 @@
     def test_drains_itself_while_nobody_sends(self):
         for service in (SESSIONS, EXPORTS):
             target = f"{service}-1"
-            self.wait_shown(service, self.owner_of(service))
+            self.wait_dispatching(service, self.owner_of(service))
             before = self.runs(service)
             self.cluster.targets[target].control(drain=True)
-            self.wait_left(service, target, self.names())
+            self.wait_drained(service, target, self.names())
             with self.load(service):
                 self.assert_no_new_work(service, target)
             self.assertEqual(self.runs(service)[target], before[target])
@@ -111,8 +115,8 @@
             self.wait_busy(SESSIONS, "sessions-1")
             self.cluster.cut_zone(NORTH)
             self.cluster.targets["sessions-1"].control(drain=True)
-            # The other zone doesn't reach this target any more.
-            self.wait_left(SESSIONS, "sessions-1", self.names(NORTH))
+            # The other zone can no longer reach this target.
+            self.wait_drained(SESSIONS, "sessions-1", self.names(NORTH))
             before = self.runs(SESSIONS)
             self.wait_busy(SESSIONS, "sessions-2")
             self.assertEqual(self.runs(SESSIONS)["sessions-1"], before["sessions-1"])
@@ -121,34 +125,38 @@
             self.assert_no_new_work(SESSIONS, "sessions-1")
 
     def test_told_by_a_peer_during_an_outage(self):
-        former = self.owner_of(SESSIONS)
-        self.cluster.kill_instance(former)
+        previous_owner = self.owner_of(SESSIONS)
+        self.cluster.kill_instance(previous_owner)
         with self.load(SESSIONS):
             holder = self.owner_of(SESSIONS)
             self.wait_busy(SESSIONS, "sessions-1", "sessions-2")
-            # It takes the service back; the flows stay where they are.
-            self.cluster.start_instance(former)
+            # It owns the service again; existing flows stay at their holder.
+            self.cluster.start_instance(previous_owner)
             self.wait_agreed()
             with self.load(SESSIONS):
-                self.wait_shown(SESSIONS, former, holder)
+                self.wait_dispatching(SESSIONS, previous_owner, holder)
                 self.platform.control(outage="refuse")
-                # One target comes back and leaves again: that is news, too.
-                for number, blind in ((1, former), (2, holder), (1, former)):
+                # One target returns and leaves again, which peers must learn as well.
+                for number, delayed in (
+                    (1, previous_owner),
+                    (2, holder),
+                    (1, previous_owner),
+                ):
                     target = f"sessions-{number}"
-                    self.blind(blind, self.cluster.targets[target])
+                    self.delay_probes(delayed, self.cluster.targets[target])
                     self.cluster.targets[target].control(drain=True)
                     self.assert_no_new_work(SESSIONS, target)
                     self.cluster.targets[target].control(drain=False)
                     self.cluster.heal()
                     self.wait_busy(SESSIONS, target)
 
-    def wait_shown(self, service, *names):
-        """Wait until instances place requests of a service."""
+    def wait_dispatching(self, service, *names):
+        """Wait until instances dispatch requests of a service."""
 
-        def shown():
-            return all(list(self.dispatchers(service, [name])) for name in names)
+        def all_dispatch():
+            return all(list(self.service_statuses(service, [name])) for name in names)
 
-        wait_until(shown, f"{names} to place requests of {service}")
+        wait_until(all_dispatch, f"{names} to place requests of {service}")
 
 
 if __name__ == "__main__":
--- a/endivepick/tests/promises/test_point7_graceful_stop.py
+++ b/endivepick/tests/promises/test_point7_graceful_stop.py
@@ -1,4 +1,4 @@
-"""Point 7: every planned stop is graceful, and bounded in time."""
+"""Point 7: every planned stop is graceful and bounded in time."""
 
 import signal
 import unittest
@@ -11,7 +11,7 @@
     SESSIONS,
     PlannedChangeTestCase,
 )
-from endivepick.tests.promises._waiting import in_thread, wait
+from endivepick.tests.promises._waiting import call_in_thread, wait
 from standins.endpoint import call_ok
 
 
@@ -31,16 +31,16 @@
         works = [self.send(flow, work_ms=1500) for flow in flows]
         self.wait_running(works)
         platform = self.cluster.platform
-        in_thread(lambda: platform.control(outage="unavailable"))
+        call_in_thread(lambda: platform.control(outage="unavailable"))
         self.addCleanup(platform.control, outage=None)
         process = self.cluster.instances[name].process
         process.signal(signal.SIGTERM)
-        self.assertEqual(in_thread(process.wait, 30.0), 0)
+        self.assertEqual(call_in_thread(process.wait, 30.0), 0)
         self.assert_answered(works)
         self.assert_answered([self.send(flow) for flow in flows])
-        in_thread(lambda: platform.control(outage=None))
-        in_thread(self.cluster.unlist_instance, name)
-        self.start_missing()
+        call_in_thread(lambda: platform.control(outage=None))
+        call_in_thread(self.cluster.unlist_instance, name)
+        self.start_missing_instances()
 
     def test_requests_that_arrive_during_the_stop_are_answered(self):
         name = self.owner_of(SESSIONS)
@@ -49,7 +49,7 @@
         self.wait_running([long])
         self.begin_stop(name)
         wait(lambda: self.flows_at(name) <= 1, "idle flows to be handed over")
-        # A new flow, one that was handed over, and one that still waits.
+        # A new flow, one that was handed over, and one with a request in progress.
         flows = [self.open(SESSIONS), idle, busy]
         self.assert_answered([self.send(flow, deadline_s=3.0) for flow in flows])
         self.assert_answered([long])
@@ -61,24 +61,27 @@
         name = self.owner_of(EXPORTS)
         flow = self.open(EXPORTS)
         self.assert_answered([self.send(flow)])
-        in_thread(lambda: self.cluster.control_fabric(to_instances=slow))
+        call_in_thread(lambda: self.cluster.control_fabric(to_instances=slow))
         self.addCleanup(self.cluster.control_fabric, to_instances=None)
-        before = self.datagrams()
+        before = self.count_delivered_datagrams()
         work = self.send(flow, filler_bytes=500_000)
-        wait(lambda: self.datagrams() > before + 100, "the first parts to be sent")
+        wait(
+            lambda: self.count_delivered_datagrams() > before + 100,
+            "the first parts to be sent",
+        )
         self.assertEqual(self.stop(name), 0)
         self.assert_answered([work])
 
-    def datagrams(self):
-        """Return how many datagrams the fabric has delivered."""
+    def count_delivered_datagrams(self):
+        """Return the number of datagrams that the fabric has delivered."""
         control = self.cluster.fabric.ready["addresses"]["control"]
-        return in_thread(call_ok, control, "GET", "/stats")["counts"]["sent"]
+        return call_in_thread(call_ok, control, "GET", "/stats")["counts"]["sent"]
 
     def test_answers_that_nobody_fetched_yet_are_kept(self):
         name = self.owner_of(EXPORTS)
         flows = [self.open(EXPORTS), self.open(EXPORTS)]
         self.assert_answered([self.send(flow) for flow in flows])
-        in_thread(lambda: self.cluster.control_fabric(to_callers={"loss": 1.0}))
+        call_in_thread(lambda: self.cluster.control_fabric(to_callers={"loss": 1.0}))
         self.addCleanup(self.cluster.control_fabric, to_callers=None)
         works = [
             self.send(flow, answer_bytes=20_000_000, deadline_s=60)
@@ -87,7 +90,7 @@
         ]
         wait(lambda: self.ended(works), "targets to answer")
         self.assertEqual(self.stop(name), 0)
-        in_thread(lambda: self.cluster.control_fabric(to_callers=None))
+        call_in_thread(lambda: self.cluster.control_fabric(to_callers=None))
         self.assert_answered(works)
 
     def ended(self, works):
@@ -101,13 +104,13 @@
         name = self.owner_of(SESSIONS)
         readers = [self.stream(self.open(SESSIONS)) for _ in range(2)]
         delay = {"type": "delay", "delay_ms": 300}
-        in_thread(
+        call_in_thread(
             lambda: self.cluster.faults.add_rule(delay, source=name, route="target:*")
         )
         self.addCleanup(self.cluster.heal)
         self.assertEqual(self.stop(name), 0)
         for reader in readers:
-            self.assert_goes_on(reader)
+            self.assert_stream_continues(reader)
 
 
 class TestBoundedStop(PlannedChangeTestCase):
@@ -117,7 +120,7 @@
     )
 
     def test_flows_that_are_opened_before_the_stop_are_held_where_it_begins(self):
-        """They were opened elsewhere while a living instance was suspected."""
+        """Guards against flows opened elsewhere because a live owner is suspected."""
         name = self.owner_of(SESSIONS)
         flows = [self.open(SESSIONS) for _ in range(6)]
         held = self.flows_held(self.cluster.instances)
@@ -125,35 +128,35 @@
 
     def test_target_that_never_answers(self):
         name = self.owner_of(SESSIONS)
-        quiet = [self.open(SESSIONS) for _ in range(4)]
-        self.assert_answered([self.send(flow) for flow in quiet])
+        idle_flows = [self.open(SESSIONS) for _ in range(4)]
+        self.assert_answered([self.send(flow) for flow in idle_flows])
         for target in self.cluster.targets.values():
-            in_thread(lambda target=target: target.control(stuck=True))
+            call_in_thread(lambda target=target: target.control(stuck=True))
             self.addCleanup(target.control, stuck=False)
         stuck = [self.open(SESSIONS), self.open(SESSIONS)]
         works = [self.send(flow, deadline_s=60.0) for flow in stuck]
-        repeatable = self.send(stuck[0], idempotent=True, deadline_s=60.0)
-        self.wait_running([*works, repeatable])
+        idempotent_work = self.send(stuck[0], idempotent=True, deadline_s=60.0)
+        self.wait_running([*works, idempotent_work])
         held = self.flows_held(self.cluster.instances)
         process = self.cluster.instances[name].process
-        # The callers miss the first word of the successor.
-        in_thread(lambda: self.cluster.control_fabric(to_callers={"loss": 1.0}))
+        # The callers miss the first packets of the successor.
+        call_in_thread(lambda: self.cluster.control_fabric(to_callers={"loss": 1.0}))
         self.addCleanup(self.cluster.control_fabric, to_callers=None)
         self.begin_stop(name)
         wait(lambda: self.flows_at(name) <= 2, "the other flows to be handed over")
-        in_thread(lambda: self.cluster.control_fabric(to_callers=None))
+        call_in_thread(lambda: self.cluster.control_fabric(to_callers=None))
         self.begin_stop(name)
         wait(
             lambda: "2 of them" in process.error_tail(),
-            "word of what is open",
+            "a report of the open requests",
             lambda: (name, held, process.error_tail()),
         )
         self.finish_stop(name)
-        self.start_missing()
+        self.start_missing_instances()
         for target in self.cluster.targets.values():
-            in_thread(lambda target=target: target.control(stuck=False))
-        self.assertIsInstance(repeatable.pending.result(), Success)
-        self.assert_answered([self.send(flow) for flow in quiet + stuck])
+            call_in_thread(lambda target=target: target.control(stuck=False))
+        self.assertIsInstance(idempotent_work.pending.result(), Success)
+        self.assert_answered([self.send(flow) for flow in idle_flows + stuck])
         self.assertEqual(
             [work.pending.result().failure().reason for work in works],
             ["instance_stopped"] * 2,
--- a/endivepick/tests/promises/test_point8_configuration.py
+++ b/endivepick/tests/promises/test_point8_configuration.py
@@ -13,7 +13,7 @@
     NORTH,
     SESSIONS,
     SOUTH,
-    UnevenTestCase,
+    ConfigurationTestCase,
 )
 from standins.clustersettings import ClusterSettings
 from standins.process import wait_until
@@ -22,11 +22,12 @@
 WRITES = 8
 CHANGES = 40
 STALE_REVISIONS = 30
-"""How far lists lag, and how far back the history goes, in revisions."""
+"""Revisions by which lists lag and which the history keeps."""
 
 
-class TestConfiguration(UnevenTestCase):
-    # The platform counts the watch of a lost connection until its wait is over.
+class TestConfiguration(ConfigurationTestCase):
+    # A short wait, since the platform counts the watch of a lost connection until its
+    # wait ends.
     settings = ClusterSettings(
         SMALL, faults=True, instance_settings={"platform": {"watch_wait_s": 2}}
     )
@@ -35,11 +36,11 @@
         super().setUp()
         self.addCleanup(self.assert_never_reverted)
 
-    def records(self):
+    def stored_record(self):
         return self.platform.get(SERVICE_KIND, SESSIONS)
 
-    def add_one(self, client):
-        """Add one to a field, by the command line's way of writing."""
+    def increment_field(self, client):
+        """Increment a field in the way the command line updates an object."""
 
         def change(stored):
             waiting = stored.body["waiting_per_slot"] + 1
@@ -52,31 +53,31 @@
                 continue
 
     def test_write_whose_answer_was_lost(self):
-        before = self.records()["body"]["waiting_per_slot"]
+        before = self.stored_record()["body"]["waiting_per_slot"]
         with platform_client(self.platform.api) as client:
             for _ in range(WRITES):
                 self.platform.control(lose_answers=1, lose_answers_kind=SERVICE_KIND)
-                version = self.add_one(client).version
-        stored = self.records()
+                version = self.increment_field(client).version
+        stored = self.stored_record()
         self.assertEqual(stored["version"], version)
         self.assertEqual(stored["body"]["waiting_per_slot"], before + WRITES)
         self.wait_in_force(version)
 
     def test_racing_operators_lose_no_change(self):
-        before = self.records()["body"]["waiting_per_slot"]
+        before = self.stored_record()["body"]["waiting_per_slot"]
         self.platform.control(lose_answers=WRITES, lose_answers_kind=SERVICE_KIND)
 
         def operator():
             with platform_client(self.platform.api) as client:
                 for _ in range(WRITES):
-                    self.add_one(client)
+                    self.increment_field(client)
 
         threads = [threading.Thread(target=operator) for _ in range(2)]
         for thread in threads:
             thread.start()
         for thread in threads:
             thread.join()
-        stored = self.records()
+        stored = self.stored_record()
         self.assertEqual(stored["body"]["waiting_per_slot"], before + 2 * WRITES)
         self.wait_in_force(stored["version"])
 
@@ -85,7 +86,7 @@
         self.addCleanup(self.platform.put, SERVICE_KIND, EXPORTS, body)
         self.cut_platform(NORTH)
         for number in range(CHANGES):
-            newest = self.touch()
+            newest = self.write_new_version()
             if number == CHANGES - STALE_REVISIONS // 2:
                 self.delete(EXPORTS)
         self.wait_in_force(newest)
@@ -94,31 +95,33 @@
             stale_reads=STALE_REVISIONS, history_limit=STALE_REVISIONS
         )
         self.cluster.heal()
-        # The watches of the zone cannot go on; what it lists instead is old.
+        # The watches of the zone cannot resume; the lists that replace them are stale.
         for name in self.names(NORTH):
             self.wait_logged(name, "watch_failed", "are gone")
-        self.wait_all_watch()
-        self.assert_newest(newest)
+        self.wait_for_all_watches()
+        self.assert_newest_in_force(newest)
         self.restart(self.names(NORTH))
         for name in self.names(NORTH):
             self.assertEqual(self.in_force_when_ready(SESSIONS, name), newest)
             self.assertEqual(self.in_force_when_ready(EXPORTS, name), 0)
-        self.wait_all_watch()
-        self.assert_newest(newest)
+        self.wait_for_all_watches()
+        self.assert_newest_in_force(newest)
 
-    def wait_all_watch(self):
+    def wait_for_all_watches(self):
         watchers = len(self.names())
         wait_until(
             lambda: self.platform.stats()["waiting_watches"] == watchers,
             "all watches to wait",
         )
 
-    def assert_newest(self, newest):
-        self.assertEqual({self.held(SESSIONS, n) for n in self.names()}, {newest})
-        self.assertEqual({self.held(EXPORTS, n) for n in self.names()}, {0})
+    def assert_newest_in_force(self, newest):
+        self.assertEqual(
+            {self.version_in_force(SESSIONS, n) for n in self.names()}, {newest}
+        )
+        self.assertEqual({self.version_in_force(EXPORTS, n) for n in self.names()}, {0})
 
     def test_zone_restarted_during_an_outage(self):
-        newest = {name: self.touch(name) for name in (SESSIONS, EXPORTS)}
+        newest = {name: self.write_new_version(name) for name in (SESSIONS, EXPORTS)}
         for service, version in newest.items():
             self.wait_in_force(version, service)
         for outage, restart in (("refuse", self.restart), ("hang", self.replace)):
@@ -128,47 +131,47 @@
                 records = self.cluster.instances[name].status()["records"]
                 self.assertEqual(records, newest, outage)
         self.platform.control(outage=None)
-        self.wait_in_force(self.touch())
+        self.wait_in_force(self.write_new_version())
 
     def test_partition_whose_halves_saw_different_versions(self):
         self.cut_peers(NORTH)
         self.cut_platform(NORTH)
-        southern = self.touch()
+        southern = self.write_new_version()
         self.wait_in_force(southern, names=self.names(SOUTH))
-        before = {self.held(SESSIONS, name) for name in self.names(NORTH)}
+        before = {self.version_in_force(SESSIONS, name) for name in self.names(NORTH)}
         self.assertLess(max(before), southern)
         self.cluster.heal()
         self.cut_peers(NORTH)
         self.cut_platform(SOUTH)
-        northern = self.touch(EXPORTS)
+        northern = self.write_new_version(EXPORTS)
         self.wait_in_force(northern, EXPORTS, self.names(NORTH))
-        newest = self.touch()
+        newest = self.write_new_version()
         self.wait_in_force(newest, names=self.names(NORTH))
         self.assertEqual(
-            {self.held(SESSIONS, n) for n in self.names(SOUTH)}, {southern}
+            {self.version_in_force(SESSIONS, n) for n in self.names(SOUTH)}, {southern}
         )
-        # The halves meet again without the platform.
+        # The halves reconnect while the platform is down.
         self.platform.control(outage="refuse")
         self.cluster.heal()
         self.wait_in_force(newest)
         self.wait_in_force(northern, EXPORTS)
 
     def test_zone_cut_off_from_everything_goes_on_and_follows(self):
-        held = self.touch()
+        held = self.write_new_version()
         self.wait_in_force(held)
         for action in ("cut", "blackhole"):
             self.cluster.cut_zone(NORTH, action=action)
-            newest = self.touch()
+            newest = self.write_new_version()
             self.wait_in_force(newest, names=self.names(SOUTH))
             for name in self.names(NORTH):
-                self.assertEqual(self.held(SESSIONS, name), held)
+                self.assertEqual(self.version_in_force(SESSIONS, name), held)
                 self.assertTrue(self.cluster.instances[name].is_ready)
             self.cluster.heal()
             self.wait_in_force(newest)
             held = newest
 
     def test_schemas_side_by_side_while_instances_restart(self):
-        stored = self.records()
+        stored = self.stored_record()
         self.addCleanup(self.platform.put, SERVICE_KIND, SESSIONS, stored["body"])
         record = parse_service(SESSIONS, stored["version"], stored["body"]).unwrap()
         for schema_version in (1, 2, 1):
@@ -179,14 +182,14 @@
             self.wait_in_force(version)
 
     def test_unknown_newer_schema_leaves_the_last_valid_version(self):
-        valid = self.touch()
+        valid = self.write_new_version()
         self.wait_in_force(valid)
-        body = self.records()["body"]
+        body = self.stored_record()["body"]
         self.addCleanup(self.platform.put, SERVICE_KIND, SESSIONS, body)
         refused = self.change(schema_version=99, field_of_the_future=1)
 
         def refused_everywhere():
-            # A refusal is shown as its fields in their order.
+            # The status shows a refusal as a list of its fields.
             return all(
                 [version for _, version, *_ in instance.status()["refused"]]
                 == [refused]
@@ -205,7 +208,7 @@
         body["field_of_the_future"] = {"kept": True}
         body["records"][SESSIONS]["field_of_the_future"] = 1
         self.platform.put(STATUS_KIND, NORTH, body)
-        version = self.touch()
+        version = self.write_new_version()
 
         def shown():
             status = self.platform.get(STATUS_KIND, NORTH)["body"]
--- a/endivepick/tests/test_backoff.py
+++ b/endivepick/tests/test_backoff.py
@@ -16,7 +16,7 @@
                 self.assertLessEqual(bounds.base_s, backoff.wait_s)
                 self.assertLessEqual(backoff.wait_s, bounds.cap_s)
             waits_s.append(backoff.wait_s)
-        # No tenth of the range holds more than a third of the callers.
+        # No tenth of the range of waits holds more than a third of them.
         tenths = [int(wait_s) for wait_s in waits_s]
         self.assertLess(max(map(tenths.count, range(10))), len(waits_s) / 3)
 
--- a/endivepick/tests/test_embedding.py
+++ b/endivepick/tests/test_embedding.py
@@ -6,7 +6,7 @@
 
 
 class TestEmbedding(unittest.TestCase):
-    def test_examples_of_the_page_run(self):
+    def test_documentation_examples_pass(self):
         results = doctest.testfile(str(PAGE), module_relative=False)
         self.assertGreater(results.attempted, 30)
         self.assertEqual(results.failed, 0)
--- a/endivepick/tests/test_packaging.py
+++ b/endivepick/tests/test_packaging.py
@@ -7,11 +7,11 @@
 
 PACKAGE = Path(endivepick.__file__).parent
 PROJECT = PACKAGE.parent / "pyproject.toml"
-NOT_DATA = {".py", ".pyc"}
+CODE_SUFFIXES = {".py", ".pyc"}
 
 
-def imported(path):
-    """Return the modules that importing a file imports."""
+def imported_modules(path):
+    """Return the modules that a file imports at its top level."""
     names = set()
     for node in ast.parse(path.read_text()).body:
         match node:
@@ -28,7 +28,7 @@
         patterns = options["package-data"]["endivepick"]
         packed = {path for pattern in patterns for path in PACKAGE.glob(pattern)}
         files = (path for path in PACKAGE.rglob("*") if path.is_file())
-        data = {path for path in files if path.suffix not in NOT_DATA}
+        data = {path for path in files if path.suffix not in CODE_SUFFIXES}
         self.assertIn(PACKAGE / "timeline" / "page.html", data)
         self.assertEqual(data - packed, set())
 
@@ -36,5 +36,5 @@
         for path in PACKAGE.rglob("*.py"):
             if "tests" in path.parts:
                 continue
-            packages = {name.partition(".")[0] for name in imported(path)}
+            packages = {name.partition(".")[0] for name in imported_modules(path)}
             self.assertNotIn("standins", packages, path)
--- a/endivepick/tests/test_promises_page.py
+++ b/endivepick/tests/test_promises_page.py
@@ -16,19 +16,21 @@
         found = set()
         for path in folder.glob("test_*.py"):
             name = f"endivepick.tests.promises.{path.stem}"
-            for case in _cases(loader.loadTestsFromName(name)):
+            for case in _iterate_cases(loader.loadTestsFromName(name)):
                 found.add(case.id())
         for name in others:
-            found.update(case.id() for case in _cases(loader.loadTestsFromName(name)))
+            found.update(
+                case.id() for case in _iterate_cases(loader.loadTestsFromName(name))
+            )
         self.assertGreater(len(others), 0)
         self.assertEqual(loader.errors, [])
         self.assertEqual(named, found)
 
 
-def _cases(suite):
+def _iterate_cases(suite):
     for item in suite:
         if isinstance(item, unittest.TestSuite):
-            yield from _cases(item)
+            yield from _iterate_cases(item)
         else:
             yield item
 
--- a/endivepick/tests/test_put_back.py
+++ b/endivepick/tests/test_put_back.py
@@ -1,20 +1,20 @@
-"""Targets that a test drove out of service are in service again after it."""
+"""Restoring the cluster returns ejected targets to service after a test."""
 
 import signal
 import unittest
 
-from endivepick.tests.promises._loaded import LoadedTestCase
+from endivepick.tests.promises._loaded import LoadTestCase
 from endivepick.tests.promises._uneven import SESSIONS
 from standins.process import wait_until
 
 
-class TestPutBack(LoadedTestCase):
+class TestTargetRestoration(LoadTestCase):
     def states(self, target):
-        shown = [self.seen(name, target) for name in self.names()]
-        return {one["state"] for one in shown if one}
+        views = [self.target_view(name, target) for name in self.names()]
+        return {view["state"] for view in views if view}
 
-    def test_a_target_that_was_ejected_when_the_load_ended(self):
-        # Only a request that succeeds ends its trial, and none comes any more.
+    def test_ejected_target_serves_again(self):
+        # Probation ends only with a successful request, and the load is over.
         target = self.cluster.targets["sessions-1"]
         with self.load(SESSIONS):
             self.wait_busy(SESSIONS, "sessions-1", "sessions-2")
@@ -22,7 +22,7 @@
             self.addCleanup(target.process.signal, signal.SIGCONT)
             wait_until(lambda: "ejected" in self.states(target), "an ejection")
         target.process.signal(signal.SIGCONT)
-        self.put_back()
+        self.restore_targets()
         self.assertEqual(self.states(target), {"ready"})
 
 
