--- a/endivepick/core/catalog.py
+++ b/endivepick/core/catalog.py
@@ -6,8 +6,8 @@
 from endivepick.core.actions import Action, Log
 from endivepick.core.keyring import Keyring, keyring_from_body
 from endivepick.errors import RecordInvalidError
-from endivepick.records.book import (
-    ServiceBook,
+from endivepick.records.active_records import (
+    ActiveRecords,
     ServiceChange,
     ServiceChanged,
     ServiceRefused,
@@ -17,11 +17,11 @@
 from endivepick.records.model import ServiceRecord
 from endivepick.records.objects import KEYRING_KIND, KEYRING_NAME, StoredObject
 
-__all__ = ["Catalog", "HeldKeys"]
+__all__ = ["Catalog", "ActiveKeyring"]
 
 
 @dataclass
-class HeldKeys:
+class ActiveKeyring:
     """Keys in force; replaced whole when the keyring changes.
 
     Attributes
@@ -49,9 +49,9 @@
         """Tell whether the code is right."""
         return self.keyring is not None and self.keyring.verify(key_id, data, mac)
 
-    def holds(self, key_id: int) -> bool:
+    def has_key(self, key_id: int) -> bool:
         """Tell whether the key is known here."""
-        return self.keyring is not None and self.keyring.holds(key_id)
+        return self.keyring is not None and self.keyring.has_key(key_id)
 
 
 class Catalog:
@@ -66,8 +66,8 @@
     """
 
     def __init__(self) -> None:
-        self.book = ServiceBook()
-        self.keys = HeldKeys()
+        self.book = ActiveRecords()
+        self.keys = ActiveKeyring()
 
     def service(self, name: str) -> ServiceRecord | None:
         """Return the record in force of a service, or None."""
--- a/endivepick/core/configuration.py
+++ b/endivepick/core/configuration.py
@@ -12,7 +12,7 @@
 from endivepick.core.catalog import Catalog
 from endivepick.core.relay import Relay
 from endivepick.core.roles import ServiceRoles
-from endivepick.core.stop_wish import StopWish
+from endivepick.core.stop_request_filter import StopWish
 from endivepick.membership import Membership
 from endivepick.records.cache import Change, RecordCache
 from endivepick.records.dissemination import Dissemination
@@ -97,7 +97,7 @@
         self._refused: tuple[RefusedRecord, ...] = ()
 
     @property
-    def missing(self) -> str:
+    def not_ready_reason(self) -> str:
         """What keeps this instance from serving, empty if nothing does."""
         if not self.dissemination.ready:
             return "no configuration as new as the peers' yet"
--- a/endivepick/forwarder/packet_path.py
+++ b/endivepick/forwarder/packet_path.py
@@ -15,12 +15,12 @@
 from endivepick.forwarder.probes import probe_target
 from endivepick.forwarding import (
     BeliefChange,
+    DecisionRecord,
     Drop,
     FaultConfirmed,
     Forward,
     ForwardingCore,
     Hold,
-    Note,
     ProbeOutcome,
     ProbeResult,
     ProbeTarget,
@@ -119,7 +119,7 @@
         effects, self._core.effects[:] = list(self._core.effects), []
         for effect in effects:
             match effect:
-                case Note():
+                case DecisionRecord():
                     self._decisions.note(effect)
                 case BeliefChange():
                     self._decisions.belief_change(effect)
--- a/endivepick/model/_change_mutants.py
+++ b/endivepick/model/_change_mutants.py
@@ -39,12 +39,12 @@
 class OlderTakenIn(RouteTable):
     """Takes any version for the newest."""
 
-    def take_in(self, configuration: Configuration, now_s: float) -> bool:
+    def apply_configuration(self, configuration: Configuration, now_s: float) -> bool:
         """Forget which one is in force."""
         before = self.configuration
         if before is not None and before.revision > configuration.revision:
             self.configuration = None
-        return super().take_in(configuration, now_s)
+        return super().apply_configuration(configuration, now_s)
 
 
 def _apply_to_any(
--- a/endivepick/model/_choices.py
+++ b/endivepick/model/_choices.py
@@ -103,7 +103,7 @@
         self.asked = True
         return self.view.dead
 
-    def successor_of(self, incarnation: int, service: str) -> Identity | None:
+    def find_successor(self, incarnation: int, service: str) -> Identity | None:
         """Return who took over, as far as it was heard."""
         self.asked = True
         return self.view.successor
--- a/endivepick/model/_evidence_mutants.py
+++ b/endivepick/model/_evidence_mutants.py
@@ -15,14 +15,14 @@
     RouteKind,
     TargetBelief,
 )
-from endivepick.forwarding.evidence import EvidenceJudge
+from endivepick.forwarding.failure_detector import FailureDetector
 from endivepick.model.checker import Specification
 from endivepick.model.evidence import EvidenceBounds, evidence_specification
 
 __all__ = ["EVIDENCE_MUTATIONS", "EVIDENCE_SCENARIOS"]
 
 
-class SuspectsAreDead(EvidenceJudge):
+class SuspectsAreDead(FailureDetector):
     """Takes a repetition for the end of the target."""
 
     def suspect(
@@ -35,7 +35,7 @@
         return effects
 
 
-class SilenceIsDeath(EvidenceJudge):
+class SilenceIsDeath(FailureDetector):
     """Takes silence for the end of the target."""
 
     def on_probe(
@@ -47,15 +47,15 @@
         return super().on_probe(belief, outcome, now_s)
 
 
-class RemovalIsDeath(EvidenceJudge):
+class RemovalIsDeath(FailureDetector):
     """Takes the removal of an entry for the end of the target."""
 
-    def vanished(self, belief: TargetBelief, now_s: float) -> list[Effect]:
+    def on_entry_removed(self, belief: TargetBelief, now_s: float) -> list[Effect]:
         """Judge without a probe."""
         return self.on_probe(belief, ProbeOutcome.REFUSED, now_s)
 
 
-class DeadForGood(EvidenceJudge):
+class DeadForGood(FailureDetector):
     """Never looks at a dead target again."""
 
     def retry_probes(self, now_s: float) -> list[Effect]:
@@ -67,7 +67,7 @@
         ]
 
 
-class SilentForGood(EvidenceJudge):
+class SilentForGood(FailureDetector):
     """Never looks at a silent target again."""
 
     def retry_probes(self, now_s: float) -> list[Effect]:
@@ -79,27 +79,27 @@
         ]
 
 
-class RequestsForgotten(EvidenceJudge):
+class RequestsForgotten(FailureDetector):
     """Forgets which flows have a request in progress."""
 
-    def resets(self, belief: TargetBelief) -> list[Effect]:
+    def reset_flows(self, belief: TargetBelief) -> list[Effect]:
         """Take all flows for idle."""
         for flow in self._flows.of_target(belief):
             flow.busy_since_s = None
-        return super().resets(belief)
+        return super().reset_flows(belief)
 
 
-class AllIdempotent(EvidenceJudge):
+class AllIdempotent(FailureDetector):
     """Takes all requests for such as may be repeated."""
 
-    def resets(self, belief: TargetBelief) -> list[Effect]:
+    def reset_flows(self, belief: TargetBelief) -> list[Effect]:
         """Forget the kind of the flows."""
         for flow in self._flows.of_target(belief):
             flow.kind = RouteKind.IDEMPOTENT
-        return super().resets(belief)
+        return super().reset_flows(belief)
 
 
-class OthersAssumed(EvidenceJudge):
+class OthersAssumed(FailureDetector):
     """Believes that there is always another target."""
 
     def has_alternative(self, belief: TargetBelief) -> bool:
@@ -107,23 +107,23 @@
         return True
 
 
-class DeadKeepFlows(EvidenceJudge):
+class DeadKeepFlows(FailureDetector):
     """Lets the flows of a dead target wait."""
 
-    def resets(self, belief: TargetBelief) -> list[Effect]:
+    def reset_flows(self, belief: TargetBelief) -> list[Effect]:
         """Reset nothing that a dead target has."""
         if belief.reachability is Reachability.DEAD:
             return []
-        return super().resets(belief)
+        return super().reset_flows(belief)
 
 
-class DrainedAreDead(EvidenceJudge):
+class DrainedAreDead(FailureDetector):
     """Takes a refusal for the end of a target that drains."""
 
-    def resets(self, belief: TargetBelief) -> list[Effect]:
+    def reset_flows(self, belief: TargetBelief) -> list[Effect]:
         """Reset whatever a target has that refuses connections."""
         if belief.reachability is not Reachability.DEAD:
-            return super().resets(belief)
+            return super().reset_flows(belief)
         reason = ResetReason.TARGET_DEAD
         return [
             Reset(flow.key, flow.acknowledged, reason, belief.name)
@@ -131,7 +131,7 @@
         ]
 
 
-class AllTargetsReset(EvidenceJudge):
+class AllTargetsReset(FailureDetector):
     """Resets the flows of a target whatever its probe says."""
 
     def on_probe(
@@ -145,7 +145,7 @@
         return effects
 
 
-def _is_of(judge: EvidenceJudge, effect: Effect, reachability: Reachability) -> bool:
+def _is_of(judge: FailureDetector, effect: Effect, reachability: Reachability) -> bool:
     match effect:
         case ProbeTarget(target):
             belief = judge._registry.get(target.name)
@@ -158,9 +158,11 @@
     return lambda name: evidence_specification(name, bounds)
 
 
-def _judged_by(mutant: type[EvidenceJudge]) -> Callable[[ForwardingCore], None]:
+def _judged_by(mutant: type[FailureDetector]) -> Callable[[ForwardingCore], None]:
     def change(core: ForwardingCore) -> None:
-        core._judge = mutant(core.settings, core.registry, core.flows, core.routes)
+        core._failure_detector = mutant(
+            core.settings, core.registry, core.flows, core.routes
+        )
 
     return change
 
@@ -176,7 +178,7 @@
 
 _ALONE = EvidenceBounds(steps=1, other=False)
 _REMOVED = EvidenceBounds(steps=1, removal=True)
-_MUTANTS: dict[str, tuple[type[EvidenceJudge], EvidenceBounds]] = {
+_MUTANTS: dict[str, tuple[type[FailureDetector], EvidenceBounds]] = {
     "a suspect is dead": (SuspectsAreDead, EvidenceBounds()),
     "a silent target is dead": (SilenceIsDeath, EvidenceBounds()),
     "a removed entry is a dead target": (RemovalIsDeath, _REMOVED),
--- a/endivepick/model/_flow_effects.py
+++ b/endivepick/model/_flow_effects.py
@@ -103,7 +103,7 @@
         node = self._instances[state]
         if not node.owner.leaving:
             return world
-        heirs = {(node.me, heir) for heir in node.giver.finished_services().values()}
+        heirs = {(node.me, heir) for heir in node.giver.handed_over_services().values()}
         if heirs <= world.heirs:
             return world
         return world._replace(heirs=world.heirs | heirs)
--- a/endivepick/model/_other_scenarios.py
+++ b/endivepick/model/_other_scenarios.py
@@ -68,9 +68,11 @@
 class CredulousReadiness(Readiness):
     """A start that takes any digest for the answer to its own question."""
 
-    def heard(self, name: str, digest: ConfigDigest) -> None:
+    def record_digest(self, name: str, digest: ConfigDigest) -> None:
         """Overlook which question the digest answers."""
-        super().heard(name, msgspec.structs.replace(digest, answered=self.question))
+        super().record_digest(
+            name, msgspec.structs.replace(digest, answered=self.question)
+        )
 
 
 class CarelessDispatcher(ServiceDispatcher):
--- a/endivepick/model/_registry_mutants.py
+++ b/endivepick/model/_registry_mutants.py
@@ -58,7 +58,7 @@
 class ListsHideNothing(TargetRegistry):
     """Believes that a list shows all that happened before it."""
 
-    def take_list(
+    def apply_list(
         self,
         targets: Iterable[Target],
         revision: int,
@@ -66,22 +66,22 @@
         unreadable: Iterable[str] = (),
     ) -> list[BeliefChange]:
         """Forget that entries may have come and gone."""
-        before = self.told_from
-        changes = super().take_list(targets, revision, now_s, unreadable)
-        self.told_from = before
+        before = self.oldest_delta_revision
+        changes = super().apply_list(targets, revision, now_s, unreadable)
+        self.oldest_delta_revision = before
         return changes
 
 
 class UnseenEntriesIgnored(TargetRegistry):
     """Takes no note of entries that came and went between two answers."""
 
-    def take_removal(
+    def apply_removal(
         self, name: str, revision: int, now_s: float
     ) -> list[BeliefChange]:
         """Forget what was not known."""
-        before = self.told_from
-        changes = super().take_removal(name, revision, now_s)
-        self.told_from = before
+        before = self.oldest_delta_revision
+        changes = super().apply_removal(name, revision, now_s)
+        self.oldest_delta_revision = before
         return changes
 
 
@@ -89,15 +89,15 @@
     """Forgets targets, and that it has."""
 
     def _forget(self, belief: TargetBelief) -> None:
-        before = self.told_from
+        before = self.oldest_delta_revision
         super()._forget(belief)
-        self.told_from = before
+        self.oldest_delta_revision = before
 
 
 class OldListsBelieved(TargetRegistry):
     """Takes any list for the newest."""
 
-    def take_list(
+    def apply_list(
         self,
         targets: Iterable[Target],
         revision: int,
@@ -106,38 +106,38 @@
     ) -> list[BeliefChange]:
         """Go back to the list's revision."""
         self.revision = min(self.revision, revision)
-        return super().take_list(targets, revision, now_s, unreadable)
+        return super().apply_list(targets, revision, now_s, unreadable)
 
 
 class OldNewsBelieved(TargetRegistry):
     """Takes whatever others tell for news."""
 
-    def take_news(self, news: RegistryNews, now_s: float) -> list[BeliefChange]:
+    def apply_news(self, news: RegistryNews, now_s: float) -> list[BeliefChange]:
         """Go back to what the other knew."""
         self.revision = min(self.revision, news.revision - 1)
-        return super().take_news(news, now_s)
+        return super().apply_news(news, now_s)
 
 
 class UnknownEntriesNew(TargetRegistry):
     """Takes an unknown entry for a new one, however old the news."""
 
-    def take_entry(self, target: Target, now_s: float) -> list[BeliefChange]:
+    def apply_entry(self, target: Target, now_s: float) -> list[BeliefChange]:
         """Compare with the entry that is known only."""
         self.revision = max(self.revision, target.revision)
-        return self._take(target, now_s)
+        return self._apply_entry(target, now_s)
 
 
 class OldRemovalsBelieved(TargetRegistry):
     """Takes a removal for news although the entry was written since."""
 
-    def take_removal(
+    def apply_removal(
         self, name: str, revision: int, now_s: float
     ) -> list[BeliefChange]:
         """Forget when the entry was written."""
         belief = self.get(name)
         if belief is not None:
             belief.revision = 0
-        return super().take_removal(name, revision, now_s)
+        return super().apply_removal(name, revision, now_s)
 
 
 class StartsUntold(TargetRegistry):
@@ -153,18 +153,18 @@
 class StartsOverlooked(TargetRegistry):
     """Takes a name for the identity."""
 
-    def _take(self, target: Target, now_s: float) -> list[BeliefChange]:
-        return super()._take(replace(target, born_ms=0), now_s)
+    def _apply_entry(self, target: Target, now_s: float) -> list[BeliefChange]:
+        return super()._apply_entry(replace(target, born_ms=0), now_s)
 
 
 class OldEntriesBelieved(TargetRegistry):
     """Takes any writing of an entry for the newest."""
 
-    def _take(self, target: Target, now_s: float) -> list[BeliefChange]:
+    def _apply_entry(self, target: Target, now_s: float) -> list[BeliefChange]:
         belief = self.get(target.name)
         if belief is not None:
             belief.revision = 0
-        return super()._take(target, now_s)
+        return super()._apply_entry(target, now_s)
 
 
 def _registry(bounds: RegistryBounds) -> Callable[[str], Specification]:
--- a/endivepick/model/_restart_mutants.py
+++ b/endivepick/model/_restart_mutants.py
@@ -14,7 +14,7 @@
     Target,
 )
 from endivepick.forwarding.belief import TargetRestart
-from endivepick.forwarding.evidence import EvidenceJudge
+from endivepick.forwarding.failure_detector import FailureDetector
 from endivepick.model.checker import Specification
 from endivepick.model.restarts import RestartBounds, restart_specification
 
@@ -62,10 +62,12 @@
         return float("-inf")
 
 
-class AllReset(EvidenceJudge):
+class AllReset(FailureDetector):
     """Resets whatever was sent to the name."""
 
-    def restarted(self, restart: TargetRestart, began_s: float) -> list[Effect]:
+    def reset_former_incarnation(
+        self, restart: TargetRestart, began_s: float
+    ) -> list[Effect]:
         """Forget when flows were opened."""
         name, reason = restart.before.name, ResetReason.TARGET_RESTARTED
         return [
@@ -80,7 +82,7 @@
     def on_target(self, target: Target, now_s: float) -> None:
         """Let the judge reset all flows."""
         judge = AllReset(self.settings, self.registry, self.flows, self.routes)
-        self._judge = judge
+        self._failure_detector = judge
         super().on_target(target, now_s)
 
 
--- a/endivepick/model/key_rotation.py
+++ b/endivepick/model/key_rotation.py
@@ -259,7 +259,7 @@
 
 
 def _holds(ring: Ring, key_id: int) -> bool:
-    return _keyring(ring).holds(key_id)
+    return _keyring(ring).has_key(key_id)
 
 
 def _accept(world: KeyWorld, keyring: Keyring) -> KeyWorld:
--- a/endivepick/model/told_changes.py
+++ b/endivepick/model/told_changes.py
@@ -202,4 +202,4 @@
 
 
 def _take_in(configuration: Configuration, node: RouteTable) -> None:
-    node.take_in(configuration, 0.0)
+    node.apply_configuration(configuration, 0.0)
--- a/endivepick/tests/promises/test_point2_service_isolation.py
+++ b/endivepick/tests/promises/test_point2_service_isolation.py
@@ -12,7 +12,7 @@
 
 import msgspec
 
-from endivepick.core.catalog import HeldKeys
+from endivepick.core.catalog import ActiveKeyring
 from endivepick.core.keyring import keyring_from_body
 from endivepick.core.token import KEY_ID_SIZE_BYTES, MAC_SIZE_BYTES, FlowToken
 from endivepick.records import KEYRING_KIND, SERVICE_KIND
@@ -229,7 +229,7 @@
 
     def keys(self):
         stored = self.platform.get(KEYRING_KIND, "tokens")
-        return HeldKeys(keyring_from_body(stored["body"]))
+        return ActiveKeyring(keyring_from_body(stored["body"]))
 
     def dropped(self, reason):
         """Count the packets that all instances dropped for a reason."""
@@ -273,10 +273,10 @@
         self.assert_all_dropped(seal_token(keys, old), "expired")
         body = self.platform.get(KEYRING_KIND, "tokens")["body"]
         body["keys"][0]["secret_hex"] = SECOND_SECRET_HEX
-        other_keys = HeldKeys(keyring_from_body(body))
+        other_keys = ActiveKeyring(keyring_from_body(body))
         self.assert_all_dropped(seal_token(other_keys, genuine), "forged")
         body["current"] = body["keys"][0]["key_id"] = 9
-        other_keys = HeldKeys(keyring_from_body(body))
+        other_keys = ActiveKeyring(keyring_from_body(body))
         self.assert_all_dropped(seal_token(other_keys, genuine), "unknown_key")
         sealed = bytearray(seal_token(keys, genuine))
         sealed[len(sealed) // 2] ^= 1
