--- a/endivepick/tests/compatibility/generate.py
+++ b/endivepick/tests/compatibility/generate.py
@@ -9,7 +9,7 @@
 import json
 from pathlib import Path
 
-from endivepick.tests.compatibility._kinds import (
+from endivepick.tests.compatibility._message_families import (
     MESSAGE_FAMILIES,
     make_example,
     to_json_value,
--- a/endivepick/tests/compatibility/test_wire.py
+++ b/endivepick/tests/compatibility/test_wire.py
@@ -7,7 +7,7 @@
 from endivepick.records.cache import CACHED_KINDS, RecordCache
 from endivepick.records.objects import StoredObject
 from endivepick.records.peer_messages import InventoryRequest
-from endivepick.tests.compatibility._kinds import (
+from endivepick.tests.compatibility._message_families import (
     MESSAGE_FAMILIES,
     make_example,
     to_arrays,
--- a/endivepick/tests/promises/test_point2_key_rotation.py
+++ b/endivepick/tests/promises/test_point2_key_rotation.py
@@ -9,7 +9,7 @@
 
 from endivepick.cli.tests.support import run_command
 from endivepick.client import CallerSettings, open_caller
-from endivepick.tests.metrics import read_metrics
+from endivepick.tests.metrics_reader import read_metrics
 from standins.cluster import ClusterSettings, cluster
 from standins.process import wait_until
 from standins.shapes import SMALL
--- a/endivepick/tests/promises/test_point2_service_isolation.py
+++ b/endivepick/tests/promises/test_point2_service_isolation.py
@@ -16,10 +16,15 @@
 from endivepick.core.keyring import keyring_from_body
 from endivepick.core.token import KEY_ID_SIZE_BYTES, MAC_SIZE_BYTES, FlowToken
 from endivepick.records import KEYRING_KIND, SERVICE_KIND
-from endivepick.tests.metrics import read_metrics
-from endivepick.tests.promises._forger import ForgedTokenCaller, seal_token
-from endivepick.tests.promises._loaded import RUN_EVENTS, LoadTestCase
-from endivepick.tests.promises._uneven import EXPORTS, NORTH, SESSIONS, SOUTH
+from endivepick.tests.metrics_reader import read_metrics
+from endivepick.tests.promises._configuration_case import (
+    EXPORTS,
+    NORTH,
+    SESSIONS,
+    SOUTH,
+)
+from endivepick.tests.promises._forged_token_caller import ForgedTokenCaller, seal_token
+from endivepick.tests.promises._load_case import RUN_EVENTS, LoadTestCase
 from standins.checker import Promise, check
 from standins.evidence import read_evidence
 from standins.process import wait_until
--- a/endivepick/tests/promises/test_point6_leaving_targets.py
+++ b/endivepick/tests/promises/test_point6_leaving_targets.py
@@ -13,8 +13,13 @@
 import unittest
 from collections import Counter
 
-from endivepick.tests.promises._loaded import LoadTestCase
-from endivepick.tests.promises._uneven import EXPORTS, NORTH, SESSIONS, SOUTH
+from endivepick.tests.promises._configuration_case import (
+    EXPORTS,
+    NORTH,
+    SESSIONS,
+    SOUTH,
+)
+from endivepick.tests.promises._load_case import LoadTestCase
 from standins.process import wait_until
 
 FURTHER_RUNS = 30
