--- a/endivepick/core/answer_buffer.py
+++ b/endivepick/core/answer_buffer.py
@@ -10,7 +10,7 @@
 
 WINDOW_PARTS_INITIAL = 64
 WINDOW_PARTS_MAX = 512
-FIRST_REPEAT_PARTS_MAX = 32
+INITIAL_RETRANSMISSION_PARTS_MAX = 32
 """Limit of parts retransmitted to a caller that has received none."""
 
 
@@ -99,7 +99,10 @@
             return list(
                 range(
                     self.base_index,
-                    min(self.sent_index, self.base_index + FIRST_REPEAT_PARTS_MAX),
+                    min(
+                        self.sent_index,
+                        self.base_index + INITIAL_RETRANSMISSION_PARTS_MAX,
+                    ),
                 )
             )
         return []
--- a/endivepick/core/caller_timeout.py
+++ b/endivepick/core/caller_timeout.py
@@ -68,7 +68,7 @@
         self, flow: OwnedFlow, request: OwnedRequest, now_s: float
     ) -> list[Action]:
         if request.is_stream:
-            return self._executor.pause_stream(flow, request, now_s)
+            return self._executor.suspend_active_stream(flow, request, now_s)
         ran = request.state == "running" or request.may_have_run
         actions = self._executor.cancel(flow, request, now_s)
         reply_type = Outcome if ran else Refused
--- a/endivepick/core/catalog.py
+++ b/endivepick/core/catalog.py
@@ -62,7 +62,7 @@
 
     Attributes
     ----------
-    book : ServiceBook
+    service_records : ActiveRecords
         Service records in force and rejected record versions.
     keys : ActiveKeyring
         Keys that sign and verify flow tokens.
@@ -119,7 +119,10 @@
     def _apply_keyring(self, stored: StoredObject) -> list[Action]:
         ids = {"record": stored.name, "version": stored.version}
         if stored.name != KEYRING_NAME:
-            reason = {**ids, "reason": f"Name the keyring {KEYRING_NAME}."}
+            reason = {
+                **ids,
+                "reason": f"The keyring is not named {KEYRING_NAME}. Rename it.",
+            }
             return [Log("keys", "keyring_refused", "keyring refused", reason)]
         if stored.body is None:
             # Keep the last keyring, so that tokens of existing flows stay valid until
--- a/endivepick/core/delivery.py
+++ b/endivepick/core/delivery.py
@@ -72,13 +72,15 @@
     ) -> list[Action]:
         answer = request.answer
         assert answer is not None
-        repeats = answer.acknowledge(packet.next_index, packet.missing, packet.window)
+        retransmissions = answer.acknowledge(
+            packet.next_index, packet.missing, packet.window
+        )
         actions: list[Action] = [
             SendToCaller(
                 flow.caller,
                 answer.packet(flow.flow_id, flow.binding, request.seq, index),
             )
-            for index in repeats
+            for index in retransmissions
         ]
         actions += send_unsent_parts(flow, request)
         if not actions:
@@ -101,6 +103,7 @@
             return []
         actions: list[Action] = []
         if not request.allows("acknowledge"):
+            # `done` before the final reply means that the caller gave up.
             actions = self._executor.cancel(flow, request, now_s)
         flow.requests.pop(request.seq, None)
         if not flow.requests:
--- a/endivepick/core/dispatch/dispatcher.py
+++ b/endivepick/core/dispatch/dispatcher.py
@@ -160,7 +160,7 @@
         """
         self._last_used_s = now_s
         order = queue_order(self._settings, intent, now_s, next(self._sequence_numbers))
-        self._scheduler.set_tie_breaker(random_number)
+        self._scheduler.set_pseudo_random(random_number)
         self._scheduler.budget.count_request()
         self._targets.advance_if_due(now_s)
         pinned = self._targets.get(intent.pinned_target)
--- a/endivepick/core/dispatch/external_load.py
+++ b/endivepick/core/dispatch/external_load.py
@@ -7,7 +7,9 @@
 
 
 class ExternalLoad:
-    """In-flight counts of peers and load reports, weighted by the age of the report.
+    """In-flight counts of peers, and load reports of the target.
+
+    Load reports are weighted by their age; counts of peers are ignored beyond an age.
 
     Parameters
     ----------
@@ -24,7 +26,7 @@
         self._previous_own_peak = 0
 
     def update_own_peak(self, own: int) -> None:
-        """Update the maximum number of own requests since the last reports."""
+        """Update the maximum number of own requests since the last report."""
         self._own_peak = max(self._own_peak, own)
 
     def set_peer_count(self, instance: str, count: int, now_s: float) -> None:
@@ -39,7 +41,7 @@
         """Process a load report.
 
         A report lags behind, so it is compared with the maximum number of requests
-        that this owner had at the target since the report before the last one.
+        that this owner had at the target during the last two report intervals.
         Only the excess is load from other senders.
         """
         known_requests = max(
--- a/endivepick/core/dispatch/messages.py
+++ b/endivepick/core/dispatch/messages.py
@@ -58,7 +58,7 @@
     """Reason why a request did not run."""
 
     DEADLINE_PASSED = "deadline_passed"
-    """The deadline passed before a target could run it."""
+    """The deadline passed before a target could run it, or would pass while it runs."""
     WAIT_TOO_LONG = "wait_too_long"
     """Its predicted completion time is after its deadline."""
     QUEUE_FULL = "queue_full"
--- a/endivepick/core/dispatch/scheduler.py
+++ b/endivepick/core/dispatch/scheduler.py
@@ -42,8 +42,8 @@
 __all__ = ["Scheduler"]
 
 # Step of an additive recurrence modulo 1, which spreads its values evenly.
-_GOLDEN_RATIO = 0.6180339887498949
-_NO_TARGET_WAIT_S = 1.0
+_GOLDEN_RATIO_CONJUGATE = 0.6180339887498949
+_UNPLACED_RETRY_S = 1.0
 _INSTANCE_FULL_WAIT_S = 1.0
 
 
@@ -73,7 +73,7 @@
         now_s: float,
     ) -> None:
         self._settings = settings
-        self._tie_breaker = 0.5
+        self._pseudo_random = 0.5
         self.record = record
         self.budget = RetryBudget(settings, now_s)
         self.estimate = ServiceTimeEstimate(settings)
@@ -82,9 +82,9 @@
         self._selector = TargetSelector(settings, self.targets, own_zone)
         self.running: dict[Hashable, PendingRequest] = {}
 
-    def set_tie_breaker(self, random_number: float) -> None:
-        """Set the random number, from 0 to 1, that breaks ties."""
-        self._tie_breaker = random_number
+    def set_pseudo_random(self, random_number: float) -> None:
+        """Set the random number, from 0 to 1, for ties and retry jitter."""
+        self._pseudo_random = random_number
 
     def select_flow_target(
         self, tie_breaker: float, now_s: float
@@ -134,11 +134,11 @@
         pinned = self._selector.find_pinned_target(request, self.record, now_s)
         candidates = self.targets.remaining() if pinned is None else [pinned]
         if not candidates:
-            return [self.refuse(request, RefusalReason.NO_TARGET, _NO_TARGET_WAIT_S)]
+            return [self.refuse(request, RefusalReason.NO_TARGET, _UNPLACED_RETRY_S)]
         if request.intent.stream:
             return self._place_stream(request, pinned, candidates, now_s, requeued)
         target = self._selector.select_target(
-            request, candidates, self.record, self._next_tie_breaker(), now_s
+            request, candidates, self.record, self._next_pseudo_random(), now_s
         )
         if target is not None:
             return self._start(request, target, now_s)
@@ -163,7 +163,7 @@
     ) -> Decision:
         """Return a refusal, or a failure if an attempt of the request may have run."""
         return refuse_request(
-            self._settings, request, reason, wait_s, self._next_tie_breaker()
+            self._settings, request, reason, wait_s, self._next_pseudo_random()
         )
 
     def _retry(
@@ -175,7 +175,7 @@
 
     def _fail(self, request: PendingRequest, reason: FailReason) -> Decision:
         return fail_request(
-            self._settings, request, reason, 0.0, self._next_tie_breaker()
+            self._settings, request, reason, 0.0, self._next_pseudo_random()
         )
 
     def _keeps_pinned_requests(self, target: TargetState) -> bool:
@@ -194,11 +194,11 @@
             if any(target.keeps_flows for target in candidates):
                 # A new owner has not received the first probe results yet.
                 return self._enqueue(request, pinned, candidates, now_s, requeued)
-            return [self.refuse(request, RefusalReason.NO_TARGET, _NO_TARGET_WAIT_S)]
+            return [self.refuse(request, RefusalReason.NO_TARGET, _UNPLACED_RETRY_S)]
         target = self._selector.select_for_stream(serving)
         if target is None:
             reason = RefusalReason.CONNECTIONS_FULL
-            return [self.refuse(request, reason, _NO_TARGET_WAIT_S)]
+            return [self.refuse(request, reason, _UNPLACED_RETRY_S)]
         return self._start(request, target, now_s)
 
     def _enqueue(
@@ -297,6 +297,6 @@
         self.targets.move_flow(old_name, target, request.intent.activity, now_s)
         return [Repin(request.intent.request_id, old_name, target.name)]
 
-    def _next_tie_breaker(self) -> float:
-        self._tie_breaker = (self._tie_breaker + _GOLDEN_RATIO) % 1.0
-        return self._tie_breaker
+    def _next_pseudo_random(self) -> float:
+        self._pseudo_random = (self._pseudo_random + _GOLDEN_RATIO_CONJUGATE) % 1.0
+        return self._pseudo_random
--- a/endivepick/core/dispatch/selection.py
+++ b/endivepick/core/dispatch/selection.py
@@ -103,6 +103,8 @@
         free = [target for target in without_backoff if target.can_start(now_s)]
         allowed = self._spill_limiter.allowed_targets(free, record.spill_share)
         if len(allowed) == len(free):
+            # The zone limit excluded nothing, so targets without a free slot are
+            # considered too.
             allowed = without_backoff or serving
         if not allowed:
             return None
--- a/endivepick/core/dispatch/target_set.py
+++ b/endivepick/core/dispatch/target_set.py
@@ -124,7 +124,7 @@
             target.eject(now_s)
 
     def min_blocked_s(self, now_s: float) -> float:
-        """Return the time until the first target ends its backoff, in seconds."""
+        """Return the time until the first target may accept requests, in seconds."""
         ends_s = [target.blocked_until_s() for target in self.remaining()]
         return max(0.0, min(ends_s, default=now_s) - now_s)
 
--- a/endivepick/core/events.py
+++ b/endivepick/core/events.py
@@ -139,7 +139,10 @@
 
 @dataclass(frozen=True, slots=True)
 class PlatformCallFailed:
-    """A list or watch call to the platform failed."""
+    """A list or watch call to the platform failed.
+
+    A failed call of ``CallPlatform`` is reported with ``PlatformAnswered``.
+    """
 
 
 @dataclass(frozen=True, slots=True)
--- a/endivepick/core/executor.py
+++ b/endivepick/core/executor.py
@@ -83,7 +83,11 @@
             dispatcher.adopt_flow(flow.target, flow.activity, now_s)
 
     def unregister_flow(self, flow: OwnedFlow, now_s: float) -> None:
-        """Unregister a closed, expired or handed-over flow from its target."""
+        """Unregister a closing, expired or handed-over flow from its target.
+
+        This has no effect on a flow already marked closed, which was unregistered
+        when it closed.
+        """
         dispatcher = self.dispatchers.get(flow.service)
         if dispatcher is not None and not flow.closed:
             dispatcher.close_flow(flow.target, flow.activity, now_s)
@@ -118,7 +122,9 @@
             case Start():
                 return self._start(flow_request, decision)
             case Refuse() | Fail() if flow_request.request.can_resume:
-                return self._defer_stream(flow_request, decision.reason.value)
+                return self._suspend_unplaced_stream(
+                    flow_request, decision.reason.value
+                )
             case Refuse(reason=reason, retry_after_ms=retry_after_ms):
                 return self._refuse(flow_request, reason.value, retry_after_ms)
             case Fail(reason=reason, retry_after_ms=retry_after_ms):
@@ -174,11 +180,20 @@
             ),
         ]
 
-    def _defer_stream(self, flow_request: FlowRequest, reason: str) -> list[Action]:
+    def _suspend_unplaced_stream(
+        self, flow_request: FlowRequest, reason: str
+    ) -> list[Action]:
         """Suspend a stream without a target until its caller's next packet."""
         flow_request.request.step("freeze")
         ids = flow_request.ids(reason=reason)
-        return [Log("owner", "stream_put_off", "no target accepts the stream", ids)]
+        return [
+            Log(
+                "owner",
+                "stream_put_off",
+                "no target accepts stream; suspended until the caller's next packet",
+                ids,
+            )
+        ]
 
     def _refuse(
         self, flow_request: FlowRequest, reason: str, retry_after_ms: int
@@ -329,7 +344,7 @@
         request.last_event_id = event.event_id or request.last_event_id
         actions = send_unsent_parts(flow_request.flow, request)
         if request.answer.size_bytes > self._settings.stream_buffer_bytes:
-            actions += self.suspend_stream(flow_request.flow, request)
+            actions += self.suspend_running_stream(flow_request.flow, request)
         return actions
 
     def stream_ended(self, event: StreamEnded, now_s: float) -> list[Action]:
@@ -345,7 +360,9 @@
         actions += self._report_finished(flow_request, FinishKind.OK, 0.0, now_s)
         return actions
 
-    def suspend_stream(self, flow: OwnedFlow, request: OwnedRequest) -> list[Action]:
+    def suspend_running_stream(
+        self, flow: OwnedFlow, request: OwnedRequest
+    ) -> list[Action]:
         """Close a stream at its target; it can be resumed after its last event."""
         # A cancellation by key could hit the next attempt if that arrives first.
         actions = self._cancel_attempt(flow, request, by_key=False)
@@ -353,13 +370,13 @@
         request.step("freeze")
         return actions
 
-    def pause_stream(
+    def suspend_active_stream(
         self, flow: OwnedFlow, request: OwnedRequest, now_s: float
     ) -> list[Action]:
         """Suspend a running or waiting stream until it is resumed."""
         if request.state == "running":
-            return self.suspend_stream(flow, request)
-        actions = self.withdraw_request(flow, request, now_s)
+            return self.suspend_running_stream(flow, request)
+        actions = self.remove_waiting_request(flow, request, now_s)
         request.step("freeze")
         return actions
 
@@ -383,10 +400,10 @@
         request.step("resume")
         return self.submit(flow, request, now_s)
 
-    def withdraw_request(
+    def remove_waiting_request(
         self, flow: OwnedFlow, request: OwnedRequest, now_s: float
     ) -> list[Action]:
-        """Withdraw a waiting request from the dispatcher."""
+        """Remove a waiting request from the dispatcher."""
         return self._cancel_at_dispatcher(flow, request, now_s)
 
     def cancel(
@@ -427,6 +444,8 @@
             return []
         request_id = FlowRequest(flow, request).request_id
         decisions = dispatcher.cancel(request_id, now_s)
+        # The cancelled request's own refusal is not sent: the caller of this method
+        # cancels, suspends or hands over the request.
         others = [
             decision for decision in decisions if decision.request_id != request_id
         ]
--- a/endivepick/core/flow.py
+++ b/endivepick/core/flow.py
@@ -106,7 +106,7 @@
 
 @dataclass(slots=True)
 class OwnedFlow:
-    """One binding of a flow and its replay window.
+    """A flow as held by its owner, under one binding.
 
     Attributes
     ----------
@@ -125,7 +125,7 @@
     heard_at_s : float
         Time of the last packet.
     requests : dict
-        Unfinished requests by sequence number.
+        Requests by sequence number whose final reply is not acknowledged or expired.
     frozen : bool
         Whether the flow is being handed over or has been; its requests no longer
         run at this instance.
--- a/endivepick/core/flow_snapshot.py
+++ b/endivepick/core/flow_snapshot.py
@@ -12,7 +12,11 @@
 __all__ = ["restore_flow", "snapshot_flow"]
 
 _OMITTED_STATES = frozenset({"receiving", "cancelled", "done"})
-"""States of requests that are not transferred; the replay window covers them."""
+"""States of requests that are not transferred.
+
+A request in ``receiving`` is not claimed in the replay window, and its caller
+retransmits it.  One in ``cancelled`` or ``done`` is already claimed there.
+"""
 
 
 def snapshot_flow(flow: OwnedFlow, now_s: float) -> FlowSnapshot:
--- a/endivepick/core/flow_table.py
+++ b/endivepick/core/flow_table.py
@@ -34,11 +34,12 @@
 class FlowTable:
     """Flows of this instance by binding.
 
-    A binding gets an empty replay window exactly once: when this instance creates
-    it, or when this instance adopts a binding that a relay created.  A binding that
-    is neither in the table nor adoptable was removed earlier, and none of its
-    requests runs again; closed flows therefore need not be kept.  An open flow is
-    kept until its token has expired, so that its caller may be idle.
+    An empty replay window forgets claimed requests, so a binding must never get a
+    second one.  A binding gets an empty window exactly once: when this instance
+    creates it, or when this instance adopts a binding that a relay created.  A
+    binding that is neither in the table nor adoptable was removed earlier, and none
+    of its requests runs again; closed flows therefore need not be kept.  An open
+    flow is kept until its token has expired, so that its caller may be idle.
 
     Parameters
     ----------
--- a/endivepick/core/handover_destination.py
+++ b/endivepick/core/handover_destination.py
@@ -78,7 +78,10 @@
     def receive_transfer(
         self, sender: Identity, message: HandOver, leaving: bool, now_s: float
     ) -> tuple[list[OwnedFlow], list[Action]]:
-        """Restore the flows of a transfer, or refuse them permanently.
+        """Restore the flows of a transfer, or refuse them if this instance is leaving.
+
+        A refusal is permanent.  A transfer with an unknown service gets no reply, so
+        that the source retransmits it until the service record is known.
 
         Parameters
         ----------
--- a/endivepick/core/handover_source.py
+++ b/endivepick/core/handover_source.py
@@ -187,9 +187,9 @@
             del flow.requests[request.seq]
             return []
         if request.state == "running":
-            return self.executor.suspend_stream(flow, request)
+            return self.executor.suspend_running_stream(flow, request)
         if request.state == "waiting":
-            return self.executor.withdraw_request(flow, request, now_s)
+            return self.executor.remove_waiting_request(flow, request, now_s)
         return []
 
     def _send(
--- a/endivepick/core/instance.py
+++ b/endivepick/core/instance.py
@@ -76,7 +76,7 @@
     new_id : callable
         Returns a random 64-bit number.
     now_s : float
-        Current time of a monotonic clock, in seconds since the epoch.
+        Current time, in seconds since the epoch; never decreases.
     """
 
     def __init__(
@@ -130,7 +130,7 @@
         self._router = PacketRouter(
             self.me, self._codec, self.table, self.owner, self.relay, self.roles
         )
-        self._giver = HandOverSource(
+        self._handover_source = HandOverSource(
             settings.flow,
             self.table,
             self.executor,
@@ -142,7 +142,7 @@
             self._peers.ready_names,
         )
         self.lifecycle = Lifecycle(
-            settings.flow, self.membership, self.owner, self._giver
+            settings.flow, self.membership, self.owner, self._handover_source
         )
         self.configuration = Configuration(
             settings.records,
@@ -176,7 +176,7 @@
         )
         self._exchange = HandOverExchange(
             self.me,
-            self._giver,
+            self._handover_source,
             HandOverDestination(settings.flow, self.table, self.executor),
             self.owner,
             self.roles,
--- a/endivepick/core/intake.py
+++ b/endivepick/core/intake.py
@@ -87,7 +87,8 @@
             case SeqState.CLAIMED:
                 return [reply_answer_forgotten(flow, packet.seq)]
             case SeqState.OUT_OF_RANGE:
-                # Either the flow is older than its binding, or the number is invalid.
+                # The binding was created by a reissue after the flow had already used
+                # higher numbers, or the number is invalid.
                 # The caller has no outstanding request so far below this one, so
                 # raising the floor blocks no number that is still in use.
                 flow.window.skip_below(
@@ -124,9 +125,10 @@
     ) -> bool:
         """Return whether to admit a request of a flow that awaits its handover.
 
-        Requests are admitted in every second period only.  The other periods let a
-        flow with overlapping requests become idle; the admitting ones spare a
-        request the wait for a long-running one.
+        Requests are admitted in every second period only.  While requests are
+        deferred, a flow with overlapping requests can become idle and be handed over.
+        While they are admitted, a new request need not wait for a long-running
+        request to end.
         """
         deadline_at_s = now_s + self._time_left_s(flow, packet)
         if not flow.in_progress or deadline_at_s > self._last_deadline_s:
--- a/endivepick/core/key_rotation.py
+++ b/endivepick/core/key_rotation.py
@@ -85,24 +85,29 @@
     """
     pending = keyring.pending
     if pending is None:
-        return Failure(KeyActivationRefusedError("Add a pending key first."))
-    reachable = [
+        return Failure(
+            KeyActivationRefusedError("The keyring has no pending key. Add one first.")
+        )
+    possibly_alive = [
         instance for instance in view.values() if instance.state is not PeerState.DEAD
     ]
-    if not reachable:
+    if not possibly_alive:
         return Failure(
-            KeyActivationRefusedError("Wait until an instance is seen, then retry.")
+            KeyActivationRefusedError(
+                "No instance is known to be alive. Wait until one is seen, then retry."
+            )
         )
     without_key = [
         instance.name
-        for instance in reachable
+        for instance in possibly_alive
         if versions_in_force.get((instance.name, instance.incarnation), 0) < version
     ]
     if without_key:
         return Failure(
             KeyActivationRefusedError(
-                f"Wait until key {pending.key_id} reached"
-                f" {', '.join(sorted(without_key))} or stop these instances."
+                f"Key {pending.key_id} is not reported by"
+                f" {', '.join(sorted(without_key))}. Wait until these instances have"
+                " it, or stop them."
             )
         )
     return Success(pending)
@@ -153,7 +158,8 @@
 ) -> Keyring:
     """Return the keyring after the next rotation step, if one is due.
 
-    Call this periodically on one instance that has joined and is ready.  If the
+    ``KeyRotator`` calls the steps of a rotation itself.  Other callers call this
+    function periodically on one instance that has joined and is ready.  If the
     result differs from ``keyring``, write it on condition that the object still
     has ``version``.  An instance whose conditional write fails starts over with
     the new version.
--- a/endivepick/core/key_rotator.py
+++ b/endivepick/core/key_rotator.py
@@ -202,7 +202,7 @@
                 self._backoff = self._backoff.failed(random_share)
                 wait_s = max(self._settings.check_every_s, self._backoff.wait_s)
                 self._next_check_s = now_s + wait_s
-                text = "key rotation failed"
+                text = "platform call of key rotation failed; retrying after backoff"
                 return [Log("keys", "rotation_failed", text, {"reason": reason})]
         return []
 
@@ -222,7 +222,7 @@
                 return self._report_wait(str(error))
         self._call_pending = True
         ids = {"key": keyring.pending.key_id, "version": self._keys.version}
-        text = "all instances have the pending key; activating it"
+        text = "all instances have the pending key; writing the keyring to activate it"
         log = Log("keys", "key_activated", text, ids)
         counted = Count("key_checks", "activates")
         return [counted, log, self._write_keyring(activate_pending(keyring, now_s))]
--- a/endivepick/core/membership_peers.py
+++ b/endivepick/core/membership_peers.py
@@ -19,7 +19,10 @@
         self._membership = membership
 
     def ready_names(self) -> tuple[str, ...]:
-        """Return the names of the instances that can be assigned a role."""
+        """Return the names of the instances that may be assigned roles.
+
+        These are ready, and alive or suspect.
+        """
         return self._membership.live_names()
 
     def zone_of(self, name: str) -> str:
--- a/endivepick/core/messages.py
+++ b/endivepick/core/messages.py
@@ -1,8 +1,8 @@
 """Packets between callers and instances.
 
-There are two families of messages.  *Packets* are single datagrams between a caller
-and any instance.  *Peer messages* are exchanged between instances.  Both are encoded
-as MessagePack arrays whose first item is the tag of the type.
+Packets are single datagrams between a caller and any instance, encoded as MessagePack
+arrays whose first item is the tag of the type.  Peer messages, encoded in the same
+way, are in ``peer_messages``.
 """
 
 import msgspec
--- a/endivepick/core/peer_messages.py
+++ b/endivepick/core/peer_messages.py
@@ -54,7 +54,7 @@
 
 
 class RequestSnapshot(msgspec.Struct, frozen=True, array_like=True):
-    """Request whose answer is not acknowledged, or a suspended stream.
+    """Unfinished or unacknowledged request.
 
     ``time_left_ms`` is the time until its deadline, in milliseconds.
     """
--- a/endivepick/core/relay.py
+++ b/endivepick/core/relay.py
@@ -14,7 +14,7 @@
     Unreachable,
 )
 from endivepick.core.peer_messages import RelayedPacket
-from endivepick.core.service_owners import LiveInstances, ServiceOwners
+from endivepick.core.service_owners import EligibleInstances, ServiceOwners
 from endivepick.core.token import FlowToken, TokenCodec
 
 __all__ = [
@@ -34,7 +34,7 @@
 """Retry delay for callers while the holder is suspected, in milliseconds."""
 
 
-class Peers(LiveInstances, Protocol):
+class Peers(EligibleInstances, Protocol):
     """Membership state that the relay queries."""
 
     def is_suspected(self, name: str) -> bool:
@@ -172,19 +172,25 @@
     def reissue_after_loss(
         self, token: FlowToken, caller: CallerAddress, now_s: float
     ) -> list[Action]:
-        """Reissue a flow of a lost owner with a new owner and an empty binding."""
-        text = "flow owner lost; flow reissued with a new owner"
+        """Issue a new token for a flow that is not held at its owner.
+
+        The owner is lost, or the flow was not received there or was handed over.
+        The token has a new binding, whose replay window is empty.
+        """
+        text = "owner lost or flow not held there; issued a token with a new binding"
         return self._reissue(token, caller, now_s, text, "")
 
     def reissue_removed_flow(
         self, token: FlowToken, caller: CallerAddress, now_s: float
     ) -> list[Action]:
-        """Reissue a flow that was removed from the table, with an empty binding.
+        """Issue a new token for a flow that was removed from the table.
+
+        The token has a new binding, whose replay window is empty.
 
         It is no longer known whether its requests ran, so the reply "not run" could
         be wrong.  No request of the old binding runs again.
         """
-        text = "packet of a removed flow; flow reissued with an empty binding"
+        text = "packet of a removed flow; issued a token with a new binding"
         return self._reissue(token, caller, now_s, text, REASON_FORGOTTEN)
 
     def _reissue(
@@ -238,7 +244,11 @@
         return Identity(name, incarnation)
 
     def pop_ownership_candidates(self) -> set[str]:
-        """Return services that this instance may own since the last call."""
+        """Return and clear the services that this instance may now own.
+
+        These are the services whose ownership may have moved to this instance since
+        the last call.
+        """
         return self._owners.pop_ownership_candidates()
 
     def owner_name(self, service: str) -> str:
--- a/endivepick/core/replies.py
+++ b/endivepick/core/replies.py
@@ -62,7 +62,7 @@
 
 
 def reply_current_state(flow: OwnedFlow, request: OwnedRequest) -> list[Action]:
-    """Reply to a duplicate of a request, or to a query about it."""
+    """Reply to a duplicate of a request, or to an acknowledgement before its answer."""
     if request.verdict is not None:
         return [SendToCaller(flow.caller, request.verdict)]
     answer = request.answer
--- a/endivepick/core/roles.py
+++ b/endivepick/core/roles.py
@@ -55,7 +55,11 @@
     """Service ownership that the roles query."""
 
     def pop_ownership_candidates(self) -> set[str]:
-        """Return services that this instance may own since the last call."""
+        """Return and clear the services that this instance may now own.
+
+        These are the services whose ownership may have moved to this instance since
+        the last call.
+        """
 
     def owner_name(self, service: str) -> str:
         """Return the instance that currently opens a service's flows."""
@@ -173,7 +177,12 @@
         del self._executor.dispatchers[service]
         self._allowance.remove_service(service)
         return [
-            Log("owner", "service_released", "service released", {"service": service})
+            Log(
+                "owner",
+                "service_released",
+                "service not owned and without flows here; dispatcher removed",
+                {"service": service},
+            )
         ]
 
     def tick(self, now_s: float) -> list[Action]:
@@ -233,7 +242,12 @@
             active = service in self._active
             if owned and not active and self.activate(service, now_s):
                 actions.append(
-                    Log("owner", "service_taken", "service taken", {"service": service})
+                    Log(
+                        "owner",
+                        "service_taken",
+                        "this instance now owns the service; dispatcher created",
+                        {"service": service},
+                    )
                 )
             if active and not owned and service not in held:
                 actions += self._deactivate(service)
--- a/endivepick/core/router.py
+++ b/endivepick/core/router.py
@@ -122,7 +122,7 @@
                 return self._relay.forward(identity, caller, hops, datagram)
             case HolderSuspected(identity=identity):
                 # A suspected instance may be alive and able to handle the packet.
-                # Without forwarding, the packet is lost if the reply to the caller is.
+                # Forward as well: the reply below may be lost.
                 self._relay.record_relayed_flow(token)
                 forwarded = self._relay.forward(identity, caller, hops, datagram)
                 seq = getattr(packet, "seq", 0)
@@ -149,8 +149,9 @@
         issued_here = token.owner_incarnation == self._me.incarnation
         was_handed_over = self._table.successor(token.binding) is not None
         if not issued_here or was_handed_over:
-            # Either this flow of a predecessor's handover never arrived, or it was
-            # handed over from here; adopting it would create a second window.
+            # The token names another owner whose flow was not received here, or the
+            # flow was handed over from here.  A new empty window could run requests
+            # twice.
             return self._relay.reissue_after_loss(token, caller, now_s)
         if not self._table.may_adopt(token):
             return self._relay.reissue_removed_flow(token, caller, now_s)
--- a/endivepick/core/service_owners.py
+++ b/endivepick/core/service_owners.py
@@ -6,7 +6,7 @@
 
 from endivepick.core.rendezvous import find_heavier, owner, top
 
-__all__ = ["LiveInstances", "ServiceOwners"]
+__all__ = ["EligibleInstances", "ServiceOwners"]
 
 RANKED_CANDIDATES_MAX = 4
 """Number of top-ranked instances considered if the owner is unsuitable."""
@@ -16,7 +16,7 @@
 """Limit of candidates for an unknown service; bounds the cost of its lookup."""
 
 
-class LiveInstances(Protocol):
+class EligibleInstances(Protocol):
     """Instances that are eligible as owners."""
 
     def ready_names(self) -> tuple[str, ...]:
@@ -55,7 +55,7 @@
     ----------
     me : str
         Name of this instance.
-    live : LiveInstances
+    live : EligibleInstances
         Instances that are eligible as owners.
     zones_of : callable
         Returns the zones of a service's targets; empty for an unknown service.
@@ -75,7 +75,7 @@
     def __init__(
         self,
         me: str,
-        live: LiveInstances,
+        live: EligibleInstances,
         zones_of: Callable[[str], frozenset[str]],
     ) -> None:
         self._me = me
@@ -118,10 +118,11 @@
         return self._compute_is_owner(service)
 
     def pop_ownership_candidates(self) -> set[str]:
-        """Return services that this instance may own since the last call.
+        """Return and clear the services that this instance may now own.
 
-        Only services that were passed to ``is_owned_here`` or ``owner`` before are
-        returned.
+        These are the services whose ownership may have moved to this instance since
+        the last call.  Only services that were passed to ``is_owned_here`` or
+        ``owner`` before are returned.
         """
         self._refresh()
         ownership_candidates = self._ownership_candidates
--- a/endivepick/core/settings.py
+++ b/endivepick/core/settings.py
@@ -39,8 +39,9 @@
     hand_over_retry_s : float
         Retransmission interval of a hand-over, in seconds.
     hand_over_bytes : int
-        Maximum size of one hand-over message, in bytes; exceeded only by a
-        single larger flow.
+        Size of the collected flows from which a hand-over message is sent, in
+        bytes; its last flow may exceed it.  A message of more than twice this size
+        is sent in pieces of this size.
     drain_timeout_s : float
         Maximum duration of a planned stop, in seconds.
     """
--- a/endivepick/core/stop_request_filter.py
+++ b/endivepick/core/stop_request_filter.py
@@ -11,7 +11,10 @@
 
 
 class _WishBody(pydantic.BaseModel):
-    """Body of a stored object of kind ``instance``."""
+    """Body of a stored object of kind ``instance``: a request to stop it.
+
+    A planned stop is requested if ``draining`` is true.
+    """
 
     model_config = pydantic.ConfigDict(extra="forbid", strict=True)
 
--- a/endivepick/core/tests/test_keyring.py
+++ b/endivepick/core/tests/test_keyring.py
@@ -80,7 +80,7 @@
         )
         held = {("a", 1): 9, ("b", 2): 8, ("c", 3): 9}
         refusal = may_activate(keyring, 9, held, view).failure()
-        self.assertIn("reached b or", str(refusal))
+        self.assertIn("Key 2 is not reported by b. Wait", str(refusal))
         self.assertTrue(
             is_successful(may_activate(keyring, 9, {**held, ("b", 2): 9}, view))
         )
--- a/endivepick/core/zone_status.py
+++ b/endivepick/core/zone_status.py
@@ -196,7 +196,7 @@
             case CallFailed(reason=reason):
                 self._backoff = self._backoff.failed(random_share)
                 self._calling_writer.failed(now_s, self._backoff.wait_s)
-                text = "status write failed"
+                text = "platform call for the status failed; retrying after backoff"
                 return [Log("status", "status_failed", text, {"reason": reason})]
         return []
 
