--- a/endivepick/core/catalog.py
+++ b/endivepick/core/catalog.py
@@ -69,23 +69,23 @@
     """
 
     def __init__(self) -> None:
-        self.book = ActiveRecords()
+        self.service_records = ActiveRecords()
         self.keys = ActiveKeyring()
 
     def service(self, name: str) -> ServiceRecord | None:
         """Return the record in force of a service, or None if it is unknown."""
-        return self.book.get(name)
+        return self.service_records.get(name)
 
     def zones(self, name: str) -> frozenset[str]:
         """Return the zones of a service's targets; empty if it is unknown."""
-        record = self.book.get(name)
+        record = self.service_records.get(name)
         if record is None:
             return frozenset()
         return frozenset(target.zone for target in record.targets)
 
     def versions(self) -> Iterator[tuple[str, int]]:
         """Yield the name and the version in force of each service."""
-        for record in self.book.records():
+        for record in self.service_records.records():
             yield record.name, record.version
 
     def apply(self, changes: tuple[Change, ...]) -> tuple[list[str], list[Action]]:
@@ -109,7 +109,7 @@
             if change.after.kind == KEYRING_KIND:
                 actions += self._apply_keyring(change.after)
         changed: list[str] = []
-        for applied in self.book.apply(changes):
+        for applied in self.service_records.apply(changes):
             name, log = _describe_change(applied)
             if not isinstance(applied, ServiceRefused):
                 changed.append(name)
--- a/endivepick/core/configuration.py
+++ b/endivepick/core/configuration.py
@@ -137,7 +137,7 @@
             self._relay.record_changed(service)
             actions += self._roles.record_changed(service, now_s)
         actions += self._roles.records_changed(changed, now_s)
-        refused = self._catalog.book.refused
+        refused = self._catalog.service_records.refused
         if refused != self._refused:
             self._refused = refused
             actions += self.handle(RefusedChanged(refused), now_s)
--- a/endivepick/core/instance.py
+++ b/endivepick/core/instance.py
@@ -139,7 +139,7 @@
             self.relay.is_lost,
             self.relay.is_valid_successor,
             self._has_joining_peer,
-            self._peers.ready_names,
+            self._peers.eligible_names,
         )
         self.lifecycle = Lifecycle(
             settings.flow, self.membership, self.owner, self._handover_source
--- a/endivepick/core/membership_peers.py
+++ b/endivepick/core/membership_peers.py
@@ -18,7 +18,7 @@
     def __init__(self, membership: Membership) -> None:
         self._membership = membership
 
-    def ready_names(self) -> tuple[str, ...]:
+    def eligible_names(self) -> tuple[str, ...]:
         """Return the names of the instances that may be assigned roles.
 
         These are ready, and alive or suspect.
--- a/endivepick/core/relay.py
+++ b/endivepick/core/relay.py
@@ -140,7 +140,7 @@
         """Return whether an instance can still act as the chosen successor."""
         if self._peers.incarnation_of(identity.name) != identity.incarnation:
             return False
-        known = identity.name in self._peers.ready_names()
+        known = identity.name in self._peers.eligible_names()
         return known and not self._peers.is_suspected(identity.name)
 
     def forward(
--- a/endivepick/core/service_owners.py
+++ b/endivepick/core/service_owners.py
@@ -19,7 +19,7 @@
 class EligibleInstances(Protocol):
     """Instances that are eligible as owners."""
 
-    def ready_names(self) -> tuple[str, ...]:
+    def eligible_names(self) -> tuple[str, ...]:
         """Return the names of eligible instances, including this one.
 
         Returns the same tuple object as long as the names do not change.
@@ -63,7 +63,7 @@
     Examples
     --------
     >>> class Live:
-    ...     def ready_names(self):
+    ...     def eligible_names(self):
     ...         return ("a", "b")
     ...     def zone_of(self, name):
     ...         return {"a": "fukuoka", "b": "kumamoto"}[name]
@@ -166,7 +166,7 @@
         return local or self._names
 
     def _refresh(self) -> None:
-        names = self._live.ready_names()
+        names = self._live.eligible_names()
         if names is self._names:
             return
         before, now = set(self._names), set(names)
--- a/endivepick/core/status_sources.py
+++ b/endivepick/core/status_sources.py
@@ -142,7 +142,7 @@
         states = self._member_states(self._dissemination.zone_members())
         writes_zone = self.status_writer == self._name
         return StatusView(
-            records=() if of_group else self._catalog.book.records(),
+            records=() if of_group else self._catalog.service_records.records(),
             report=self._dissemination.zone_report,
             members=states.keys(),
             states=states,
--- a/endivepick/core/tests/test_closed_flows.py
+++ b/endivepick/core/tests/test_closed_flows.py
@@ -44,7 +44,7 @@
         self.dead: set[int] = set()
         self.successors: dict[int, Identity] = {}
 
-    def ready_names(self) -> tuple[str, ...]:
+    def eligible_names(self) -> tuple[str, ...]:
         return (self.me.name,)
 
     def zone_of(self, name: str) -> str:
--- a/endivepick/core/tests/test_owners.py
+++ b/endivepick/core/tests/test_owners.py
@@ -13,7 +13,7 @@
     def __init__(self):
         self.names = ()
 
-    def ready_names(self):
+    def eligible_names(self):
         return self.names
 
     def zone_of(self, name):
--- a/endivepick/core/tests/test_router.py
+++ b/endivepick/core/tests/test_router.py
@@ -16,7 +16,7 @@
         self.suspects: set[str] = set()
         self.successors: dict[int, Identity] = {}
 
-    def ready_names(self) -> tuple[str, ...]:
+    def eligible_names(self) -> tuple[str, ...]:
         return ("b", "c")
 
     def zone_of(self, name: str) -> str:
--- a/endivepick/daemon/status.py
+++ b/endivepick/daemon/status.py
@@ -87,7 +87,7 @@
         flows=len(core.table),
         records=dict(core.catalog.versions()),
         keyring=_keyring_status(core.catalog.keys),
-        refused=core.catalog.book.refused,
+        refused=core.catalog.service_records.refused,
         peers=list(core.membership.view().values()),
         services=[dispatcher.snapshot() for dispatcher in dispatchers.values()],
     )
--- a/endivepick/model/_choices.py
+++ b/endivepick/model/_choices.py
@@ -85,7 +85,7 @@
         self.view = view
         self.asked = False
 
-    def ready_names(self) -> tuple[str, ...]:
+    def eligible_names(self) -> tuple[str, ...]:
         """Return the name of the instance that opens flows."""
         return ((self.view.opener or self.me).name,)
 
