--- a/endivepick/forwarder/circuit_breaker.py
+++ b/endivepick/forwarder/circuit_breaker.py
@@ -1,6 +1,6 @@
 """Circuit breaker of the store: one feed of an instance retries, the others wait.
 
-Load pattern: the store refuses or does not answer the calls of all instances for
+Scenario: the store refuses or does not answer the calls of all instances for
 seconds. If each feed retried by itself, an instance would make twice the calls during
 an outage; they are paid for and, once the store is back, count against its rate limit.
 An answer to one feed shows the state of the store to the others.
@@ -30,7 +30,7 @@
     >>> breaker.record_success()
     >>> breaker.record_failure("configuration")
     True
-    >>> with breaker.caller() as feed:
+    >>> with breaker.register() as feed:
     ...     breaker.record_success()
     ...     breaker.record_failure(feed)
     True
@@ -40,38 +40,37 @@
 
     def __init__(self, enabled: bool = True) -> None:
         self._enabled = enabled
-        self._trying: Hashable | None = None
+        self._retrying_feed: Hashable | None = None
         self._changed = Event()
 
     @contextmanager
-    def caller(self) -> Iterator[Hashable]:
-        """Identify a feed's task for as long as it makes calls.
+    def register(self) -> Iterator[Hashable]:
+        """Register a feed's task while the context is open, and yield its identity.
 
-        The task removes itself when it ends. Otherwise a call that fails between the
-        request to stop a task and its end would select that task, and no feed would
-        retry.
+        A call may still fail between the request to stop a task and its end. A stopped
+        task must not remain the retrying feed, or no other feed would retry.
         """
         feed = object()
         try:
             yield feed
         finally:
-            self.remove_caller(feed)
+            self.unregister(feed)
 
     def record_failure(self, feed: Hashable) -> bool:
         """Record a failed call; return whether this feed is to retry."""
         if not self._enabled:
             return True
-        if self._trying is None:
-            self._trying = feed
-        return self._trying == feed
+        if self._retrying_feed is None:
+            self._retrying_feed = feed
+        return self._retrying_feed == feed
 
     def record_success(self) -> None:
         """Record an answer of the store: all feeds may call."""
         self._release()
 
-    def remove_caller(self, feed: Hashable) -> None:
-        """Remove a feed that makes no further calls, so that another can retry."""
-        if self._trying == feed:
+    def unregister(self, feed: Hashable) -> None:
+        """Unregister a feed that makes no further calls, so that another can retry."""
+        if self._retrying_feed == feed:
             self._release()
 
     def wait(self) -> None:
@@ -79,6 +78,6 @@
         self._changed.wait()
 
     def _release(self) -> None:
-        self._trying = None
+        self._retrying_feed = None
         waiting, self._changed = self._changed, Event()
         waiting.set()
--- a/endivepick/forwarder/datagrams.py
+++ b/endivepick/forwarder/datagrams.py
@@ -74,7 +74,7 @@
     on_fault: Callable[[Exception], None],
     after_batch: Callable[[float], None],
     now_s: Callable[[], float],
-    early: socket | None = None,
+    bound_socket: socket | None = None,
 ) -> Iterator[DatagramSocket]:
     """Bind a socket and deliver its packets while the context is open.
 
@@ -83,7 +83,7 @@
     address : str
         Address to bind.
     on_packet : callable
-        Called with each datagram and the time.
+        Called with each datagram and the time at which its batch began.
     on_fault : callable
         Called with an exception raised by ``on_packet``; after a callback that failed,
         the event loop would not watch the socket any more.
@@ -91,10 +91,10 @@
         Called after each batch with its duration, in seconds.
     now_s : callable
         Returns the time, in seconds.
-    early : socket, default=None
+    bound_socket : socket, default=None
         Socket that was bound earlier; it is used if it has the address.
     """
-    with _bind_or_reuse(early, parse_address(address)) as connection:
+    with _bind_or_reuse(bound_socket, parse_address(address)) as connection:
         datagrams = DatagramSocket(connection)
 
         def on_readable() -> None:
@@ -115,9 +115,9 @@
             watcher.close()
 
 
-def _bind_or_reuse(early: socket | None, address: tuple[str, int]) -> socket:
-    if early is not None and early.getsockname() == address:
-        return early
-    if early is not None:
-        early.close()
+def _bind_or_reuse(bound_socket: socket | None, address: tuple[str, int]) -> socket:
+    if bound_socket is not None and bound_socket.getsockname() == address:
+        return bound_socket
+    if bound_socket is not None:
+        bound_socket.close()
     return new_datagram_socket(address)
--- a/endivepick/forwarder/decision_log.py
+++ b/endivepick/forwarder/decision_log.py
@@ -64,7 +64,7 @@
         self.log.event(
             "target",
             "target_belief",
-            f"{change.target} now {change.after}",
+            f"{change.target} changed to {change.after}",
             target=change.target,
             service=change.service,
             before=change.before,
@@ -95,7 +95,7 @@
         self.log.event(
             "flow",
             "flow_reset",
-            "flow reset with its target",
+            "flow reset because of its target",
             flow_key=str(reset.flow),
             target=reset.target,
             reason=reset.reason.value,
@@ -107,7 +107,7 @@
         self.log.event(
             "probe",
             "target_probed",
-            f"{result.target} {result.outcome.value}",
+            f"probe of {result.target}: {result.outcome.value}",
             target=result.target,
             outcome=result.outcome.value,
             probed_born_ms=result.probed_born_ms,
@@ -117,7 +117,10 @@
     def log_hint(self, target: str) -> None:
         """Log a peer's hint that a target does not answer."""
         self.log.event(
-            "peer", "peer_hint", f"{target} reported not to answer", target=target
+            "peer",
+            "peer_hint",
+            f"peer reports that {target} does not answer",
+            target=target,
         )
 
     def log_configuration(
@@ -134,7 +137,7 @@
             learnt_from=learnt_from,
         )
 
-    def log_unfit_change(
+    def log_inapplicable_delta(
         self, change: ConfigurationChange, known_revision: int
     ) -> None:
         """Log that a delta does not start from the version in force."""
@@ -215,7 +218,7 @@
         self.log.warning(
             "clock",
             "process_paused",
-            "process was paused; listing again",
+            "process was paused; reading all lists again",
             paused_s=truncate_number(paused_s),
         )
 
--- a/endivepick/forwarder/early.py
+++ b/endivepick/forwarder/early.py
@@ -3,7 +3,7 @@
 It binds the data socket, installs early signal handlers and requests the lists of the
 store.
 
-Load pattern: all instances start at once, and callers retransmit lost packets after
+Scenario: all instances start at once, and callers retransmit lost packets after
 fractions of a second. Packets that arrive while libraries are loaded wait in the socket
 instead of being lost. Therefore this module imports only sockets and signals.
 """
@@ -98,7 +98,7 @@
 ) -> dict[_Kind, socket]:
     """Send a request on each established connection; never blocks.
 
-    Load pattern: all instances start at once with slow links. The lists arrive while
+    Scenario: all instances start at once with slow links. The lists arrive while
     the rest of the program is loaded.
 
     Parameters
--- a/endivepick/forwarder/feeder_election.py
+++ b/endivepick/forwarder/feeder_election.py
@@ -1,6 +1,6 @@
 """Decides from the claims in the store which instances feed a zone, without I/O.
 
-Load pattern: each instance that follows the store itself costs it two held calls, and
+Scenario: each instance that follows the store itself costs it two held calls, and
 one call for each change, so the calls grow with the number of instances while the
 limits of the store do not. Therefore a few instances of each zone, the feeders, follow
 the store and feed the others.
@@ -41,7 +41,7 @@
 
 
 class Feed(Struct, frozen=True):
-    """Follow the store and feed other instances: this instance holds a claim."""
+    """Serve as a feeder, which follows the store: this instance holds a claim."""
 
 
 class WriteClaim(Struct, frozen=True):
@@ -101,12 +101,12 @@
     held = {claim.name: claim for claim in claims if claim.name in claim_names}
     if any(claim.holder == own for claim in held.values()):
         return Feed()
-    wanted = [name for name in claim_names[:min_feeders] if name not in held]
-    if wanted:
-        return WriteClaim(FeederClaim(_choose(wanted, random_share), own))
-    claimed = [claim for claim in held.values() if _is_lost(claim, lost)]
-    if claimed:
-        claim = _choose(claimed, random_share)
+    missing = [name for name in claim_names[:min_feeders] if name not in held]
+    if missing:
+        return WriteClaim(FeederClaim(_choose(missing, random_share), own))
+    reclaimable = [claim for claim in held.values() if _is_lost(claim, lost)]
+    if reclaimable:
+        claim = _choose(reclaimable, random_share)
         return WriteClaim(FeederClaim(claim.name, own, claim.revision))
     feeders = [c for c in held.values() if c.holder and c.holder not in full]
     if feeders:
--- a/endivepick/forwarder/forwarder.py
+++ b/endivepick/forwarder/forwarder.py
@@ -42,8 +42,8 @@
 takes about ten milliseconds, and a process may be paused for a tenth of a second when
 its CPU quota is used up."""
 PROBE_GAP_S = 0.5
-"""Minimum time between two probes of a target; each occupies a slot for a
-millisecond."""
+"""Minimum time between two probes of a target; each occupies one of the
+target's request slots for a millisecond."""
 LARGEST_OBJECT_MBIT = 8.0
 """Size of the store's largest object, a megabyte; as much data may precede the answer
 to a probe on this machine's link."""
@@ -65,7 +65,7 @@
         The platform's object API.
     log : BoundedLog
         Log of the decisions.
-    asked : mapping of socket, default=None
+    pending_sockets : mapping of socket, default=None
         Connections on which lists of the store were already requested, by kind.
     """
 
@@ -75,7 +75,7 @@
         codec: PacketCodec,
         dialect: StoreDialect,
         log: BoundedLog,
-        asked: Mapping[FeedKind, socket] | None = None,
+        pending_sockets: Mapping[FeedKind, socket] | None = None,
     ) -> None:
         self.settings = settings
         self.core = ForwardingCore(_make_core_settings(settings), random.random)
@@ -99,7 +99,7 @@
                 news.on_store_update,
                 self.decisions,
                 breaker,
-                (asked or {}).get(kind),
+                (pending_sockets or {}).get(kind),
             )
             for kind in FeedKind
         }
@@ -137,16 +137,16 @@
         return max(0.0, min(self.settings.stop_s, latest_s))
 
     @contextmanager
-    def serving(self, early: socket | None = None) -> Iterator[DatagramSocket]:
+    def serving(self, bound_socket: socket | None = None) -> Iterator[DatagramSocket]:
         """Bind all sockets and follow the store while the context is open.
 
         Parameters
         ----------
-        early : socket, default=None
+        bound_socket : socket, default=None
             Data socket that was bound before the program was loaded.
         """
         with ExitStack() as stack:
-            path = self._path.open(self.settings.data_address, early)
+            path = self._path.open(self.settings.data_address, bound_socket)
             datagrams = stack.enter_context(path)
             addresses = (
                 self.settings.ready_address,
@@ -174,7 +174,7 @@
     def _on_news_applied(self) -> None:
         self._path.perform_effects()
         if self._zone is not None:
-            self._zone.feeder.notify()
+            self._zone.feeder.wake_polls()
         if self.core.ready and not self._was_ready:
             self._was_ready = True
             self._on_first_ready()
@@ -222,7 +222,7 @@
             registry = self._feeds[FeedKind.REGISTRY]
             if registry.lost:
                 self.core.on_registry_unavailable(now_s)
-            self.core.tick(now_s, registry.heard_s)
+            self.core.tick(now_s, registry.last_answer_s)
             self._path.perform_effects()
             if self._zone is not None:
                 self._zone.report_observations()
@@ -237,8 +237,8 @@
 
 
 def _make_core_settings(settings: ForwarderSettings) -> ForwardingSettings:
-    patience_s = PROBE_TIMEOUTS_S[1] + LARGEST_OBJECT_MBIT / settings.link_mbps
-    timeouts_s = (PROBE_TIMEOUTS_S[0], patience_s)
+    last_timeout_s = PROBE_TIMEOUTS_S[1] + LARGEST_OBJECT_MBIT / settings.link_mbps
+    timeouts_s = (PROBE_TIMEOUTS_S[0], last_timeout_s)
     return ForwardingSettings(
         zone=settings.zone,
         zones=len(settings.zones),
--- a/endivepick/forwarder/freshness.py
+++ b/endivepick/forwarder/freshness.py
@@ -1,7 +1,7 @@
 """Derives the time limits of reads, watches and feeders from the settings.
 
 The settings say within which time a change must be in force; installations differ in
-it. The waits for the store, the gathering of changes and the reliance on a feeder take
+it. The waits for the store, the coalescing of changes and the reliance on a feeder take
 their limits from here, so that their sum stays within that time.
 """
 
@@ -19,10 +19,10 @@
 """Time that an instance needs to read a change from the store over a slow link that
 also carries packets."""
 GATHER_SHARE = 0.25
-"""Share of the time to be in force that may be spent on gathering changes."""
+"""Share of the time to be in force that is used as the coalescing delay of changes."""
 MAX_GATHER_S = 0.8
-"""Upper limit of the gathering; with longer ones, flows are placed on targets that have
-left."""
+"""Upper limit of the coalescing delay; with a longer one, flows are placed on targets
+that have left."""
 FEEDER_SILENT_SHARE = 0.6
 """Share of the time to be in force for which a feeder may be without the store; the
 rest covers the reading of a large configuration over a slow link."""
@@ -30,14 +30,15 @@
 """Upper limit of that time; the instances that follow a feeder that is cut off miss
 changes for as long."""
 HISTORY_LOSS_MARGIN_S = 1.5
-"""Margin between the watch of a feeder and the limit of its silence. A store that drops
-its history leaves its watches unanswered for a second after their wait; followers need
-not leave their feeders for this."""
+"""Preferred margin between the watch of a feeder and the limit of its silence. A store
+that drops its history leaves its watches unanswered for a second after their wait;
+followers need not leave their feeders for this."""
 MIN_FEEDING_WAIT_S = 1.0
-"""Minimum wait of a feeder's watch, unless it would leave less than
-`FEEDING_MARGIN_S`."""
+"""Wait of a feeder's watch if `HISTORY_LOSS_MARGIN_S` would leave less; it is reduced
+to keep `FEEDING_MARGIN_S`."""
 FEEDING_MARGIN_S = 0.6
-"""Minimum margin between the watch of a feeder and the limit of its silence."""
+"""Margin between the watch of a feeder and the limit of its silence if the wait is
+reduced. The minimum wait in `WATCH_BOUNDS_S` takes precedence and may leave less."""
 TIMER_MARGIN_S = 0.25
 """Allowance for late timers and for the duration of a call."""
 WATCH_BOUNDS_S = (0.5, 10.0)
@@ -56,7 +57,7 @@
         accepted and then lost is never answered, even when the store is back; changes
         are missed until the watch times out.
     gather_s : float
-        Pause after changes, so that a series of changes costs one call.
+        Coalescing delay after changes, so that a series of changes costs one call.
     feeder_silent_s : float
         Maximum time since the store last answered a feeder; beyond it, the instances
         that follow the feeder follow the store themselves.
--- a/endivepick/forwarder/logs.py
+++ b/endivepick/forwarder/logs.py
@@ -1,6 +1,7 @@
 """Log lines of a forwarder, limited in number and written without blocking.
 
-The lines have the format of the other daemons' logs, so that the timeline reads both.
+The lines have the format of the other daemons' logs, so that the timeline tool can
+parse both.
 They are encoded here and not by eliot: importing eliot would delay each start, and no
 packet is forwarded until the start is complete.
 """
@@ -90,7 +91,7 @@
         """Number of lines dropped because of the rate limit or a full buffer."""
 
     def event(self, part: str, name: str, message: str, **fields: Any) -> None:
-        """Log an event that changed a belief or concerns a flow."""
+        """Log a line at level info."""
         self._line("info", part, name, message, fields)
 
     def warning(self, part: str, name: str, message: str, **fields: Any) -> None:
--- a/endivepick/forwarder/metrics.py
+++ b/endivepick/forwarder/metrics.py
@@ -53,9 +53,9 @@
 
     Attributes
     ----------
-    forwarded : callable
+    record_forwarded : callable
         Records the service of a packet that was sent to a target.
-    batch : callable
+    record_batch : callable
         Records the duration of a batch of packets, in seconds.
 
     Examples
@@ -71,7 +71,7 @@
         self.counts: Counter[tuple[str, str]] = Counter()
         self._new_services: list[str] = []
         self._new_batches_s: list[float] = []
-        self.forwarded: Callable[[str], None] = self._new_services.append
+        self.record_forwarded: Callable[[str], None] = self._new_services.append
         self.batch: Callable[[float], None] = self._new_batches_s.append
         self._batches = [0] * (len(_BUCKETS_S) + 1)
         self._batches_s = 0.0
--- a/endivepick/forwarder/news_handler.py
+++ b/endivepick/forwarder/news_handler.py
@@ -60,7 +60,7 @@
                     i.name for i in items if isinstance(i, UnreadableItem) and i.name
                 ]
                 self._core.on_target_list(
-                    targets, news.revision, now_s, news.asked_s, unreadable
+                    targets, news.revision, now_s, news.requested_s, unreadable
                 )
             case _:
                 self._on_items(news, now_s)
@@ -90,7 +90,7 @@
             self._on_applied()
 
     def on_snapshot(self, snapshot: PeerSnapshot) -> None:
-        """Apply the parts of a peer's snapshot that are newer."""
+        """Apply the newer parts of a peer's snapshot; the registry also if as new."""
         now_s = steady_now_s()
         configuration, revision = snapshot.configuration, snapshot.registry_revision
         known = self._core.routes.configuration
@@ -152,7 +152,7 @@
         configuration = None if known is None else apply_change(known, change)
         if configuration is None:
             # The configuration is read from the store instead.
-            self._decisions.log_unfit_change(change, self._core.routes.revision)
+            self._decisions.log_inapplicable_delta(change, self._core.routes.revision)
         else:
             self._on_configuration(configuration, now_s, FEEDER)
 
--- a/endivepick/forwarder/packet_path.py
+++ b/endivepick/forwarder/packet_path.py
@@ -35,12 +35,12 @@
 
 _NOT_SENT = "not_sent"
 """Reason of a drop: the kernel did not accept the packet."""
-MAX_VERDICT_AGE_S = 0.05
-"""Maximum age of a verdict that is sent to peers, so that it is sent when it is new and
-not each time it is confirmed."""
+MAX_REPORTED_AGE_S = 0.05
+"""Maximum age of a reachability change that is reported to peers, so that it is
+reported when it is new and not each time it is confirmed."""
 HINT_VALID_S = 2.0
-"""Time for which a verdict is attributed to a peer's hint; the probe that follows a
-hint ends within some tenths of a second."""
+"""Time for which a reachability change is attributed to a peer's hint; the probe that
+follows a hint ends within some tenths of a second."""
 
 
 class PathRequests(Struct, frozen=True):
@@ -51,8 +51,8 @@
     read_registry : callable
         Reads the registry now, without blocking.
     hint_peers : callable
-        Notifies peers that a target does not answer, and whether this instance detected
-        it.
+        Notifies peers that a target does not answer. Called with the target's name and
+        whether this instance detected the failure itself.
     """
 
     read_registry: Callable[[], None]
@@ -89,21 +89,21 @@
         self._dialect = dialect
         self._decisions = decisions
         self._metrics = decisions.metrics
-        self._forwarded = decisions.metrics.forwarded
+        self._record_forwarded = decisions.metrics.record_forwarded
         self._requests = requests
         self._datagrams: DatagramSocket | None = None
 
     @contextmanager
     def open(
-        self, address: str, early: socket | None = None
+        self, address: str, bound_socket: socket | None = None
     ) -> Iterator[DatagramSocket]:
         """Receive packets while the context is open.
 
         Parameters
         ----------
         address : str
-            Address to bind; callers listen at the same port.
-        early : socket, default=None
+            Address to bind; resets are sent to callers at the same UDP port.
+        bound_socket : socket, default=None
             Socket that was bound before the program was loaded.
         """
         with datagram_socket(
@@ -112,7 +112,7 @@
             self._decisions.log_packet_error,
             self._metrics.batch,
             steady_now_s,
-            early,
+            bound_socket,
         ) as datagrams:
             self._datagrams = datagrams
             yield datagrams
@@ -171,7 +171,7 @@
         target = belief.target
         datagram = self._codec.to_target(data, target, belief.cookie)
         if self._datagrams.send(datagram, target.host, target.port):
-            self._forwarded(target.service)
+            self._record_forwarded(target.service)
         else:
             self._metrics.count("packets_dropped", _NOT_SENT)
 
@@ -203,8 +203,9 @@
     def _hint_if_new(self, target: str) -> None:
         """Notify peers of a target that has just been found dead.
 
-        A draining target is announced by the registry; hints from every instance at the
-        end of each would add up to some thousand a second while targets are replaced.
+        Draining targets are skipped: the registry already announces them, and every
+        instance would send a hint at the end of each, some thousand a second in total
+        while targets are replaced.
         Silence is not reported: this instance's own link may be saturated, and the
         probes of all notified peers would saturate theirs.
         """
@@ -212,6 +213,6 @@
         if belief is None or not belief.takes_flows:
             return
         now_s = steady_now_s()
-        if belief.reachability_since_s >= now_s - MAX_VERDICT_AGE_S:
-            found_here = belief.hinted_s < now_s - HINT_VALID_S
-            self._requests.hint_peers(target, found_here)
+        if belief.reachability_since_s >= now_s - MAX_REPORTED_AGE_S:
+            detected_locally = belief.hinted_s < now_s - HINT_VALID_S
+            self._requests.hint_peers(target, detected_locally)
--- a/endivepick/forwarder/pages.py
+++ b/endivepick/forwarder/pages.py
@@ -112,7 +112,7 @@
             "fed": int(zone is not None and zone.fed),
             "config_age_seconds": now_s - self._core.routes.since_s,
             **{
-                f"{kind.value}_heard_seconds": now_s - feed.heard_s
+                f"{kind.value}_heard_seconds": now_s - feed.last_answer_s
                 for kind, feed in self._feeds.items()
             },
         }
--- a/endivepick/forwarder/peer_directory.py
+++ b/endivepick/forwarder/peer_directory.py
@@ -68,7 +68,7 @@
 class Neighbours:
     """Instances of the same zone that this one follows or that follow it.
 
-    Load pattern: a zone is cut off from the other zones and the store, and one of its
+    Scenario: a zone is cut off from the other zones and the store, and one of its
     instances is restarted. It knows no peers but its seeds, which may all be in other
     zones, while its neighbours have the knowledge that it needs and have not yet
     detected the loss of the store. Therefore an instance that misses a neighbour sends
--- a/endivepick/forwarder/peers.py
+++ b/endivepick/forwarder/peers.py
@@ -1,6 +1,6 @@
 """Exchanges knowledge between forwarders while the store is unreachable.
 
-Load pattern: instances are restarted while the store refuses their calls. The fabric
+Scenario: instances are restarted while the store refuses their calls. The fabric
 sends flows to all instances of a zone once fewer than half of them are ready, so
 instances without routes and targets would drop most packets of their zone; an instance
 that was cut off for long would use old routes and targets. The knowledge of any peer is
@@ -23,7 +23,7 @@
 from endivepick.forwarder.logs import BoundedLog
 from endivepick.forwarder.peer_directory import MAX_PEERS, Neighbours, PeerDirectory
 from endivepick.forwarder.settings import ForwarderSettings
-from endivepick.forwarder.store_feed import StoreFeed, heard_before_s
+from endivepick.forwarder.store_feed import StoreFeed, get_time_since_answer_s
 from endivepick.forwarding import Configuration, ForwardingCore, Target, TargetState
 from endivepick.store import store_connection
 
@@ -49,7 +49,7 @@
 _FROM = "from"
 _CONFIG = "config"
 _REGISTRY = "registry"
-"""Query fields: the address of the caller, and the revisions that it knows."""
+"""Query fields: the address of the querying peer, and the revisions that it knows."""
 MAX_SHARED_PEERS = 8
 """Maximum number of peers in an answer, the most recently active first."""
 MAX_QUERIED_PEERS = 8
@@ -83,9 +83,10 @@
     name : str
         Name of the instance that answers.
     configuration : Configuration or None
-        Configuration in force there; None if the caller has it.
+        Configuration in force there; None if the querying peer has it.
     targets : list of Target or None
-        Valid registry entries there; None if the caller's revision is as new.
+        Valid registry entries there; None if the querying peer's revision is as
+        new.
     registry_revision : int
         Revision of the store up to which the entries are known.
     heard_before_s : float
@@ -115,7 +116,7 @@
 def should_query_peers(ready: bool, store_lost: bool, arriving: bool) -> bool:
     """Return whether to query peers for their knowledge.
 
-    Load pattern: hundreds of instances start at once, and the lists of thousands of
+    Scenario: hundreds of instances start at once, and the lists of thousands of
     targets take longer to arrive than an instance waits before it queries peers. A
     peer's snapshot is as large as these lists, and the queries of all instances would
     saturate the links of the same few peers.
@@ -188,7 +189,7 @@
             self._peer_heard.wait(PEER_QUERY_PERIOD_S)
             until_hello_s -= PEER_QUERY_PERIOD_S
 
-    def hint(self, target: str, found_here: bool) -> None:
+    def hint(self, target: str, detected_locally: bool) -> None:
         """Notify peers that a target does not answer, so that each verifies it.
 
         Each instance handles few of a target's flows; without a hint, each would lose a
@@ -200,13 +201,13 @@
         ----------
         target : str
             Name of the target.
-        found_here : bool
+        detected_locally : bool
             Whether this instance detected it, rather than a peer.
         """
         if not self._mechanisms.hints:
             return
         peers = self.directory.list_recent(MAX_PEERS)
-        if not found_here:
+        if not detected_locally:
             peers = random.sample(peers, min(HINT_FAN_OUT, len(peers)))
         for address in peers:
             if self._pending_hints.free_count() > 0:
@@ -236,7 +237,7 @@
         return any(feed.lost for feed in self._feeds)
 
     def _make_snapshot(self, config: int, registry: int) -> PeerSnapshot | None:
-        """Return what is newer than the caller's revisions, None if not ready."""
+        """Return news since the querying peer's revisions; None if not ready."""
         configuration = self._core.routes.configuration
         if configuration is None or not self._core.ready:
             return None
@@ -246,7 +247,7 @@
             configuration if newer else None,
             self._list_targets() if self._core.registry.revision > registry else None,
             self._core.registry.revision,
-            heard_before_s(self._feeds),
+            get_time_since_answer_s(self._feeds),
             self._store_lost,
             self.directory.list_recent(MAX_SHARED_PEERS),
             [b.name for b in self._core.registry if b.state is TargetState.UNREADABLE],
@@ -317,7 +318,7 @@
             self._log.warning(
                 "peer",
                 "peers_silent",
-                "no peer answered",
+                "no peer returned a usable snapshot",
                 peers=len(queried),
                 ready=self._core.ready,
             )
@@ -360,7 +361,11 @@
 
     def _log_failure(self, address: str, error: str) -> None:
         self._log.event(
-            "peer", "peer_failed", "call of a peer failed", peer=address, error=error
+            "peer",
+            "peer_failed",
+            "request to a peer failed or its answer is invalid",
+            peer=address,
+            error=error,
         )
 
 
--- a/endivepick/forwarder/ports.py
+++ b/endivepick/forwarder/ports.py
@@ -156,7 +156,7 @@
         ...
 
     def write_claim(self, claim: FeederClaim) -> StoreCall:
-        """Return the call that creates a claim or replaces its given revision."""
+        """Encode the call that creates a claim or replaces its given revision."""
         ...
 
     @property
@@ -177,9 +177,9 @@
         ...
 
     def to_target(self, data: bytes, target: Target, cookie: int) -> bytes:
-        """Return the datagram that carries a caller's packet to a target."""
+        """Encode the datagram that carries a caller's packet to a target."""
         ...
 
     def reset(self, flow: FlowKey, sequence: int) -> bytes:
-        """Return the packet that resets a flow at its caller."""
+        """Encode the packet that resets a flow at its caller."""
         ...
--- a/endivepick/forwarder/probes.py
+++ b/endivepick/forwarder/probes.py
@@ -25,7 +25,7 @@
 """Timeout of the answer to a health check. A target that accepted the connection is
 alive; the answer only identifies it, and waits for a free slot."""
 _MIN_ANSWER_WAIT_S = 0.02
-"""Minimum wait for a target's answer after that of the compared target; answers that
+"""Minimum wait for a target's answer after that of the reference target; answers that
 arrived together are read within it, also after a pause of this process."""
 _READ_BYTES = 4096
 MAX_BODY_BYTES = 65536
@@ -79,7 +79,8 @@
     dialect : StoreDialect
         Decodes the identity of the target that answered.
     settings : ForwardingSettings
-        Timeout of each attempt, and of the last one if another target answers.
+        Timeout of each attempt, and time after which the last one depends on the
+        reference target.
     deliver : callable
         Called once with the result.
     """
@@ -112,24 +113,30 @@
             return reached
     if probe.control is None:
         return _connect(probe.target, last_s)
-    return _connect_compared(probe.target, probe.control, settings)
+    return _connect_with_reference(probe.target, probe.control, settings)
 
 
-def _connect_compared(
-    target: Target, control: Target, settings: ForwardingSettings
+def _connect_with_reference(
+    target: Target, reference: Target, settings: ForwardingSettings
 ) -> _ConnectResult:
-    """Connect to a target, and to another one to check that answers arrive here."""
+    """Connect to a target and to a reference target in parallel.
+
+    Once the reference answers, the target gets as long again. This tells a dead target
+    from a congested local link.
+    """
     last_s = settings.probe_timeouts_s[-1]
     attempt = gevent.spawn(_connect, target, last_s)
-    compared = gevent.spawn(_measure_answer_s, control, last_s)
+    reference_attempt = gevent.spawn(_measure_answer_s, reference, last_s)
     try:
         attempt.join(settings.probe_compared_s)
-        gevent.wait((attempt, compared), count=1)
-        other_s = compared.value if compared.ready() else None
-        attempt.join(None if other_s is None else max(other_s, _MIN_ANSWER_WAIT_S))
+        gevent.wait((attempt, reference_attempt), count=1)
+        reference_s = reference_attempt.value if reference_attempt.ready() else None
+        attempt.join(
+            None if reference_s is None else max(reference_s, _MIN_ANSWER_WAIT_S)
+        )
         return attempt.value if attempt.ready() else ProbeOutcome.SILENT
     finally:
-        gevent.killall([attempt, compared], block=False)
+        gevent.killall([attempt, reference_attempt], block=False)
 
 
 def _measure_answer_s(target: Target, timeout_s: float) -> float | None:
--- a/endivepick/forwarder/run.py
+++ b/endivepick/forwarder/run.py
@@ -11,7 +11,7 @@
 from endivepick.forwarder.logs import open_log
 from endivepick.forwarder.ports import FeedKind, PacketCodec, StoreDialect
 from endivepick.forwarder.settings import load_forwarder_settings
-from endivepick.forwarder.settings_reload import SettingsLoader, SettingsReload
+from endivepick.forwarder.settings_reload import SettingsFileMonitor, SettingsLoader
 from endivepick.forwarder.tasks import spawn_supervised
 
 __all__ = ["run"]
@@ -21,8 +21,8 @@
     path: str,
     codec: PacketCodec,
     dialect: StoreDialect,
-    early: socket | None = None,
-    asked: Mapping[FeedKind, socket] | None = None,
+    bound_socket: socket | None = None,
+    pending_sockets: Mapping[FeedKind, socket] | None = None,
     load: SettingsLoader = load_forwarder_settings,
 ) -> int:
     """Run a forwarder until SIGTERM.
@@ -35,9 +35,9 @@
         Codec of the fabric's packets.
     dialect : StoreDialect
         The platform's object API.
-    early : socket, default=None
+    bound_socket : socket, default=None
         Data socket that was bound before the program was loaded.
-    asked : mapping of socket, default=None
+    pending_sockets : mapping of socket, default=None
         Connections on which lists of the store were already requested, by kind.
     load : callable
         Reads a settings file.
@@ -49,16 +49,16 @@
     """
     settings = load(path)
     log = open_log(settings.name)
-    forwarder = Forwarder(settings, codec, dialect, log, asked)
+    forwarder = Forwarder(settings, codec, dialect, log, pending_sockets)
     decisions = forwarder.decisions
     stop_wanted = Event()
     gevent.signal_handler(signal.SIGTERM, stop_wanted.set)
     gevent.signal_handler(signal.SIGINT, stop_wanted.set)
-    with forwarder.serving(early) as datagrams:
+    with forwarder.serving(bound_socket) as datagrams:
         decisions.log_start(datagrams.address)
-        reload = SettingsReload(path, load, settings, log)
-        gevent.signal_handler(signal.SIGHUP, reload.read, "signal")
-        watching = spawn_supervised("settings", reload.watch_file, decisions)
+        monitor = SettingsFileMonitor(path, load, settings, log)
+        gevent.signal_handler(signal.SIGHUP, monitor.read, "signal")
+        watching = spawn_supervised("settings", monitor.watch_file, decisions)
         stop_wanted.wait()
         forwarder.stop()
         gevent.sleep(forwarder.forwards_for_s)
--- a/endivepick/forwarder/settings.py
+++ b/endivepick/forwarder/settings.py
@@ -67,7 +67,8 @@
     zone_feeders : int
         Minimum number of instances of a zone that follow the store and feed the others;
         with 0, all instances follow it. When the only feeder is lost, the instances
-        that it fed follow the store for some seconds, which costs calls but no time.
+        that it fed follow the store for some seconds, which costs extra store
+        calls but delays no change.
     fed_most : int
         Maximum number of instances that one feeder feeds; a larger zone has more
         feeders.
--- a/endivepick/forwarder/settings_reload.py
+++ b/endivepick/forwarder/settings_reload.py
@@ -1,4 +1,4 @@
-"""Reloads the settings of a running forwarder."""
+"""Validates a changed settings file of a running forwarder."""
 
 import os
 from collections.abc import Callable
@@ -9,7 +9,7 @@
 from endivepick.forwarder.logs import BoundedLog
 from endivepick.forwarder.settings import ForwarderSettings
 
-__all__ = ["CHECK_PERIOD_S", "SettingsLoader", "SettingsReload"]
+__all__ = ["CHECK_PERIOD_S", "SettingsLoader", "SettingsFileMonitor"]
 
 CHECK_PERIOD_S = 2.0
 """Period at which the file is checked; it may change without a signal."""
@@ -17,12 +17,12 @@
 SettingsLoader = Callable[[str], ForwarderSettings]
 
 
-class SettingsReload:
-    """Reads the settings file again and logs the differences.
+class SettingsFileMonitor:
+    """Validates a changed settings file and logs the differences.
 
-    Addresses, zone and name are fixed for the lifetime of a process, which holds its
-    sockets and the flows of its callers. A change of them takes effect at the next
-    start and is logged.
+    All changes take effect at the next start. In particular, addresses, zone and name
+    are fixed for the lifetime of a process, which holds its sockets and the flows of
+    its callers.
 
     Parameters
     ----------
@@ -31,7 +31,7 @@
     load : callable
         Reads and validates the file.
     settings : ForwarderSettings
-        Settings in force.
+        Settings in force, which stay unchanged.
     log : BoundedLog
         Log of the outcome.
     """
@@ -50,7 +50,7 @@
         self._stamp = _stamp(path)
 
     def watch_file(self) -> None:
-        """Read the file each time that it has changed."""
+        """Check the file periodically and read it when it has changed."""
         while True:
             gevent.sleep(CHECK_PERIOD_S)
             stamp = _stamp(self._path)
@@ -59,7 +59,7 @@
                 self.read("file changed")
 
     def read(self, cause: str) -> None:
-        """Read the file now; invalid settings change nothing."""
+        """Validate the file now and log which settings differ from those in force."""
         self._stamp = _stamp(self._path)
         try:
             settings = self._load(self._path)
@@ -67,7 +67,7 @@
             self._log.warning(
                 "settings",
                 "settings_refused",
-                "new settings are invalid; the old ones stay in force",
+                "changed settings are invalid; the current ones stay in force",
                 error=str(error),
             )
             self._log.flush()
@@ -80,7 +80,7 @@
         self._log.event(
             "settings",
             "settings_read",
-            "settings read",
+            "settings validated; differences take effect at the next start",
             cause=cause,
             takes_effect_at_next_start=differing,
         )
--- a/endivepick/forwarder/store_feed.py
+++ b/endivepick/forwarder/store_feed.py
@@ -23,7 +23,7 @@
 from endivepick.forwarder.tasks import spawn_supervised
 from endivepick.store import StoreConnection, store_connection
 
-__all__ = ["FeedChanges", "FeedList", "StoreFeed", "heard_before_s"]
+__all__ = ["FeedChanges", "FeedList", "StoreFeed", "get_time_since_answer_s"]
 
 _FIRST_WATCH_WAIT_S = 0.2
 """Wait of the first watch after a loss; its answer shows that the store is back."""
@@ -40,14 +40,14 @@
         The objects.
     revision : int
         Revision of the store.
-    asked_s : float
+    requested_s : float
         Time of the request, in seconds; the list shows no older state.
     """
 
     kind: FeedKind
     items: tuple[Item, ...]
     revision: int
-    asked_s: float
+    requested_s: float
 
 
 class FeedChanges(Struct, frozen=True):
@@ -85,7 +85,7 @@
         Log and metrics of the calls.
     breaker : CircuitBreaker
         Shared with the other feeds of this instance.
-    asked : socket, default=None
+    pending_socket : socket, default=None
         Connection on which the first list was already requested.
     """
 
@@ -97,9 +97,9 @@
         deliver: Callable[[FeedList | FeedChanges], None],
         decisions: DecisionLog,
         breaker: CircuitBreaker,
-        asked: PlainSocket | None = None,
+        pending_socket: PlainSocket | None = None,
     ) -> None:
-        self._early_connection = asked
+        self._pending_socket = pending_socket
         self._settings = settings
         self._kind = kind
         self._dialect = dialect
@@ -112,7 +112,7 @@
         self._suspended = False
         self._task: gevent.Greenlet | None = None
         self._connection: StoreConnection | None = None
-        self.heard_s = steady_now_s()
+        self.last_answer_s = steady_now_s()
         """Time of the store's last answer, here or to the feeder, in seconds."""
         self._freshness = compute_freshness(settings)
         self._watch_wait_s = self._freshness.watch_wait_s
@@ -124,12 +124,12 @@
         return self._lost_since_s is not None
 
     def is_receiving_list(self, within_s: float) -> bool:
-        """Whether a list is being read, of which data arrived within a given time.
+        """Whether a list is being read and its data arrived recently.
 
         Parameters
         ----------
         within_s : float
-            The time, in seconds.
+            Maximum time since data last arrived, in seconds.
         """
         if self._connection is None or not self._list_wanted:
             return False
@@ -198,10 +198,12 @@
             self._settings.retry_base_s, self._settings.retry_cap_s
         )
         backoff = Backoff(bounds)
-        early, self._early_connection = self._early_connection, None
+        pending_socket, self._pending_socket = self._pending_socket, None
         with (
-            store_connection(self._settings.store_address, early) as connection,
-            self._breaker.caller() as caller,
+            store_connection(
+                self._settings.store_address, pending_socket
+            ) as connection,
+            self._breaker.register() as feed,
         ):
             self._connection = connection
             while True:
@@ -212,7 +214,8 @@
                     self._log.warning(
                         "store",
                         "history_lost",
-                        "history is no longer available; listing again",
+                        "store discarded the changes since this revision; "
+                        "reading the full list",
                         kind=self._kind.value,
                         revision=self._revision,
                     )
@@ -221,7 +224,7 @@
                     backoff = backoff.failed(random.random(), _get_retry_after(error))
                     self._on_failure(error, backoff.wait_s)
                     connection.close()
-                    if self._breaker.record_failure(caller):
+                    if self._breaker.record_failure(feed):
                         gevent.sleep(backoff.wait_s)
                     else:
                         self._breaker.wait()
@@ -243,7 +246,7 @@
     def _list(self, connection: StoreConnection) -> None:
         items: list[Item] = []
         after, revision = "", None
-        asked_s = steady_now_s()
+        requested_s = steady_now_s()
         while True:
             path = self._dialect.list_path(self._kind, after)
             body = connection.get(path, self._settings.call_timeout_s)
@@ -254,14 +257,15 @@
             revision = page.revision if revision is None else revision
             if after and page.next_after == after:
                 raise PlatformAnswerError(
-                    "A page names its own start as the start of the next one."
+                    f"List pagination does not advance: the page after {after!r} names "
+                    "the same start again."
                 )
             after = page.next_after
             if not after:
                 break
         self._revision = revision
         self._list_wanted = False
-        self._deliver(FeedList(self._kind, tuple(items), revision, asked_s))
+        self._deliver(FeedList(self._kind, tuple(items), revision, requested_s))
 
     def _watch(self, connection: StoreConnection) -> bool:
         wait_s = _FIRST_WATCH_WAIT_S if self.lost else self._watch_wait_s
@@ -286,7 +290,7 @@
             "store does not answer",
             kind=self._kind.value,
             revision=self._revision,
-            heard_before_s=truncate_number(self._lost_since_s - self.heard_s),
+            heard_before_s=truncate_number(self._lost_since_s - self.last_answer_s),
             retry_in_s=truncate_number(wait_s),
             error=str(error),
         )
@@ -294,10 +298,10 @@
     def _on_success(self) -> None:
         self._count("answered")
         self._breaker.record_success()
-        self.heard_s = steady_now_s()
+        self.last_answer_s = steady_now_s()
         if self._lost_since_s is None:
             return
-        lost_s = self.heard_s - self._lost_since_s
+        lost_s = self.last_answer_s - self._lost_since_s
         self._lost_since_s = None
         self._log.event(
             "store",
@@ -312,9 +316,9 @@
         self._decisions.metrics.count("store_calls", f"{self._kind.value} {answer}")
 
 
-def heard_before_s(feeds: Iterable[StoreFeed]) -> float:
+def get_time_since_answer_s(feeds: Iterable[StoreFeed]) -> float:
     """Return the time since the store last answered any of some feeds, in seconds."""
-    return steady_now_s() - max(feed.heard_s for feed in feeds)
+    return steady_now_s() - max(feed.last_answer_s for feed in feeds)
 
 
 def _get_retry_after(error: PlatformUnavailableError | PlatformAnswerError) -> float:
--- a/endivepick/forwarder/tasks.py
+++ b/endivepick/forwarder/tasks.py
@@ -26,7 +26,7 @@
     name : str
         Name of the task, for the log.
     work : callable
-        Runs until the task is killed.
+        Task body; the task ends when it returns and is restarted when it raises.
     decisions : DecisionLog
         Log of the failures.
     """
--- a/endivepick/forwarder/tests/test_breaker.py
+++ b/endivepick/forwarder/tests/test_breaker.py
@@ -25,9 +25,9 @@
         self.assertFalse(breaker.record_failure("b"))
         waiting = gevent.spawn(breaker.wait)
         gevent.sleep(0)
-        breaker.remove_caller("b")
+        breaker.unregister("b")
         self.assertFalse(waiting.ready())
-        breaker.remove_caller("a")
+        breaker.unregister("a")
         waiting.get(timeout=TIMEOUT_S)
         self.assertTrue(breaker.record_failure("b"))
 
--- a/endivepick/forwarder/tests/test_feeding.py
+++ b/endivepick/forwarder/tests/test_feeding.py
@@ -125,7 +125,7 @@
         gevent.sleep(0)
         self.assertFalse(asked.ready())
         self.core.on_target_removed("i-1", 30, 1.0)
-        self.member.feeder.notify()
+        self.member.feeder.wake_polls()
         news = asked.get(timeout=TIMEOUT_S)
         self.assertEqual([r.name for r in news.registry.removed], ["i-1"])
 
--- a/endivepick/forwarder/tests/test_metrics.py
+++ b/endivepick/forwarder/tests/test_metrics.py
@@ -23,10 +23,10 @@
     def test_packets_are_counted_once_across_folds(self):
         metrics = ForwarderMetrics()
         for _ in range(3):
-            metrics.forwarded("notes")
+            metrics.record_forwarded("notes")
             metrics.batch(0.002)
             metrics.fold()
-        metrics.forwarded("mail")
+        metrics.record_forwarded("mail")
         page = render_page(metrics.snapshot(), {}).decode()
         name = "endivepick_forwarder_packets_forwarded_total"
         self.assertIn(f'{name}{{kind="notes"}} 3\n', page)
--- a/endivepick/forwarder/tests/test_peers.py
+++ b/endivepick/forwarder/tests/test_peers.py
@@ -41,17 +41,17 @@
     lost = True
 
     def __init__(self):
-        self.heard_s = steady_now_s()
+        self.last_answer_s = steady_now_s()
 
 
 class TestHints(unittest.TestCase):
-    def hinted_peers(self, found_here, peers):
+    def hinted_peers(self, detected_locally, peers):
         feed = make_feed(make_core())
         for number in range(peers):
             feed.directory.mark_alive(f"10.0.0.{number + 2}:1")
         told = []
         with patch.object(feed, "_call", lambda address, path: told.append(address)):
-            feed.hint("i-1", found_here)
+            feed.hint("i-1", detected_locally)
             feed._pending_hints.join(timeout=TIMEOUT_S)
         return told
 
--- a/endivepick/forwarder/tests/test_zone.py
+++ b/endivepick/forwarder/tests/test_zone.py
@@ -76,7 +76,7 @@
     def test_registry_age_is_that_of_the_feeder(self):
         self.follow(self.news(), self.news(heard_before_s=0.2, registry_s=3.0))
         now_s = steady_now_s()
-        ages_s = {kind: now_s - feed.heard_s for kind, feed in self.feeds.items()}
+        ages_s = {kind: now_s - feed.last_answer_s for kind, feed in self.feeds.items()}
         self.assertGreaterEqual(ages_s[FeedKind.REGISTRY], 3.0)
         self.assertLess(ages_s[FeedKind.CONFIGURATION], 3.0)
 
--- a/endivepick/forwarder/tests/zone_case.py
+++ b/endivepick/forwarder/tests/zone_case.py
@@ -28,7 +28,7 @@
 
     lost = False
     settled = True
-    heard_s = 0.0
+    last_answer_s = 0.0
     wait_s = None
 
     def __init__(self):
@@ -70,4 +70,4 @@
         """Make the member a feeder whose store has just answered."""
         self.member.feeder.start_feeding()
         for feed in self.feeds.values():
-            feed.heard_s = steady_now_s()
+            feed.last_answer_s = steady_now_s()
--- a/endivepick/forwarder/zone_feeder.py
+++ b/endivepick/forwarder/zone_feeder.py
@@ -13,7 +13,7 @@
 from endivepick.forwarder.peer_directory import Neighbours
 from endivepick.forwarder.ports import FeedKind
 from endivepick.forwarder.settings import ForwarderSettings
-from endivepick.forwarder.store_feed import StoreFeed, heard_before_s
+from endivepick.forwarder.store_feed import StoreFeed, get_time_since_answer_s
 from endivepick.forwarder.zone_messages import (
     FeederAhead,
     FeederFull,
@@ -32,8 +32,8 @@
 __all__ = ["ZoneFeeder"]
 
 REQUEST_IDLE_S = 10.0
-"""Time without polls after which a feeder returns to long watches: the only instance of
-a zone is its feeder, and short watches would cost calls of the store without
+"""Time without polls after which a feeder returns to long watches: without
+followers, as in a zone of one instance, short watches cost store calls without
 benefit."""
 BASELINE_PERIOD_S = 0.5
 """Period at which the request baselines of the zone are merged, which takes some
@@ -44,7 +44,7 @@
 """Maximum time for which the full registry, sent to all fed instances, may occupy the
 feeder's link; packets queue behind it."""
 _MBIT_BYTES = 125_000
-_NOT_FEEDING = Response(404)
+_NOT_FOUND = Response(404)
 
 
 class ZoneFeeder:
@@ -108,16 +108,16 @@
             self._log.event("zone", "feeding_ended", "another instance feeds the zone")
         self.feeding = False
         self._set_watch_wait()
-        self.notify()
+        self.wake_polls()
 
     def stop(self) -> None:
         """Stop feeding for good, so that the fed instances look for another feeder."""
         self._stopping = True
         self.feeding = False
-        self.notify()
+        self.wake_polls()
 
-    def notify(self) -> None:
-        """Answer the pending polls."""
+    def wake_polls(self) -> None:
+        """Wake the pending polls; each answers if there is news for it."""
         waiting, self._news_event = self._news_event, Event()
         waiting.set()
 
@@ -125,7 +125,7 @@
         """Answer the poll of a fed instance, at once if there is news for it."""
         poll = ZoneQuestion.read(query)
         if poll is None:
-            return _NOT_FEEDING
+            return _NOT_FOUND
         self._last_request_s = steady_now_s()
         if self.feeding and not self._fed_instances.admit(
             poll.asker, self._last_request_s
@@ -139,7 +139,7 @@
             while self._should_wait(poll, alert_number):
                 self._news_event.wait()
         if not self.feeding or not self._core.ready:
-            return _NOT_FEEDING
+            return _NOT_FOUND
         if self._exceeds_link(poll):
             return json_response(FeederAhead(self._name))
         return json_response(self._make_news(poll))
@@ -156,13 +156,13 @@
         """Receive an instance's report about targets between its polls."""
         poll = ZoneQuestion.read(query)
         if poll is None or not self.feeding:
-            return _NOT_FEEDING
+            return _NOT_FOUND
         self._reports[poll.asker] = (steady_now_s(), poll.seen)
         self.notify_new_outliers()
         return Response(200)
 
     def notify_new_outliers(self) -> None:
-        """Answer the pending polls when a further target fails or is silent."""
+        """Wake the pending polls when a further target fails or is silent."""
         if not self.feeding:
             return
         merged = self._merge_zone_reports()
@@ -170,7 +170,7 @@
         outliers |= {target.name for target in merged.silent}
         if not outliers <= self._known_outliers:
             self._alert_number += 1
-            self.notify()
+            self.wake_polls()
         self._known_outliers = outliers
 
     def _exceeds_link(self, poll: ZoneQuestion) -> bool:
@@ -206,8 +206,8 @@
             self._core.routes.revision,
             self._change_since(poll.config_revision),
             self._core.registry.news_since(poll.registry_revision),
-            heard_before_s(self._feeds.values()),
-            heard_before_s([self._feeds[FeedKind.REGISTRY]]),
+            get_time_since_answer_s(self._feeds.values()),
+            get_time_since_answer_s([self._feeds[FeedKind.REGISTRY]]),
             self._merge_zone_reports(),
         )
 
--- a/endivepick/forwarder/zone_member.py
+++ b/endivepick/forwarder/zone_member.py
@@ -155,12 +155,12 @@
         self._report_sent_s = float("-inf")
         self._stopping = False
         self.feeder = ZoneFeeder(settings, core, feeds, neighbours, log)
-        """Serves the instances that follow this one."""
+        """Serves the followers of this instance."""
         self.fed = False
         """Whether this instance follows a feeder instead of the store."""
 
     def stop(self) -> None:
-        """Make the instances that follow this one look for another feeder."""
+        """Make the followers of this instance look for another feeder."""
         self._stopping = True
         self.feeder.stop()
 
@@ -183,10 +183,10 @@
             claims = None
 
     def _read_initial_claims(self) -> tuple[FeederClaim, ...] | None:
-        """Read the claims; None if they must be read again after a delay.
+        """Read the claims; None, after a random delay, if they must be read again.
 
-        A free claim is likely to be written meanwhile by another instance that starts
-        at the same time.
+        This is so if a claim was free: another instance that starts at the same time is
+        likely to have written it during the delay.
         """
         try:
             with store_connection(self._settings.store_address) as store:
@@ -202,7 +202,10 @@
 
     def _log_unknown_claims(self, error: EndivepickError) -> None:
         self._log.warning(
-            "zone", "claims_unknown", "failed to read the claims", error=str(error)
+            "zone",
+            "claims_unknown",
+            "failed to read or write the feeder claims",
+            error=str(error),
         )
 
     @property
@@ -336,7 +339,7 @@
             raise _FeederUnreliable(
                 "store became unreachable from this instance", lost=False
             )
-        self._log.event("zone", "feeder_followed", "fed by a peer", feeder=feeder)
+        self._log.event("zone", "feeder_followed", "following a feeder", feeder=feeder)
         self.fed = True
         self._feeder_address = feeder
         for feed in self._feeds.values():
@@ -417,7 +420,7 @@
             )
 
     def _poll_until_fresh(self, feeder: str, connection: StoreConnection) -> ZoneNews:
-        """Poll a feeder until it may have heard from the store since the first poll.
+        """Poll until the news is fresh or a short watch must have been answered.
 
         If nobody has polled the feeder before, its watch of the store is a long one, so
         its first answers may be stale. If it were considered lost for that, its claim
@@ -457,7 +460,8 @@
             reason = f"store silent there for {news.heard_before_s:.1f} s"
             raise _FeederUnreliable(reason, lost=False)
         self._update_heard(FeedKind.CONFIGURATION, news.heard_before_s)
-        # Lapsed entries are removed only on information from the registry itself.
+        # Tracked per kind: lapsed entries are removed only after an answer about the
+        # registry itself.
         self._update_heard(FeedKind.REGISTRY, news.registry_before_s)
         if news.config_revision > self._core.routes.revision:
             self._requested_config_revision = news.config_revision
@@ -465,7 +469,7 @@
 
     def _update_heard(self, kind: FeedKind, before_s: float) -> None:
         feed = self._feeds[kind]
-        feed.heard_s = max(feed.heard_s, steady_now_s() - before_s)
+        feed.last_answer_s = max(feed.last_answer_s, steady_now_s() - before_s)
 
 
 def _drop_expired(noted_s: Mapping[str, float]) -> dict[str, float]:
--- a/endivepick/forwarder/zone_messages.py
+++ b/endivepick/forwarder/zone_messages.py
@@ -23,23 +23,24 @@
 
 
 class ZoneQuestion(Struct, frozen=True):
-    """Poll for news since the revisions that an instance knows, with its report.
+    """Poll of an instance for news since the revisions that it knows, with its report.
 
     Attributes
     ----------
     asker : str
-        Address at which peers reach the instance.
+        Address at which peers reach the polling instance.
     config_revision, registry_revision : int
-        Revisions of the store up to which it knows the configuration and the registry.
+        Revisions of the store up to which the polling instance knows the
+        configuration and the registry.
     seen : FitnessReport
-        Outcomes of requests at the instance.
+        Report of the outcomes of requests at the polling instance.
 
     Examples
     --------
-    >>> question = ZoneQuestion("10.0.0.1:7000", 7, 9)
-    >>> question.query
+    >>> poll = ZoneQuestion("10.0.0.1:7000", 7, 9)
+    >>> poll.query
     'from=10.0.0.1:7000&config=7&registry=9'
-    >>> ZoneQuestion.read(question.query) == question
+    >>> ZoneQuestion.read(poll.query) == poll
     True
     """
 
@@ -52,10 +53,10 @@
     def query(self) -> str:
         """The poll as the query string of a path."""
         revisions = f"config={self.config_revision}&registry={self.registry_revision}"
-        question = f"from={self.asker}&{revisions}"
+        query = f"from={self.asker}&{revisions}"
         if self.seen.empty:
-            return question
-        return f"{question}&seen={msgspec.json.encode(self.seen).hex()}"
+            return query
+        return f"{query}&seen={msgspec.json.encode(self.seen).hex()}"
 
     @classmethod
     def read(cls, query: str) -> Self | None:
@@ -91,8 +92,8 @@
 class FeederAhead(Struct, frozen=True, tag=True):
     """Answer of a feeder that cannot send the changes since the poll's revision.
 
-    The full registry would exceed the capacity of its link, so the instance must first
-    catch up with the store.
+    The feeder no longer has the deltas since that revision, and the full registry is
+    too large for its link; the instance reads the store instead.
 
     Attributes
     ----------
@@ -121,7 +122,7 @@
     registry_before_s : float
         Time since the store last answered for the registry, in seconds.
     seen : FitnessReport
-        Outcomes of requests at all instances of the zone, merged.
+        Merged reports of the outcomes of requests at all instances of the zone.
     """
 
     feeder: str
--- a/endivepick/store/outcomes.py
+++ b/endivepick/store/outcomes.py
@@ -62,21 +62,21 @@
     match outcome:
         case Answer(status=429 | 503 as status, retry_after_s=retry_after_s):
             return PlatformUnavailableError(
-                f"The platform responded with status {status}. Try again later.",
+                f"The server responded with status {status}. Try again later.",
                 retry_after_s,
             )
         case Answer(status=status) if status >= 500:
             return PlatformUnavailableError(
-                f"The platform responded with status {status}. Try again later."
+                f"The server responded with status {status}. Try again later."
             )
         case Answer(status=status, data=data):
             text = data[:200].decode(errors="replace")
             return PlatformAnswerError(
-                f"The platform rejected the call with status {status}: {text} "
+                f"The server rejected the call with status {status}: {text} "
                 "Check the name and the size of the body (at most 1 MB)."
             )
         case NotSent(reason=reason) | AnswerLost(reason=reason):
             return PlatformUnavailableError(
-                f"No response from the platform ({reason}). Check its address in the "
-                "settings and the network, or try again later."
+                f"No response ({reason}). Check the address of the called server and "
+                "the network, or try again later."
             )
