--- a/endivepick/model/__init__.py
+++ b/endivepick/model/__init__.py
@@ -1,1 +1,1 @@
-"""Specification of the core protocol and its exhaustive check."""
+"""Specifications of the core protocols and their exhaustive model check."""
--- a/endivepick/model/__main__.py
+++ b/endivepick/model/__main__.py
@@ -1,4 +1,4 @@
-"""Command line of the check: ``python -m endivepick.model``."""
+"""Command line of the model checker: ``python -m endivepick.model``."""
 
 import sys
 import time
@@ -18,17 +18,17 @@
 
 
 def main(verbose: bool = False, processes: int = PROCESSES) -> None:
-    """Check the core protocol, then each mutation of it.
+    """Check the core protocols, then each mutation of them.
 
-    Exits with status 1 if an invariant is broken, a check is incomplete or a
+    Exits with status 1 if an invariant is violated, a check is incomplete or a
     mutation survives.
 
     Parameters
     ----------
     verbose : bool, default=False
-        Print the steps of the mutations' counterexamples too.
+        Also print the steps of the counterexample of each mutation.
     processes : int
-        Processes to use.
+        Number of worker processes.
     """
     start_s = time.perf_counter()
     results = [_report(one) for one in check_scenarios(SCENARIOS, processes)]
--- a/endivepick/model/_caller.py
+++ b/endivepick/model/_caller.py
@@ -1,4 +1,4 @@
-"""The caller library's rules about one request, in the abstract."""
+"""Abstract model of the caller library for one request."""
 
 from collections.abc import Iterator
 
@@ -22,20 +22,20 @@
 
 
 def steps(world: World, bounds: Bounds) -> Iterator[CallerStep]:
-    """Yield what the caller may do: label, state after it, packets sent."""
+    """Yield the caller's steps: label, next state and packets sent."""
     caller = world.caller
     if caller.outcome is Outcome.WAITING:
-        for packet in world.told:
+        for packet in world.caller_packets:
             yield from _receive(caller, packet, bounds)
         if bounds.cancels:
             sent = frozenset([encode_packet(Cancel(caller.token, caller.seq))])
             yield "gives up", caller._replace(outcome=Outcome.UNKNOWN), sent
-        if bounds.closes:
+        if bounds.closes_flow:
             closed = caller._replace(outcome=Outcome.UNKNOWN)
-            yield "closes the flow", closed, _closing(caller)
+            yield "closes the flow", closed, _close_packets(caller)
         return
-    if bounds.closes and not _closing(caller) <= world.packets:
-        yield "closes the flow", caller, _closing(caller)
+    if bounds.closes_flow and not _close_packets(caller) <= world.packets:
+        yield "closes the flow", caller, _close_packets(caller)
     if bounds.acknowledges:
         done = encode_packet(Acknowledge(caller.token, caller.seq, 1, [], 1, True))
         if done not in world.packets:
@@ -45,10 +45,10 @@
         sent = frozenset([request(caller.token, seq, bounds)])
         yield "sends its next request", caller._replace(next_seq=seq), sent
     if caller.outcome is Outcome.NOT_RUN and caller.new_numbers:
-        yield _try_again(caller, bounds)
+        yield _retry_under_new_number(caller, bounds)
 
 
-def _closing(caller: Caller) -> frozenset[bytes]:
+def _close_packets(caller: Caller) -> frozenset[bytes]:
     return frozenset([encode_packet(FlowClosed(caller.token))])
 
 
@@ -96,8 +96,8 @@
     yield "sends again under a new binding", again, frozenset([sent])
 
 
-def _try_again(caller: Caller, bounds: Bounds) -> CallerStep:
-    """Use a new number after "not run"."""
+def _retry_under_new_number(caller: Caller, bounds: Bounds) -> CallerStep:
+    """Submit the request under a new number after "not run"."""
     again = caller._replace(
         seq=caller.seq + 1,
         outcome=Outcome.WAITING,
--- a/endivepick/model/_change_mutants.py
+++ b/endivepick/model/_change_mutants.py
@@ -1,4 +1,4 @@
-"""Told changes with one rule broken, and the checks of their model."""
+"""Configuration deltas with one rule broken, and the checks of their model."""
 
 from collections.abc import Callable
 from dataclasses import replace
@@ -13,22 +13,22 @@
 __all__ = ["CHANGE_MUTATIONS", "CHANGE_SCENARIOS"]
 
 
-class LastChangeOnly(RouteTable):
-    """Tells the last change, whatever the other has."""
+class SendsLastChangeOnly(RouteTable):
+    """A route table that sends its last delta, whatever the base version."""
 
     def change_since(self, revision: int) -> ConfigurationChange | None:
-        """Claim that it starts from the other's version."""
+        """Replace the base revision of the last delta."""
         changes = self._history._changes
         if not changes:
             return None
         return msgspec.structs.replace(changes[-1], before_revision=revision)
 
 
-class RemovalsUntold(RouteTable):
-    """Tells of routes that are there only."""
+class OmitsRemovals(RouteTable):
+    """A route table that omits removed routes from its deltas."""
 
     def change_since(self, revision: int) -> ConfigurationChange | None:
-        """Leave out what was removed, and how many routes there are."""
+        """Omit the removed routes and adjust the route count."""
         change = super().change_since(revision)
         if change is None:
             return None
@@ -36,21 +36,21 @@
         return msgspec.structs.replace(change, removed_routes=(), route_count=count)
 
 
-class OlderTakenIn(RouteTable):
-    """Takes any version for the newest."""
+class AcceptsOlderVersions(RouteTable):
+    """A route table that accepts older versions."""
 
     def take_in(self, configuration: Configuration, now_s: float) -> bool:
-        """Forget which one is in force."""
+        """Discard the version in force if it is newer."""
         before = self.configuration
         if before is not None and before.revision > configuration.revision:
             self.configuration = None
         return super().take_in(configuration, now_s)
 
 
-def _apply_to_any(
+def _apply_to_any_version(
     configuration: Configuration, change: ConfigurationChange
 ) -> Configuration | None:
-    """Apply a change to a version that it does not start from."""
+    """Apply a delta to a version other than its base."""
     moved = msgspec.structs.replace(configuration, revision=change.before_revision)
     return apply_change(moved, change)
 
@@ -59,21 +59,27 @@
     return lambda name: changes_specification(name, bounds)
 
 
-_PLAIN = ChangeBounds()
+_DEFAULT_BOUNDS = ChangeBounds()
 CHANGE_SCENARIOS: dict[str, Callable[[str], Specification]] = {
-    "told changes": _changes(_PLAIN),
+    "told changes": _changes(_DEFAULT_BOUNDS),
     "told changes, a route returns": _changes(
         ChangeBounds(history=({"a": "s"}, {}, {"a": "t"}, {"a": "t", "b": "s"}))
     ),
 }
-"""By name, what builds the specification of each check."""
+"""Factories of the specifications to check, by name."""
 
 CHANGE_MUTATIONS: dict[str, Callable[[str], Specification]] = {
-    "only the last change is told": _changes(replace(_PLAIN, table=LastChangeOnly)),
-    "removed routes are not told": _changes(replace(_PLAIN, table=RemovalsUntold)),
-    "an older version is taken in": _changes(replace(_PLAIN, table=OlderTakenIn)),
-    "a change is applied to any version": _changes(
-        replace(_PLAIN, apply=_apply_to_any)
+    "only the last delta is sent": _changes(
+        replace(_DEFAULT_BOUNDS, table=SendsLastChangeOnly)
+    ),
+    "removed routes are omitted": _changes(
+        replace(_DEFAULT_BOUNDS, table=OmitsRemovals)
+    ),
+    "an older version is accepted": _changes(
+        replace(_DEFAULT_BOUNDS, table=AcceptsOlderVersions)
+    ),
+    "a delta is applied to any version": _changes(
+        replace(_DEFAULT_BOUNDS, apply=_apply_to_any_version)
     ),
 }
-"""By name, what builds the specification with one rule broken."""
+"""Factories of the specifications with one broken rule, by name."""
--- a/endivepick/model/_choices.py
+++ b/endivepick/model/_choices.py
@@ -1,7 +1,7 @@
-"""What the surroundings of an instance decide, as explicit choices.
+"""Stand-ins for the environment of an instance, controlled by the model checker.
 
-The check tries every choice, so that it covers every membership view and every
-placement that the real parts could come to.
+The checker tries every choice, so it covers every membership view and every
+placement that the production components can produce.
 """
 
 from collections.abc import Hashable
@@ -35,7 +35,7 @@
 
 
 class Placement(Enum):
-    """What the dispatcher does with a request."""
+    """Decision of the dispatcher about a request."""
 
     START = "start"
     QUEUE = "queue"
@@ -44,16 +44,16 @@
 
 @dataclass(frozen=True)
 class View:
-    """What an instance believes while it handles one packet.
+    """Membership view of an instance while it handles one packet.
 
     Attributes
     ----------
     suspected, dead : bool
-        Whether the holder is suspected or given up, rightly or not.
+        Whether the holder is suspected or declared dead, rightly or wrongly.
     successor : Identity or None
-        Who took the flows of the token's owner over, as far as it was heard.
+        Known successor for the flows of the token's owner.
     opener : Identity or None
-        Instance that opens flows at present; itself if None.
+        Instance that currently opens flows; the instance itself if None.
     """
 
     suspected: bool = False
@@ -64,48 +64,48 @@
 
 @dataclass
 class ChoicePeers:
-    """Membership whose answers are set from outside.
+    """Membership stand-in that returns a preset view.
 
     Attributes
     ----------
     me : Identity
         This instance.
     view : View
-        Present belief.
-    asked : bool
-        Whether the belief was used since it was set.
+        Current view.
+    was_consulted : bool
+        Whether the view was used since it was set.
     """
 
     me: Identity
     view: View = View()
-    asked: bool = False
+    was_consulted: bool = False
 
-    def believe(self, view: View) -> None:
-        """Set the belief for the next event."""
+    def set_view(self, view: View) -> None:
+        """Set the view for the next event."""
         self.view = view
-        self.asked = False
+        self.was_consulted = False
 
     def ready_names(self) -> tuple[str, ...]:
         """Return the name of the instance that opens flows."""
         return ((self.view.opener or self.me).name,)
 
     def zone_of(self, name: str) -> str:
-        """Return the one zone of the model."""
+        """Return the only zone of the model."""
         return ZONE
 
     def is_suspected(self, name: str) -> bool:
         """Tell whether the holder is suspected."""
-        self.asked = True
+        self.was_consulted = True
         return self.view.suspected
 
     def is_incarnation_dead(self, name: str, incarnation: int) -> bool:
-        """Tell whether the holder was given up."""
-        self.asked = True
+        """Tell whether the holder was declared dead."""
+        self.was_consulted = True
         return self.view.dead
 
     def successor_of(self, incarnation: int, service: str) -> Identity | None:
-        """Return who took over, as far as it was heard."""
-        self.asked = True
+        """Return the known successor, if any."""
+        self.was_consulted = True
         return self.view.successor
 
     def incarnation_of(self, name: str) -> int:
@@ -114,10 +114,10 @@
 
 
 class AllServices:
-    """Roles of an instance that may serve everything."""
+    """Roles stand-in of an instance that may serve every service."""
 
     def activate(self, service: str, now_s: float) -> bool:
-        """Say that the service has a dispatcher here."""
+        """Report that the service has a dispatcher at this instance."""
         return True
 
 
@@ -135,46 +135,47 @@
 
 @dataclass
 class ChoiceDispatcher:
-    """Dispatcher of one service whose placements are set from outside.
+    """Dispatcher stand-in for one service that returns preset placements.
 
-    It refuses also what may have run: the executor has to know better.
+    It also refuses requests that may have run; the executor must not pass such a
+    refusal on as "not run".
 
     Attributes
     ----------
     placement : Placement
-        What to do with the next request.
-    asked : bool
+        Decision about the next request.
+    was_consulted : bool
         Whether the placement was used since it was set.
     record : object
-        What the owner asks of the record.
+        Fields of the service record that the owner reads.
     pending : dict
-        Requests that wait or run.
+        Requests that are queued or running.
     """
 
     placement: Placement = Placement.START
-    asked: bool = False
+    was_consulted: bool = False
     record: Any = field(default_factory=_Record)
     pending: dict[Hashable, "_Pending"] = field(default_factory=dict)
 
     @property
     def queued(self) -> list[Hashable]:
-        """Requests that wait for their turn."""
+        """Requests in the queue."""
         return [key for key, one in self.pending.items() if one.queued]
 
-    def choose(self, placement: Placement) -> None:
+    def set_placement(self, placement: Placement) -> None:
         """Set the placement for the next event."""
         self.placement = placement
-        self.asked = False
+        self.was_consulted = False
 
     def place_flow(self, flow: FlowActivity, now_s: float, random_number: float) -> str:
-        """Pin a new flow to no target."""
+        """Return no target: flows are not pinned."""
         return ""
 
     def adopt_flow(self, target: str, flow: FlowActivity, now_s: float) -> None:
-        """Count nothing: placement is set from outside."""
+        """Do nothing: placements do not depend on flow counts."""
 
     def close_flow(self, target: str, flow: FlowActivity, now_s: float) -> None:
-        """Count nothing: placement is set from outside."""
+        """Do nothing: placements do not depend on flow counts."""
 
     def submit(
         self, intent: RequestIntent, now_s: float, random_number: float
@@ -183,8 +184,8 @@
         self.pending[intent.request_id] = _Pending(intent.idempotent)
         return self._place(intent.request_id)
 
-    def turn(self, request_id: Hashable) -> list[Decision]:
-        """Place a request that waited."""
+    def place_queued(self, request_id: Hashable) -> list[Decision]:
+        """Place a queued request."""
         return self._place(request_id)
 
     def finished(
@@ -195,7 +196,7 @@
         duration_s: float,
         retry_after_s: float = 0.0,
     ) -> list[Decision]:
-        """Decide about a request whose attempt ended."""
+        """Decide what happens to a request after an attempt ended."""
         pending = self.pending.get(request_id)
         if pending is None:
             return []
@@ -208,12 +209,12 @@
         return self._place(request_id)
 
     def cancel(self, request_id: Hashable, now_s: float) -> list[Decision]:
-        """Forget a request."""
+        """Remove a request."""
         self.pending.pop(request_id, None)
         return []
 
     def _place(self, request_id: Hashable) -> list[Decision]:
-        self.asked = True
+        self.was_consulted = True
         self.pending[request_id].queued = self.placement is Placement.QUEUE
         match self.placement:
             case Placement.START:
--- a/endivepick/model/_config_node.py
+++ b/endivepick/model/_config_node.py
@@ -1,4 +1,4 @@
-"""One instance of the configuration model: the real cache and exchange."""
+"""Instance of the configuration model, built from production components."""
 
 from collections.abc import Callable, Hashable
 from dataclasses import dataclass
@@ -14,17 +14,17 @@
 from endivepick.records.peer_messages import RecordsMessage
 from endivepick.records.settings import DisseminationSettings
 
-__all__ = ["ConfigNode", "ConfigParts", "Digest", "Listed", "Received", "Watched"]
+__all__ = ["ConfigNode", "ConfigParts", "SendDigest", "Listed", "Received", "Watched"]
 
 NAME = "notes"
 NOW_S = 0.0
 SETTINGS = DisseminationSettings(ask_patience_s=1.0)
-_NO_STATE = (DisseminationSettings, Subscribers, Feeder)
+_STATELESS_TYPES = (DisseminationSettings, Subscribers, Feeder)
 
 
 @dataclass(frozen=True)
 class ConfigParts:
-    """Classes that an instance is built of; a mutation replaces one."""
+    """Classes that an instance consists of; a mutation replaces one."""
 
     cache: Callable[..., RecordCache] = RecordCache
     readiness: Callable[..., Readiness] = Readiness
@@ -32,7 +32,7 @@
 
 @dataclass(frozen=True)
 class Listed:
-    """The platform lists what stood at a revision, perhaps long ago."""
+    """The platform returns a list of a revision, which may be stale."""
 
     revision: int
     objects: tuple[tuple[int, bool], ...]
@@ -40,7 +40,7 @@
 
 @dataclass(frozen=True)
 class Watched:
-    """The platform answers a watch: all changes after a revision up to another."""
+    """The platform returns all changes after one revision up to another."""
 
     after: int
     revision: int
@@ -48,38 +48,38 @@
 
 
 @dataclass(frozen=True)
-class Digest:
-    """The instance tells a peer what it holds."""
+class SendDigest:
+    """The instance sends a digest of its records to a peer."""
 
 
 @dataclass(frozen=True)
 class Received:
-    """A message of a peer arrives."""
+    """A message from a peer arrives."""
 
     sender: str
     message: RecordsMessage
 
 
-Event = Listed | Watched | Digest | Received
+Event = Listed | Watched | SendDigest | Received
 
 
-def stored(version: int, exists: bool) -> StoredObject:
-    """Build a version of the one record, or its deletion."""
+def build_stored_object(version: int, exists: bool) -> StoredObject:
+    """Build a version of the record, or its deletion."""
     body = {"version": version} if exists else None
     return StoredObject(SERVICE_KIND, NAME, version, body)
 
 
 class ConfigNode:
-    """Cache, exchange and readiness of one instance.
+    """Cache, exchange and readiness check of one instance.
 
     Parameters
     ----------
     name : str
         Name of the instance.
     parts : ConfigParts
-        Classes that it is built of.
+        Classes that the instance consists of.
     incarnation : int
-        Number of this process.
+        Incarnation of the process.
     """
 
     def __init__(self, name: str, parts: ConfigParts, incarnation: int) -> None:
@@ -89,35 +89,37 @@
         self._exchange = Exchange(SETTINGS, self.cache, self.readiness, subscribers)
 
     def frozen(self) -> Hashable:
-        """Return a picture of everything that later behaviour depends on."""
-        return freeze([self.cache, self.readiness, self._exchange], skip=_NO_STATE)
+        """Return a snapshot of everything that later behaviour depends on."""
+        return freeze(
+            [self.cache, self.readiness, self._exchange], skip=_STATELESS_TYPES
+        )
 
     @property
     def version(self) -> int:
-        """Version of the record in force, 0 if there is none."""
+        """Version of the record in force; 0 if there is none."""
         held = self.cache.get(SERVICE_KIND, NAME)
         return held.version if held and not held.deleted else 0
 
     def handle(self, event: Event, peers: tuple[str, ...]) -> tuple[Any, ...]:
-        """Take one event; return what it sends to its peer."""
+        """Handle one event and return the messages to the peer."""
         self.readiness.ask(peers, (), NOW_S)
-        messages = self._take(event)
+        messages = self._dispatch_event(event)
         self.readiness.update(self.cache.revision, peers, NOW_S)
         return messages
 
-    def _take(self, event: Event) -> tuple[Any, ...]:
+    def _dispatch_event(self, event: Event) -> tuple[Any, ...]:
         match event:
             case Listed(revision=revision, objects=objects):
-                found = [stored(*one) for one in objects]
+                found = [build_stored_object(*one) for one in objects]
                 self.cache.offer_list(SERVICE_KIND, revision, found)
                 self.readiness.listed()
                 return ()
             case Watched(after=after, revision=revision, events=events):
                 for one in events:
-                    self.cache.offer(stored(*one))
+                    self.cache.offer(build_stored_object(*one))
                 self.cache.advance(after, revision)
                 return ()
-            case Digest():
+            case SendDigest():
                 return (self._exchange.digest(reply=True),)
             case Received(sender=sender, message=message):
                 return self._exchange.take(sender, message, NOW_S).messages
--- a/endivepick/model/_description.py
+++ b/endivepick/model/_description.py
@@ -1,4 +1,4 @@
-"""Labels of steps in counterexamples."""
+"""Labels of the steps of counterexamples."""
 
 from functools import cache
 
@@ -13,7 +13,7 @@
 
 @cache
 def token_of(datagram: bytes) -> FlowToken:
-    """Return the token in a caller's datagram."""
+    """Decode the flow token in a caller's datagram."""
     packet = decode_caller_packet(datagram)
     assert not isinstance(packet, Open)
     return CODEC.unseal(packet.token, NOW_S)
@@ -31,7 +31,7 @@
 
 @cache
 def describe_view(view: View) -> str:
-    """Describe an instance's belief, unless it is the usual one."""
+    """Describe the membership view of an instance; empty for the default view."""
     parts = []
     if view.suspected:
         parts.append("holder suspected")
--- a/endivepick/model/_events.py
+++ b/endivepick/model/_events.py
@@ -1,4 +1,4 @@
-"""Events that an instance of the flow model takes, and effects that they have."""
+"""Input events and output effects of an instance of the flow model."""
 
 from collections.abc import Hashable
 from dataclasses import dataclass
@@ -24,25 +24,25 @@
 from endivepick.model._choices import Placement, View
 
 __all__ = [
-    "Cancelled",
+    "AttemptCancelled",
     "Effect",
-    "Ended",
+    "AttemptEnded",
     "Event",
-    "Forget",
-    "Give",
+    "ExpireFlows",
+    "ContinueHandOver",
     "Packet",
-    "Peer",
-    "Sent",
-    "Stop",
-    "TimeUp",
+    "PeerMessage",
+    "AttemptStarted",
+    "BeginStop",
+    "StopDeadline",
     "ToCaller",
     "ToPeer",
-    "Turn",
+    "PlaceQueued",
     "effects_of",
 ]
 
-_TOLD = (AnswerPart, Outcome, Refused, Reissued)
-"""Packets that a caller acts on; the others promise nothing."""
+_CALLER_OUTCOMES = (AnswerPart, Outcome, Refused, Reissued)
+"""Packets that a caller acts on; other packets report no outcome."""
 
 
 @dataclass(frozen=True)
@@ -55,7 +55,7 @@
 
 
 @dataclass(frozen=True)
-class Ended:
+class AttemptEnded:
     """An attempt at a target ends."""
 
     request_id: RequestId
@@ -65,31 +65,31 @@
 
 
 @dataclass(frozen=True)
-class Turn:
-    """The turn of a waiting request comes."""
+class PlaceQueued:
+    """A queued request is placed again."""
 
     request_id: Hashable
     placement: Placement
 
 
 @dataclass(frozen=True)
-class Stop:
+class BeginStop:
     """A planned stop begins."""
 
 
 @dataclass(frozen=True)
-class Give:
-    """The leaving instance works on its hand-over."""
+class ContinueHandOver:
+    """The leaving instance continues its hand-over."""
 
     successor: Identity
     dead: bool
 
 
 @dataclass(frozen=True)
-class Peer:
-    """A message about a hand-over arrives.
+class PeerMessage:
+    """A hand-over message of another instance arrives.
 
-    ``successor`` is the next candidate, if the message is a refusal.
+    ``successor`` is the next candidate if the message is a refusal.
     """
 
     sender: Identity
@@ -100,18 +100,27 @@
 
 
 @dataclass(frozen=True)
-class TimeUp:
-    """The time limit of the planned stop comes near: what runs is given up."""
+class StopDeadline:
+    """The deadline of the planned stop is near: running requests are abandoned."""
 
     successor: Identity
 
 
 @dataclass(frozen=True)
-class Forget:
-    """Time passes and flows that were closed or never used are forgotten."""
-
-
-Event = Packet | Ended | Turn | Stop | Give | Peer | TimeUp | Forget
+class ExpireFlows:
+    """Time passes and flows that were closed or never used expire."""
+
+
+Event = (
+    Packet
+    | AttemptEnded
+    | PlaceQueued
+    | BeginStop
+    | ContinueHandOver
+    | PeerMessage
+    | StopDeadline
+    | ExpireFlows
+)
 
 
 @dataclass(frozen=True)
@@ -123,7 +132,7 @@
 
 @dataclass(frozen=True)
 class ToPeer:
-    """A message about a hand-over."""
+    """A hand-over message to another instance."""
 
     name: str
     kind: type
@@ -131,35 +140,35 @@
 
 
 @dataclass(frozen=True)
-class Sent:
-    """A request went to a target."""
+class AttemptStarted:
+    """A request was sent to a target."""
 
     request_id: RequestId
     attempt: int
 
 
 @dataclass(frozen=True)
-class Cancelled:
-    """An attempt was cut off."""
+class AttemptCancelled:
+    """An attempt was cancelled."""
 
     request_id: RequestId
     attempt: int
 
 
-Effect = ToCaller | ToPeer | Sent | Cancelled
+Effect = ToCaller | ToPeer | AttemptStarted | AttemptCancelled
 
 
 def effects_of(actions: list[Action]) -> tuple[Effect, ...]:
-    """Keep what another part of the model can see."""
+    """Return the effects that other parts of the model observe."""
     effects: list[Effect] = []
     for action in actions:
         match action:
-            case SendToCaller(packet=packet) if isinstance(packet, _TOLD):
+            case SendToCaller(packet=packet) if isinstance(packet, _CALLER_OUTCOMES):
                 effects.append(ToCaller(packet))
             case SendToPeer(name=name, message=message):
                 effects.append(ToPeer(name, type(message), encode_struct(message)))
             case StartAttempt(request_id=request_id, attempt=attempt):
-                effects.append(Sent(request_id, attempt))
+                effects.append(AttemptStarted(request_id, attempt))
             case CancelAttempt(request_id=request_id, attempt=attempt):
-                effects.append(Cancelled(request_id, attempt))
+                effects.append(AttemptCancelled(request_id, attempt))
     return tuple(effects)
--- a/endivepick/model/_evidence_mutants.py
+++ b/endivepick/model/_evidence_mutants.py
@@ -1,4 +1,4 @@
-"""Judges of evidence with one rule broken, and the checks of the evidence model."""
+"""Evidence judges with one rule broken, and the checks of the evidence model."""
 
 from collections.abc import Callable
 from dataclasses import replace
@@ -22,106 +22,106 @@
 __all__ = ["EVIDENCE_MUTATIONS", "EVIDENCE_SCENARIOS"]
 
 
-class SuspectsAreDead(EvidenceJudge):
-    """Takes a repetition for the end of the target."""
+class TreatsSuspectAsDead(EvidenceJudge):
+    """A judge that treats a retransmission as the death of the target."""
 
     def suspect(
         self, belief: TargetBelief, flow: FlowKey, since_s: float, now_s: float
     ) -> list[Effect]:
-        """Judge without a probe."""
+        """Assume a refused probe."""
         effects = super().suspect(belief, flow, since_s, now_s)
         if effects:
             effects += self.on_probe(belief, ProbeOutcome.REFUSED, now_s)
         return effects
 
 
-class SilenceIsDeath(EvidenceJudge):
-    """Takes silence for the end of the target."""
+class TreatsSilenceAsDeath(EvidenceJudge):
+    """A judge that treats silence as the death of the target."""
 
     def on_probe(
         self, belief: TargetBelief, outcome: ProbeOutcome, now_s: float
     ) -> list[Effect]:
-        """Know two outcomes only."""
+        """Treat a silent probe as a refused one."""
         if outcome is ProbeOutcome.SILENT:
             outcome = ProbeOutcome.REFUSED
         return super().on_probe(belief, outcome, now_s)
 
 
-class RemovalIsDeath(EvidenceJudge):
-    """Takes the removal of an entry for the end of the target."""
+class TreatsRemovalAsDeath(EvidenceJudge):
+    """A judge that treats the removal of an entry as the death of the target."""
 
     def vanished(self, belief: TargetBelief, now_s: float) -> list[Effect]:
-        """Judge without a probe."""
+        """Assume a refused probe."""
         return self.on_probe(belief, ProbeOutcome.REFUSED, now_s)
 
 
-class DeadForGood(EvidenceJudge):
-    """Never looks at a dead target again."""
+class NeverReprobesDead(EvidenceJudge):
+    """A judge that never probes a dead target again."""
 
     def retry_probes(self, now_s: float) -> list[Effect]:
-        """Leave out the dead."""
+        """Omit probes of dead targets."""
         return [
             effect
             for effect in super().retry_probes(now_s)
-            if not _is_of(self, effect, Reachability.DEAD)
+            if not _probes_target_that_is(self, effect, Reachability.DEAD)
         ]
 
 
-class SilentForGood(EvidenceJudge):
-    """Never looks at a silent target again."""
+class NeverReprobesSilent(EvidenceJudge):
+    """A judge that never probes a silent target again."""
 
     def retry_probes(self, now_s: float) -> list[Effect]:
-        """Leave out the silent."""
+        """Omit probes of silent targets."""
         return [
             effect
             for effect in super().retry_probes(now_s)
-            if not _is_of(self, effect, Reachability.SILENT)
+            if not _probes_target_that_is(self, effect, Reachability.SILENT)
         ]
 
 
-class RequestsForgotten(EvidenceJudge):
-    """Forgets which flows have a request in progress."""
+class IgnoresRunningRequests(EvidenceJudge):
+    """A judge that ignores requests in progress."""
 
     def resets(self, belief: TargetBelief) -> list[Effect]:
-        """Take all flows for idle."""
+        """Treat all flows as idle."""
         for flow in self._flows.of_target(belief):
             flow.busy_since_s = None
         return super().resets(belief)
 
 
-class AllIdempotent(EvidenceJudge):
-    """Takes all requests for such as may be repeated."""
+class TreatsAllAsIdempotent(EvidenceJudge):
+    """A judge that treats all requests as idempotent."""
 
     def resets(self, belief: TargetBelief) -> list[Effect]:
-        """Forget the kind of the flows."""
+        """Replace the kind of all flows."""
         for flow in self._flows.of_target(belief):
             flow.kind = RouteKind.IDEMPOTENT
         return super().resets(belief)
 
 
-class OthersAssumed(EvidenceJudge):
-    """Believes that there is always another target."""
+class AssumesAlternative(EvidenceJudge):
+    """A judge that assumes that another target is always available."""
 
     def has_alternative(self, belief: TargetBelief) -> bool:
-        """Look at none."""
+        """Return True without a check."""
         return True
 
 
-class DeadKeepFlows(EvidenceJudge):
-    """Lets the flows of a dead target wait."""
+class KeepsFlowsOfDead(EvidenceJudge):
+    """A judge that keeps the flows of a dead target."""
 
     def resets(self, belief: TargetBelief) -> list[Effect]:
-        """Reset nothing that a dead target has."""
+        """Reset no flows of a dead target."""
         if belief.reachability is Reachability.DEAD:
             return []
         return super().resets(belief)
 
 
-class DrainedAreDead(EvidenceJudge):
-    """Takes a refusal for the end of a target that drains."""
+class ResetsDrainingTargets(EvidenceJudge):
+    """A judge that treats a refusal by a draining target as its death."""
 
     def resets(self, belief: TargetBelief) -> list[Effect]:
-        """Reset whatever a target has that refuses connections."""
+        """Reset all flows of a target that refuses connections."""
         if belief.reachability is not Reachability.DEAD:
             return super().resets(belief)
         reason = ResetReason.TARGET_DEAD
@@ -131,13 +131,13 @@
         ]
 
 
-class AllTargetsReset(EvidenceJudge):
-    """Resets the flows of a target whatever its probe says."""
+class ResetsAfterEveryProbe(EvidenceJudge):
+    """A judge that resets the flows of a target after every probe."""
 
     def on_probe(
         self, belief: TargetBelief, outcome: ProbeOutcome, now_s: float
     ) -> list[Effect]:
-        """Reset flows of live targets, too."""
+        """Reset the flows of live targets as well."""
         effects = super().on_probe(belief, outcome, now_s)
         for flow in self._flows.of_target(belief):
             reason = ResetReason.TARGET_SILENT
@@ -145,7 +145,9 @@
         return effects
 
 
-def _is_of(judge: EvidenceJudge, effect: Effect, reachability: Reachability) -> bool:
+def _probes_target_that_is(
+    judge: EvidenceJudge, effect: Effect, reachability: Reachability
+) -> bool:
     match effect:
         case ProbeTarget(target):
             belief = judge._registry.get(target.name)
@@ -158,43 +160,43 @@
     return lambda name: evidence_specification(name, bounds)
 
 
-def _judged_by(mutant: type[EvidenceJudge]) -> Callable[[ForwardingCore], None]:
-    def change(core: ForwardingCore) -> None:
+def _with_judge(mutant: type[EvidenceJudge]) -> Callable[[ForwardingCore], None]:
+    def mutate(core: ForwardingCore) -> None:
         core._judge = mutant(core.settings, core.registry, core.flows, core.routes)
 
-    return change
+    return mutate
 
 
 EVIDENCE_SCENARIOS: dict[str, Callable[[str], Specification]] = {
     "evidence, one step of time": _evidence(EvidenceBounds(steps=1)),
     "evidence": _evidence(EvidenceBounds()),
-    "evidence, no other target": _evidence(EvidenceBounds(other=False)),
+    "evidence, no other target": _evidence(EvidenceBounds(with_alternative=False)),
     "evidence, entry removed": _evidence(EvidenceBounds(steps=1, removal=True)),
     "evidence, the target drains": _evidence(EvidenceBounds(drains=True)),
 }
-"""By name, what builds the specification of each check."""
+"""Factories of the specifications to check, by name."""
 
-_ALONE = EvidenceBounds(steps=1, other=False)
+_NO_ALTERNATIVE = EvidenceBounds(steps=1, with_alternative=False)
 _REMOVED = EvidenceBounds(steps=1, removal=True)
 _MUTANTS: dict[str, tuple[type[EvidenceJudge], EvidenceBounds]] = {
-    "a suspect is dead": (SuspectsAreDead, EvidenceBounds()),
-    "a silent target is dead": (SilenceIsDeath, EvidenceBounds()),
-    "a removed entry is a dead target": (RemovalIsDeath, _REMOVED),
-    "a dead target is not looked at again": (DeadForGood, EvidenceBounds()),
-    "a silent target is not looked at again": (SilentForGood, EvidenceBounds()),
-    "requests in progress are forgotten": (RequestsForgotten, EvidenceBounds()),
-    "all requests may be repeated": (AllIdempotent, EvidenceBounds()),
-    "another target is assumed": (OthersAssumed, _ALONE),
-    "a dead target keeps its flows": (DeadKeepFlows, EvidenceBounds()),
-    "one that drains and refuses is dead": (
-        DrainedAreDead,
+    "a suspected target is treated as dead": (TreatsSuspectAsDead, EvidenceBounds()),
+    "a silent target is treated as dead": (TreatsSilenceAsDeath, EvidenceBounds()),
+    "a removed target is treated as dead": (TreatsRemovalAsDeath, _REMOVED),
+    "a dead target is not probed again": (NeverReprobesDead, EvidenceBounds()),
+    "a silent target is not probed again": (NeverReprobesSilent, EvidenceBounds()),
+    "requests in progress are ignored": (IgnoresRunningRequests, EvidenceBounds()),
+    "all requests are treated as idempotent": (TreatsAllAsIdempotent, EvidenceBounds()),
+    "another target is assumed to be available": (AssumesAlternative, _NO_ALTERNATIVE),
+    "a dead target keeps its flows": (KeepsFlowsOfDead, EvidenceBounds()),
+    "a draining target that refuses is treated as dead": (
+        ResetsDrainingTargets,
         EvidenceBounds(steps=1, drains=True),
     ),
-    "a probe resets whatever it finds": (AllTargetsReset, EvidenceBounds()),
+    "every probe resets flows": (ResetsAfterEveryProbe, EvidenceBounds()),
 }
 
 EVIDENCE_MUTATIONS: dict[str, Callable[[str], Specification]] = {
-    name: _evidence(replace(bounds, change=_judged_by(mutant)))
+    name: _evidence(replace(bounds, mutate=_with_judge(mutant)))
     for name, (mutant, bounds) in _MUTANTS.items()
 }
-"""By name, what builds the specification with one rule broken."""
+"""Factories of the specifications with one broken rule, by name."""
--- a/endivepick/model/_flow_effects.py
+++ b/endivepick/model/_flow_effects.py
@@ -1,43 +1,43 @@
-"""What effects of one instance make of the rest of the flow model."""
+"""Application of the effects of one instance to the state of the flow model."""
 
 from typing import TypeVar
 
 from endivepick.core.flow_table import Identity
 from endivepick.core.messages import InstancePacket, Reissued
 from endivepick.model._events import (
-    Cancelled,
+    AttemptCancelled,
+    AttemptStarted,
+    ContinueHandOver,
     Effect,
     Event,
-    Give,
-    Sent,
     ToCaller,
     ToPeer,
 )
 from endivepick.model._instances import Instances
 from endivepick.model._world import Attempt, Bounds, World
 
-__all__ = ["FlowEffects", "pending", "replaced", "runs_after"]
+__all__ = ["FlowEffects", "unfinished_attempts", "replaced", "runs_after"]
 
 _T = TypeVar("_T")
 
 
 class FlowEffects:
-    """Carries the effects of instances out.
+    """Applies the effects of instances to the model state.
 
     Parameters
     ----------
     bounds : Bounds
         Bounds of the model.
     instances : Instances
-        States of its instances.
+        States of the instances.
     """
 
     def __init__(self, bounds: Bounds, instances: Instances) -> None:
         self._bounds = bounds
         self._instances = instances
 
-    def me(self, world: World, index: int) -> Identity:
-        """Return name and present incarnation of an instance."""
+    def identity_of(self, world: World, index: int) -> Identity:
+        """Return the name and the current incarnation of an instance."""
         return Identity(self._bounds.names[index], world.incarnations[index])
 
     def apply(
@@ -48,45 +48,51 @@
         effects: tuple[Effect, ...],
         event: Event,
     ) -> World | None:
-        """Carry effects out; None if they leave the bounds."""
+        """Apply effects; return None if they exceed the bounds."""
         world = world._replace(nodes=replaced(world.nodes, index, state))
-        me = self.me(world, index)
+        me = self.identity_of(world, index)
         for effect in effects:
             match effect:
                 case ToCaller(packet=packet):
-                    told = self._tell(world, packet)
-                    if told is None:
+                    caller_packets = self._deliver_to_caller(world, packet)
+                    if caller_packets is None:
                         return None
-                    world = told
+                    world = caller_packets
                 case ToPeer():
-                    world = world._replace(peer=world.peer | {(me, effect)})
-                case Sent(request_id=request_id, attempt=number):
-                    if not world.left.attempts:
+                    world = world._replace(
+                        handover_messages=world.handover_messages | {(me, effect)}
+                    )
+                case AttemptStarted(request_id=request_id, attempt=number):
+                    if not world.remaining.attempts:
                         return None
                     attempt = Attempt(me, request_id, number, False, True)
                     world = world._replace(
                         attempts=world.attempts | {attempt},
-                        left=world.left._replace(attempts=world.left.attempts - 1),
+                        remaining=world.remaining._replace(
+                            attempts=world.remaining.attempts - 1
+                        ),
                     )
-                case Cancelled():
+                case AttemptCancelled():
                     world = self._cancel(world, me, effect, event)
-        return self._announce(world, index, state)
+        return self._record_successions(world, index, state)
 
-    def _tell(self, world: World, packet: InstancePacket) -> World | None:
-        if packet in world.told:
+    def _deliver_to_caller(self, world: World, packet: InstancePacket) -> World | None:
+        if packet in world.caller_packets:
             return world
-        left = world.left
+        remaining = world.remaining
         if isinstance(packet, Reissued) and packet.continues:
-            if not self._bounds.renews:
+            if not self._bounds.receives_renewals:
                 return world
         elif isinstance(packet, Reissued):
-            if not left.reissues:
+            if not remaining.reissues:
                 return None
-            left = left._replace(reissues=left.reissues - 1)
-        return world._replace(told=world.told | {packet}, left=left)
+            remaining = remaining._replace(reissues=remaining.reissues - 1)
+        return world._replace(
+            caller_packets=world.caller_packets | {packet}, remaining=remaining
+        )
 
     def _cancel(
-        self, world: World, me: Identity, effect: Cancelled, event: Event
+        self, world: World, me: Identity, effect: AttemptCancelled, event: Event
     ) -> World:
         found = [
             one
@@ -96,26 +102,34 @@
         ]
         attempts = world.attempts.difference(found)
         attempts |= {one._replace(open=False) for one in found}
-        cut = isinstance(event, Give) and not self._bounds.stream
-        return world._replace(attempts=pending(attempts), cut=world.cut or cut)
-
-    def _announce(self, world: World, index: int, state: int) -> World:
+        stop_cut_request = (
+            isinstance(event, ContinueHandOver) and not self._bounds.stream
+        )
+        return world._replace(
+            attempts=unfinished_attempts(attempts),
+            stop_cut_request=world.stop_cut_request or stop_cut_request,
+        )
+
+    def _record_successions(self, world: World, index: int, state: int) -> World:
         node = self._instances[state]
         if not node.owner.leaving:
             return world
-        heirs = {(node.me, heir) for heir in node.giver.finished_services().values()}
-        if heirs <= world.heirs:
+        successions = {
+            (node.me, successor)
+            for successor in node.giver.finished_services().values()
+        }
+        if successions <= world.successions:
             return world
-        return world._replace(heirs=world.heirs | heirs)
+        return world._replace(successions=world.successions | successions)
 
 
 def replaced(items: tuple[_T, ...], index: int, item: _T) -> tuple[_T, ...]:
-    """Return the items with one of them replaced."""
+    """Return a copy of the items with one item replaced."""
     return (*items[:index], item, *items[index + 1 :])
 
 
 def runs_after(world: World, attempt: Attempt) -> int:
-    """Return how often the request ran once an attempt has run."""
+    """Return the number of runs of the request after an attempt has run."""
     _, seq, _ = attempt.request_id
     if attempt.request_id[:2] in world.ran:
         return 2
@@ -124,6 +138,6 @@
     return min(world.runs + 1, 2)
 
 
-def pending(attempts: frozenset[Attempt]) -> frozenset[Attempt]:
-    """Drop attempts that ran and whose sender waits no more."""
+def unfinished_attempts(attempts: frozenset[Attempt]) -> frozenset[Attempt]:
+    """Remove attempts that ran and whose sender no longer waits."""
     return frozenset(one for one in attempts if one.open or not one.ran)
--- a/endivepick/model/_flow_invariants.py
+++ b/endivepick/model/_flow_invariants.py
@@ -1,4 +1,4 @@
-"""What must hold in every state of the flow model."""
+"""Invariants of the flow model."""
 
 from collections.abc import Callable
 
@@ -17,38 +17,38 @@
     bounds : Bounds
         Bounds of the model.
     instances : Instances
-        States of its instances.
+        States of the instances.
     """
 
     def __init__(self, bounds: Bounds, instances: Instances) -> None:
         self._bounds = bounds
         self._instances = instances
-        self._holds: dict[int, frozenset[int]] = {}
+        self._held_bindings: dict[int, frozenset[int]] = {}
 
     def by_name(self) -> dict[str, Callable[[World], bool]]:
-        """Return the invariants with the names that reports show."""
+        """Return the invariants by the names shown in reports."""
         return {
-            "a non-idempotent request runs at most once": self.at_most_once,
-            "'not run' is true": self.not_run_is_true,
-            "a window has one holder": self.one_holder,
-            "a planned stop cuts nothing": self.stop_cuts_nothing,
+            "a non-idempotent request runs at most once": self.runs_at_most_once,
+            "'not run' is true": self.is_not_run_true,
+            "a window has one holder": self.has_one_holder,
+            "a planned stop cuts nothing": self.is_stop_graceful,
         }
 
-    def at_most_once(self, world: World) -> bool:
+    def runs_at_most_once(self, world: World) -> bool:
         """Tell whether a non-idempotent request ran at most once."""
         return self._bounds.idempotent or world.runs <= 1
 
-    def not_run_is_true(self, world: World) -> bool:
-        """Tell whether nothing ran that was called "not run"."""
+    def is_not_run_true(self, world: World) -> bool:
+        """Tell whether no request ran that was reported as "not run"."""
         if world.caller.outcome is Outcome.NOT_RUN and world.runs:
             return False
         return not any(
             isinstance(packet, Refused) and (packet.binding, packet.seq) in world.ran
-            for packet in world.told
+            for packet in world.caller_packets
         )
 
-    def one_holder(self, world: World) -> bool:
-        """Tell whether no two instances would run requests of one binding."""
+    def has_one_holder(self, world: World) -> bool:
+        """Tell whether at most one instance can run the requests of a binding."""
         seen: set[int] = set()
         for state in world.nodes:
             if state is None:
@@ -60,13 +60,13 @@
         return True
 
     def _held(self, state: int) -> frozenset[int]:
-        held = self._holds.get(state)
+        held = self._held_bindings.get(state)
         if held is None:
             table = self._instances[state].table
             held = frozenset(flow.binding for flow in table if not flow.frozen)
-            self._holds[state] = held
+            self._held_bindings[state] = held
         return held
 
-    def stop_cuts_nothing(self, world: World) -> bool:
+    def is_stop_graceful(self, world: World) -> bool:
         """Tell whether no planned stop has cut a request in progress."""
-        return not world.cut
+        return not world.stop_cut_request
--- a/endivepick/model/_flow_mutants.py
+++ b/endivepick/model/_flow_mutants.py
@@ -1,4 +1,4 @@
-"""Parts of the decision core with one rule taken out of each."""
+"""Components of the decision core, each with one rule removed."""
 
 from dataclasses import dataclass
 
@@ -16,42 +16,42 @@
 from endivepick.core.router import PacketRouter
 from endivepick.core.token import FlowToken
 from endivepick.core.window import ReplayWindow, WindowSnapshot
-from endivepick.model._forgetful import ForgetfulTable
+from endivepick.model._forgetful import EagerExpiryTable
 
 __all__ = [
     "AnyIncarnationTaker",
-    "BlindExecutor",
+    "AttemptForgettingExecutor",
     "EmptyWindowTaker",
-    "ForgetfulExecutor",
-    "ForgetfulReadoptingTable",
-    "ImpatientGiver",
+    "RefusalForgettingExecutor",
+    "EagerExpiryReadoptingTable",
+    "CancellingGiver",
     "NameOnlyRelay",
     "NameOnlyRouter",
     "ReadoptingTable",
     "RefusingRelay",
-    "RepeatingTaker",
-    "ReusingRelay",
+    "DuplicateAcceptingTaker",
+    "BindingReusingRelay",
     "SecondSuccessorGiver",
-    "ThawingGiver",
+    "UnfreezingGiver",
 ]
 
 
 class RefusingRelay(Relay):
-    """A relay that says "not run" when it cannot reach the owner."""
+    """A relay that reports "not run" when it cannot reach the owner."""
 
     def say_unreachable(
         self, token: FlowToken, holder: Identity, seq: int, caller: CallerAddress
     ) -> list[Action]:
-        """Refuse in the owner's place."""
+        """Refuse the request on behalf of the owner."""
         refused = Refused(token.flow_id, token.binding, seq, "unreachable", 0)
         return [SendToCaller(caller, refused)]
 
 
 class NameOnlyRelay(Relay):
-    """A relay that knows owners by name and not by incarnation."""
+    """A relay that identifies owners by name and ignores the incarnation."""
 
     def locate(self, token: FlowToken) -> Whereabouts:
-        """Take every token with this instance's name for its own."""
+        """Treat every token with this instance's name as owned here."""
         if token.owner == self._me.name:
             return Holder(self._me)
         return super().locate(token)
@@ -64,13 +64,13 @@
         return self._handle_here(token, packet, caller, now_s)
 
 
-class ReusingRelay(Relay):
-    """A relay that keeps the binding when it re-issues a token."""
+class BindingReusingRelay(Relay):
+    """A relay that reuses the binding when it re-issues a token."""
 
     def reissue_after_loss(
         self, token: FlowToken, caller: CallerAddress, now_s: float
     ) -> list[Action]:
-        """Issue a token with the old binding and an empty window."""
+        """Issue a token with the old binding and an empty replay window."""
         new_id = self._new_id
         self._new_id = lambda: token.binding
         actions = super().reissue_after_loss(token, caller, now_s)
@@ -78,8 +78,8 @@
         return actions
 
 
-class ForgetfulExecutor(RequestExecutor):
-    """An executor that does not remember its refusals."""
+class RefusalForgettingExecutor(RequestExecutor):
+    """An executor that does not store its refusals."""
 
     def _refuse(self, held, reason, retry_after_ms):  # type: ignore[no-untyped-def]
         actions = super()._refuse(held, reason, retry_after_ms)
@@ -89,8 +89,8 @@
         return actions
 
 
-class BlindExecutor(RequestExecutor):
-    """An executor that forgets that an earlier attempt may have run."""
+class AttemptForgettingExecutor(RequestExecutor):
+    """An executor that discards the fact that an earlier attempt may have run."""
 
     def _refuse(self, held, reason, retry_after_ms):  # type: ignore[no-untyped-def]
         held.request.may_have_run = False
@@ -98,41 +98,41 @@
 
 
 class ReadoptingTable(FlowTable):
-    """A table that adopts whatever names its instance, as if it never forgot."""
+    """A table that adopts any token of its instance, even if the flow expired."""
 
     def may_adopt(self, token: FlowToken) -> bool:
-        """Take any binding that is not here for a new one."""
+        """Treat any binding that is not in the table as new."""
         return True
 
 
-class ForgetfulReadoptingTable(ForgetfulTable):
-    """A forgetful table that adopts what a relay drew again and again."""
+class EagerExpiryReadoptingTable(EagerExpiryTable):
+    """An eager-expiry table that adopts a relay's binding repeatedly."""
 
     def may_adopt(self, token: FlowToken) -> bool:
-        """Do not ask whether it was adopted before."""
+        """Ignore whether the binding was adopted before."""
         return token.drawn_by_relay
 
 
 @dataclass(slots=True)
-class ThawingGiver(HandOverGiver):
-    """A giver that once goes on with flows whose hand-over has no answer."""
+class UnfreezingGiver(HandOverGiver):
+    """A giver that once resumes flows whose hand-over is unanswered."""
 
-    thawed: bool = False
+    has_unfrozen: bool = False
 
     def tick(self, now_s: float) -> list[Action]:
-        """Give up the transfers that are open and run their requests."""
+        """Abandon the open transfers and run their requests."""
         frozen = [flow for flow in self.table if flow.frozen]
-        if self.thawed or not frozen:
+        if self.has_unfrozen or not frozen:
             return HandOverGiver.tick(self, now_s)
-        self.thawed = True
+        self.has_unfrozen = True
         self._transfers.clear()
         actions: list[Action] = []
         for flow in frozen:
             flow.frozen = False
-            actions += self._go_on(flow, now_s)
+            actions += self._resume_requests(flow, now_s)
         return actions
 
-    def _go_on(self, flow: OwnedFlow, now_s: float) -> list[Action]:
+    def _resume_requests(self, flow: OwnedFlow, now_s: float) -> list[Action]:
         actions: list[Action] = []
         for request in flow.requests.values():
             if request.state == "waiting":
@@ -141,7 +141,7 @@
 
 
 class SecondSuccessorGiver(HandOverGiver):
-    """A giver that tries another successor when the first does not answer."""
+    """A giver that sends to another successor if the first does not answer."""
 
     def _send_again(self, now_s: float) -> list[Action]:
         transfers = list(self._transfers.values())
@@ -154,7 +154,7 @@
         return self._send(flows, successor, now_s)
 
 
-class ImpatientGiver(HandOverGiver):
+class CancellingGiver(HandOverGiver):
     """A giver that does not wait for requests in progress."""
 
     def _give_service(self, service: str, now_s: float) -> list[Action]:
@@ -167,7 +167,7 @@
 
 
 class EmptyWindowTaker(HandOverTaker):
-    """A taker that restores flows without their windows."""
+    """A taker that restores flows without their replay windows."""
 
     def _restore(self, message: HandOver, now_s: float) -> list[OwnedFlow]:
         flows = [
@@ -178,13 +178,13 @@
         return super()._restore(emptied, now_s)
 
 
-class RepeatingTaker(HandOverTaker):
-    """A taker that takes a copy of a hand-over in once more."""
+class DuplicateAcceptingTaker(HandOverTaker):
+    """A taker that accepts a duplicate of a hand-over again."""
 
     def take(
         self, sender: Identity, message: HandOver, leaving: bool, now_s: float
     ) -> tuple[list[OwnedFlow], list[Action]]:
-        """Drop what is here and take the copy."""
+        """Remove the flows held here and accept the duplicate."""
         self._accepted.clear()
         for flow in message.flows:
             self.table._flows.pop(flow.binding, None)
@@ -193,12 +193,12 @@
 
 
 class AnyIncarnationTaker(HandOverTaker):
-    """A taker that takes flows meant for an earlier process of its name."""
+    """A taker that accepts flows sent to an earlier process of the same name."""
 
     def take(
         self, sender: Identity, message: HandOver, leaving: bool, now_s: float
     ) -> tuple[list[OwnedFlow], list[Action]]:
-        """Take any flows."""
+        """Accept any flows."""
         mine = msgspec.structs.replace(
             message, successor_incarnation=self.table.me.incarnation
         )
--- a/endivepick/model/_flow_scenarios.py
+++ b/endivepick/model/_flow_scenarios.py
@@ -1,9 +1,9 @@
-"""Bounds under which the flow model is checked, and its mutations."""
+"""Bounds of the checks of the flow model, and its mutations."""
 
 from dataclasses import replace
 
 from endivepick.model import _flow_mutants as mutants
-from endivepick.model._forgetful import ForgetfulTable
+from endivepick.model._forgetful import EagerExpiryTable
 from endivepick.model._mutation import Mutation
 from endivepick.model._node import Parts
 from endivepick.model._world import Bounds, CallerRules
@@ -17,10 +17,12 @@
 _STOP = Bounds(_TWO, stops=("a",), attempts=2)
 _STOP_OF_THREE = replace(_STOP, names=_THREE)
 _STOP_AND_CRASH = replace(_STOP, crashes=1, restarts=1)
-_CLOSE = replace(_CRASH, closes=True, forgets=True)
-_FORGET_OPEN = replace(_CRASH, forgets=True, next_request=True)
-_FORGETFUL = Parts(table=ForgetfulTable)
-_CHAIN = Bounds(_THREE, stops=("a", "b"), attempts=1, in_turn=True, renews=False)
+_CLOSE = replace(_CRASH, closes_flow=True, expires_flows=True)
+_EXPIRE_OPEN = replace(_CRASH, expires_flows=True, next_request=True)
+_EAGER_EXPIRY = Parts(table=EagerExpiryTable)
+_CHAIN = Bounds(
+    _THREE, stops=("a", "b"), attempts=1, fixed_successor=True, receives_renewals=False
+)
 
 FLOW_SCENARIOS: dict[str, Bounds] = {
     "crash and false suspicion": replace(_CRASH, names=_THREE),
@@ -30,22 +32,24 @@
     "caller gives up during a stop": replace(_STOP, cancels=True, acknowledges=True),
     "planned stop, two candidates": _STOP_OF_THREE,
     "planned stop and crash": _STOP_AND_CRASH,
-    "planned stop, unused flows forgotten": replace(_STOP_OF_THREE, forgets=True),
+    "planned stop, unused flows forgotten": replace(_STOP_OF_THREE, expires_flows=True),
     "closed flow forgotten, crash": _CLOSE,
-    "closed flow forgotten, planned stop": replace(_STOP, closes=True, forgets=True),
-    "open flows forgotten, crash": replace(_FORGET_OPEN, parts=_FORGETFUL),
+    "closed flow forgotten, planned stop": replace(
+        _STOP, closes_flow=True, expires_flows=True
+    ),
+    "open flows forgotten, crash": replace(_EXPIRE_OPEN, parts=_EAGER_EXPIRY),
     "open flows forgotten, planned stop": replace(
-        _STOP, forgets=True, reissues=1, parts=_FORGETFUL
+        _STOP, expires_flows=True, reissues=1, parts=_EAGER_EXPIRY
     ),
-    "planned stop, time is up": replace(_STOP, time_up=True),
+    "planned stop, time is up": replace(_STOP, may_time_out=True),
     "planned stop, idempotent, time is up": replace(
-        _STOP, time_up=True, idempotent=True
+        _STOP, may_time_out=True, idempotent=True
     ),
     "planned stop, stream": replace(_STOP, stream=True, idempotent=True),
     "chain of planned stops": _CHAIN,
-    "chain of planned stops, crash": replace(_CHAIN, crashes=1, gives_up=False),
+    "chain of planned stops, crash": replace(_CHAIN, crashes=1, may_declare_dead=False),
 }
-"""By name, the bounds of each check."""
+"""Bounds of each check, by name."""
 
 
 def _mutation(name: str, bounds: Bounds, parts: Parts = Parts()) -> Mutation:  # noqa: B008
@@ -57,21 +61,21 @@
 
 
 FLOW_MUTATIONS: tuple[Mutation, ...] = (
-    _mutation("a relay says 'not run'", _CRASH, Parts(relay=mutants.RefusingRelay)),
+    _mutation("a relay reports 'not run'", _CRASH, Parts(relay=mutants.RefusingRelay)),
     _mutation(
-        "an owner is known without its incarnation",
+        "an owner is identified without its incarnation",
         _CRASH,
         Parts(relay=mutants.NameOnlyRelay, router=mutants.NameOnlyRouter),
     ),
     _mutation(
         "a crash re-issue keeps the binding",
         replace(_CRASH, next_request=True, attempts=3),
-        Parts(relay=mutants.ReusingRelay),
+        Parts(relay=mutants.BindingReusingRelay),
     ),
     _mutation(
-        "a refusal is not remembered",
+        "a refusal is not stored",
         _CRASH,
-        Parts(executor=mutants.ForgetfulExecutor),
+        Parts(executor=mutants.RefusalForgettingExecutor),
     ),
     _mutation(
         "a closed flow's binding is adopted again",
@@ -80,8 +84,8 @@
     ),
     _mutation(
         "a relay's binding is adopted again",
-        _FORGET_OPEN,
-        Parts(table=mutants.ForgetfulReadoptingTable),
+        _EXPIRE_OPEN,
+        Parts(table=mutants.EagerExpiryReadoptingTable),
     ),
     _caller_mutation(
         "a non-idempotent request is sent again under a new binding",
@@ -89,15 +93,17 @@
         CallerRules(resends_non_idempotent=True),
     ),
     _caller_mutation(
-        "the caller believes the last refusal",
+        "the caller trusts the last refusal",
         replace(_CRASH, idempotent=True),
         CallerRules(believes_last_refusal=True),
     ),
     _mutation(
-        "a flow thaws after its hand-over", _STOP, Parts(giver=mutants.ThawingGiver)
+        "a flow is unfrozen after its hand-over",
+        _STOP,
+        Parts(giver=mutants.UnfreezingGiver),
     ),
     _mutation(
-        "the window is lost at the hand-over",
+        "the replay window is lost in the hand-over",
         _STOP,
         Parts(taker=mutants.EmptyWindowTaker),
     ),
@@ -107,9 +113,9 @@
         Parts(giver=mutants.SecondSuccessorGiver),
     ),
     _mutation(
-        "a copy of a hand-over is taken in again",
+        "a duplicate of a hand-over is accepted again",
         _STOP,
-        Parts(taker=mutants.RepeatingTaker),
+        Parts(taker=mutants.DuplicateAcceptingTaker),
     ),
     _mutation(
         "a hand-over reaches another incarnation",
@@ -119,12 +125,12 @@
     _mutation(
         "a stop does not wait for the request in progress",
         _STOP,
-        Parts(giver=mutants.ImpatientGiver),
+        Parts(giver=mutants.CancellingGiver),
     ),
     _mutation(
         "'not run' after a second attempt while the first may have run",
         replace(_CRASH, idempotent=True),
-        Parts(executor=mutants.BlindExecutor),
+        Parts(executor=mutants.AttemptForgettingExecutor),
     ),
 )
-"""Changes of the flow's rules, each of which has to break an invariant."""
+"""Mutations of the flow rules; each must violate an invariant."""
--- a/endivepick/model/_forgetful.py
+++ b/endivepick/model/_forgetful.py
@@ -1,20 +1,20 @@
-"""A flow table that forgets more than the real one."""
+"""Flow table that expires more flows than the production table."""
 
 from endivepick.core.flow import OwnedFlow
 from endivepick.core.flow_table import FlowTable
 
-__all__ = ["ForgetfulTable"]
+__all__ = ["EagerExpiryTable"]
 
 
-class ForgetfulTable(FlowTable):
-    """A table that forgets open flows too, whatever is known of their requests.
+class EagerExpiryTable(FlowTable):
+    """A table that also expires open flows, whatever their request state.
 
-    No promise may depend on what is remembered of a flow that is not frozen and of
-    which nothing runs or waits.
+    No guarantee may depend on the stored state of a flow that is not frozen and has
+    no running or queued request.
     """
 
     def expire(self, now_s: float) -> list[OwnedFlow]:
-        """Forget all that can be forgotten."""
+        """Remove every flow that may be removed."""
         dropped = [
             flow
             for flow in self
--- a/endivepick/model/_freeze.py
+++ b/endivepick/model/_freeze.py
@@ -1,4 +1,4 @@
-"""Hashable pictures of mutable objects, by which equal states are recognised."""
+"""Hashable snapshots of mutable objects, used to recognise equal states."""
 
 from collections import deque
 from collections.abc import Hashable, Mapping
@@ -14,17 +14,17 @@
 
 
 def freeze(value: Any, skip: tuple[type, ...] = ()) -> Hashable:
-    """Return a hashable value that is equal for equal content.
+    """Return a hashable snapshot that compares equal for equal content.
 
-    Dictionaries keep their order, since the order in which they were filled can
-    decide what the code does next.
+    The order of dictionaries is part of the snapshot, because the insertion order
+    can decide what the code does next.
 
     Parameters
     ----------
     value : object
-        Object graph without cycles.
+        Acyclic object graph.
     skip : tuple of type
-        Types that hold no state; their objects are left out.
+        Stateless types; their instances are omitted.
 
     Examples
     --------
@@ -53,7 +53,7 @@
     if isinstance(value, msgspec.Struct):
         return [getattr(value, name) for name in value.__struct_fields__]
     if not hasattr(value, "__dict__") and not _slots(type(value)):
-        raise TypeError(f"Teach `freeze` to picture a {type(value).__name__}.")
+        raise TypeError(f"`freeze` does not support type {type(value).__name__}.")
     names = [*getattr(value, "__dict__", ()), *_slots(type(value))]
     return [getattr(value, name) for name in names]
 
--- a/endivepick/model/_memory.py
+++ b/endivepick/model/_memory.py
@@ -1,34 +1,34 @@
-"""States that real objects were found in, and what events make of them.
+"""Cache of the states of production objects and of their transitions.
 
-An object of the daemons' code can be changed but not compared.  Here each of its
-states gets a number; an event is handled by a copy, and the outcome is remembered.
+Objects of the daemons' code are mutable and cannot be compared.  The cache numbers
+each of their states, lets a copy handle each event and stores the outcome.
 """
 
 from collections.abc import Callable, Hashable
 from copy import deepcopy
 from typing import Any, Generic, TypeVar
 
-__all__ = ["Memory"]
+__all__ = ["TransitionCache"]
 
 T = TypeVar("T")
 R = TypeVar("R")
 
 
-class Memory(Generic[T]):
-    """States of objects of one kind, by number.
+class TransitionCache(Generic[T]):
+    """Numbered states of objects of one type, with their transitions.
 
     Parameters
     ----------
     freeze : callable
-        Returns a hashable picture of everything that an object's later behaviour
-        depends on.
+        Returns a hashable snapshot of everything that the later behaviour of an
+        object depends on.
 
     Examples
     --------
-    >>> memory = Memory(tuple)
-    >>> empty = memory.number_of([])
-    >>> after, popped = memory.after(empty, "append", lambda items: items.append(1))
-    >>> memory[empty], memory[after]
+    >>> cache = TransitionCache(tuple)
+    >>> empty = cache.number_of([])
+    >>> after, _ = cache.apply_event(empty, "append", lambda items: items.append(1))
+    >>> cache[empty], cache[after]
     ([], [1])
     """
 
@@ -39,11 +39,11 @@
         self._outcomes: dict[Hashable, tuple[int, Any]] = {}
 
     def __getitem__(self, number: int) -> T:
-        """Return the object in a state; it must not be changed."""
+        """Return the object in a state; the caller must not modify it."""
         return self._objects[number]
 
     def number_of(self, one: T) -> int:
-        """Return the number of an object's state; the object is kept."""
+        """Return the number of an object's state and keep the object."""
         frozen = self._freeze(one)
         number = self._numbers.get(frozen)
         if number is None:
@@ -52,13 +52,13 @@
             self._objects.append(one)
         return number
 
-    def after(
+    def apply_event(
         self, number: int, event: Hashable, act: Callable[[T], R]
     ) -> tuple[int, R]:
-        """Return the state after an event, and what ``act`` returned.
+        """Return the state after an event and the return value of ``act``.
 
-        ``act`` may change its argument; it has to depend on nothing but that and
-        the event.
+        ``act`` may modify its argument.  Its result must depend only on its argument
+        and on the event.
         """
         outcome = self._outcomes.get((number, event))
         if outcome is None:
--- a/endivepick/model/_mutation.py
+++ b/endivepick/model/_mutation.py
@@ -1,4 +1,4 @@
-"""A deliberate change of one rule."""
+"""Mutation: a specification in which one rule is deliberately broken."""
 
 from dataclasses import dataclass
 
@@ -14,9 +14,9 @@
     Attributes
     ----------
     name : str
-        What is broken.
+        Description of the broken rule.
     specification : Specification
-        The specification with the broken rule; an invariant must fail.
+        Specification with the broken rule; an invariant must fail.
     """
 
     name: str
--- a/endivepick/model/_node.py
+++ b/endivepick/model/_node.py
@@ -1,7 +1,7 @@
-"""One instance of the model: the real parts of the decision core.
+"""Instance of the flow model, built from the production decision core.
 
-Each handling of an event works on a copy, so that a state can be left in several
-ways; the outcome is remembered for each pair of state and event.
+Each event is handled by a copy of the instance, so one state can have several
+successors.  The outcome is cached for each pair of state and event.
 """
 
 from collections.abc import Callable, Hashable
@@ -31,15 +31,15 @@
 from endivepick.core.token import TokenCodec
 from endivepick.model._choices import ZONE, AllServices, ChoiceDispatcher, ChoicePeers
 from endivepick.model._events import (
-    Ended,
+    AttemptEnded,
+    BeginStop,
+    ContinueHandOver,
     Event,
-    Forget,
-    Give,
+    ExpireFlows,
     Packet,
-    Peer,
-    Stop,
-    TimeUp,
-    Turn,
+    PeerMessage,
+    PlaceQueued,
+    StopDeadline,
 )
 from endivepick.model._freeze import freeze
 
@@ -48,15 +48,15 @@
 SERVICE = "notes"
 CALLER = ("127.0.0.1", 1)
 NOW_S = 0.0
-LATER_S = 1000.0
-"""Time at which closed and unused flows are forgotten; tokens are still valid."""
+AFTER_EXPIRY_S = 1000.0
+"""Time at which closed and unused flows have expired but tokens are still valid."""
 SETTINGS = FlowSettings(hand_over_retry_s=0.0)
 CODEC = TokenCodec(first_keyring(bytes(32), NOW_S), SETTINGS.token_lifetime_s)
 
 
 @dataclass(frozen=True)
 class Parts:
-    """Classes that an instance is built of; a mutation replaces one."""
+    """Classes that an instance consists of; a mutation replaces one."""
 
     table: Callable[..., FlowTable] = FlowTable
     owner: Callable[..., FlowOwner] = FlowOwner
@@ -68,8 +68,8 @@
 
 
 @dataclass
-class _Ids:
-    """Numbers that differ between instances and incarnations."""
+class _IdSequence:
+    """Sequence of numbers that are unique across instances and incarnations."""
 
     next_id: int
 
@@ -92,14 +92,14 @@
 
 @dataclass
 class Node:
-    """The decision core of one instance.
+    """Decision core of one instance.
 
     Parameters
     ----------
     me : Identity
         Name and incarnation.
     parts : Parts
-        Classes that it is built of.
+        Classes that the instance consists of.
     """
 
     me: Identity
@@ -107,17 +107,17 @@
     _hand_over: _HandOverChoice = field(default_factory=_HandOverChoice)
 
     def __post_init__(self) -> None:
-        parts, ids = self.parts, _Ids(1000 * self.me.incarnation)
+        parts, ids = self.parts, _IdSequence(1000 * self.me.incarnation)
         self._ids = ids
         self.peers = ChoicePeers(self.me)
         self.dispatcher = ChoiceDispatcher()
         self.table = parts.table(SETTINGS, self.me, ids, unused_max=0)
-        # When it last looked for expired tokens must not tell states apart.
-        self.table.expire(LATER_S)
-        self._executor = parts.executor(SETTINGS, self.table, _no_chance)
+        # Fixes the time of the last expiry scan, which must not distinguish states.
+        self.table.expire(AFTER_EXPIRY_S)
+        self._executor = parts.executor(SETTINGS, self.table, _fixed_random)
         self._executor.dispatchers[SERVICE] = self.dispatcher  # type: ignore[assignment]
         self.owner = parts.owner(
-            SETTINGS, self.table, CODEC, self._executor, _no_chance
+            SETTINGS, self.table, CODEC, self._executor, _fixed_random
         )
         relay = parts.relay(self.me, self.peers, CODEC, ids, 1.0, _no_zones)
         self._router = parts.router(
@@ -134,63 +134,63 @@
         self._taker = parts.taker(SETTINGS, self.table, self._executor)
 
     def frozen(self) -> Hashable:
-        """Return a picture of everything that later behaviour depends on."""
-        seen_once = (FlowSettings, ChoiceDispatcher, FlowTable, RequestExecutor)
+        """Return a snapshot of everything that later behaviour depends on."""
+        excluded_types = (FlowSettings, ChoiceDispatcher, FlowTable, RequestExecutor)
         return (
             self.me,
             freeze(self.table),
-            freeze(vars(self._executor), skip=seen_once),
+            freeze(vars(self._executor), skip=excluded_types),
             freeze(self.dispatcher.pending),
-            freeze(self.giver, skip=seen_once),
-            freeze(self._taker, skip=seen_once),
+            freeze(self.giver, skip=excluded_types),
+            freeze(self._taker, skip=excluded_types),
             self.owner.leaving,
             self._ids.next_id,
         )
 
     def open_flow(self) -> Opened:
-        """Open the flow that the model follows."""
+        """Open the flow under test."""
         actions = self.owner.open_flow(SERVICE, 1, CALLER, NOW_S)
         [sent] = [action for action in actions if isinstance(action, SendToCaller)]
         assert isinstance(sent.packet, Opened)
         return sent.packet
 
     def handle(self, event: Event) -> list[Action]:
-        """Take one event."""
+        """Handle one event and return the actions of the decision core."""
         match event:
             case Packet(datagram=datagram, view=view, placement=placement):
-                self.peers.believe(view)
-                self.dispatcher.choose(placement)
+                self.peers.set_view(view)
+                self.dispatcher.set_placement(placement)
                 return self._packet(datagram)
-            case Ended(placement=placement):
-                self.dispatcher.choose(placement)
+            case AttemptEnded(placement=placement):
+                self.dispatcher.set_placement(placement)
                 return self._ended(event)
-            case Turn(request_id=request_id, placement=placement):
-                self.dispatcher.choose(placement)
-                decisions = self.dispatcher.turn(request_id)
+            case PlaceQueued(request_id=request_id, placement=placement):
+                self.dispatcher.set_placement(placement)
+                decisions = self.dispatcher.place_queued(request_id)
                 return self._executor.carry_out(decisions, NOW_S)
-            case Stop():
+            case BeginStop():
                 self.owner.begin_leaving(NOW_S, 0.0)
                 return []
-            case Give(successor=successor, dead=dead):
+            case ContinueHandOver(successor=successor, dead=dead):
                 self._hand_over.successor = successor
                 self._hand_over.dead = dead
                 return self.giver.tick(NOW_S)
-            case Peer(successor=successor, placement=placement):
+            case PeerMessage(successor=successor, placement=placement):
                 self._hand_over.successor = successor
-                self.dispatcher.choose(placement)
+                self.dispatcher.set_placement(placement)
                 return self._peer(event)
-            case TimeUp(successor=successor):
+            case StopDeadline(successor=successor):
                 self._hand_over.successor = successor
                 return self.giver.cut()
-            case Forget():
-                self.table.expire(LATER_S)
+            case ExpireFlows():
+                self.table.expire(AFTER_EXPIRY_S)
                 return []
 
     def _packet(self, datagram: bytes) -> list[Action]:
         packet = decode_caller_packet(datagram)
         return self._router.route(packet, CALLER, datagram, 0, NOW_S)
 
-    def _ended(self, event: Ended) -> list[Action]:
+    def _ended(self, event: AttemptEnded) -> list[Action]:
         request_id, attempt = event.request_id, event.attempt
         if event.kind is FinishKind.OK:
             answer = AttemptAnswered(request_id, attempt, 200, [], b"", 0.0)
@@ -198,14 +198,14 @@
         failed = AttemptFailed(request_id, attempt, event.kind, 0.0)
         return self._executor.failed(failed, NOW_S)
 
-    def _peer(self, event: Peer) -> list[Action]:
+    def _peer(self, event: PeerMessage) -> list[Action]:
         message: Any = decode_struct(event.data, event.kind)
         match message:
             case HandOver():
                 leaving = self.owner.leaving
                 flows, actions = self._taker.take(event.sender, message, leaving, NOW_S)
-                told = [self.owner.reissue(flow, NOW_S) for flow in flows]
-                return told + actions
+                reissued = [self.owner.reissue(flow, NOW_S) for flow in flows]
+                return reissued + actions
             case HandOverAccepted(transfer_id=transfer_id):
                 return self.giver.accepted(event.sender, transfer_id)
             case HandOverRefused(transfer_id=transfer_id):
@@ -217,7 +217,7 @@
     return frozenset()
 
 
-def _no_chance() -> float:
+def _fixed_random() -> float:
     return 0.5
 
 
--- a/endivepick/model/_other_scenarios.py
+++ b/endivepick/model/_other_scenarios.py
@@ -1,4 +1,4 @@
-"""Bounds of all models but the flow's, and their mutations."""
+"""Bounds of the checks of all models except the flow model, and their mutations."""
 
 from collections.abc import Callable
 from dataclasses import replace
@@ -34,52 +34,52 @@
 _NO_DELETION = (True, True)
 
 
-class BackwardsCache(RecordCache):
-    """A cache that takes any version that differs from the one held."""
+class RevertingCache(RecordCache):
+    """A cache that accepts any version other than the one held."""
 
     def offer(self, offered: StoredObject) -> Change | None:
-        """Take the version unless it is held."""
+        """Accept the version unless it is held already."""
         held = self._objects.get(offered.key)
         if held is not None and held.version == offered.version:
             return None
         return self._accept(held, offered)
 
 
-class DeletionBlindCache(RecordCache):
-    """A cache that takes what it does not hold, however old."""
+class TombstoneIgnoringCache(RecordCache):
+    """A cache that accepts any object it does not hold, even if it was deleted."""
 
     def offer(self, offered: StoredObject) -> Change | None:
-        """Compare with the version held only."""
+        """Compare only with the version held and ignore deletions."""
         held = self._objects.get(offered.key)
         if held is not None and held.version >= offered.version:
             return None
         return self._accept(held, offered)
 
 
-class HastyReadiness(Readiness):
-    """A start that does not wait for the peers."""
+class PeerIgnoringReadiness(Readiness):
+    """A readiness check that does not wait for the peers."""
 
     def update(self, revision: int, reachable: Any, now_s: float) -> bool:
-        """Be ready with whatever the platform listed."""
+        """Become ready as soon as the platform has returned a list."""
         self.ready = self.ready or self._listed
         return self.ready
 
 
-class CredulousReadiness(Readiness):
-    """A start that takes any digest for the answer to its own question."""
+class AnyDigestReadiness(Readiness):
+    """A readiness check that accepts any digest as the reply to its question."""
 
     def heard(self, name: str, digest: ConfigDigest) -> None:
-        """Overlook which question the digest answers."""
+        """Ignore which question the digest replies to."""
         super().heard(name, msgspec.structs.replace(digest, answered=self.question))
 
 
-class CarelessDispatcher(ServiceDispatcher):
-    """A dispatcher that repeats every request whose connection broke."""
+class AllIdempotentDispatcher(ServiceDispatcher):
+    """A dispatcher that retries every request whose connection broke."""
 
     def submit(
         self, intent: RequestIntent, now_s: float, random_number: float
     ) -> list[Decision]:
-        """Take every request for idempotent."""
+        """Treat every request as idempotent."""
         return super().submit(replace(intent, idempotent=True), now_s, random_number)
 
 
@@ -109,58 +109,58 @@
         ConfigBounds(messages=2, history=_NO_DELETION)
     ),
     "configuration, one cut off": _configuration(
-        ConfigBounds(messages=6, restarts=0, cut_off=True)
+        ConfigBounds(messages=6, restarts=0, first_isolated=True)
     ),
     "configuration, one cut off starts again": _configuration(
-        ConfigBounds(messages=5, history=_NO_DELETION, cut_off=True)
+        ConfigBounds(messages=5, history=_NO_DELETION, first_isolated=True)
     ),
-    "keys, two rotations": _keys(KeyBounds(rotations=2, cuts=0, restarts=0)),
-    "keys, restarts": _keys(KeyBounds(cuts=0)),
+    "keys, two rotations": _keys(KeyBounds(rotations=2, isolations=0, restarts=0)),
+    "keys, restarts": _keys(KeyBounds(isolations=0)),
     "keys, one cut off": _keys(KeyBounds(restarts=0)),
     **REGISTRY_SCENARIOS,
     **EVIDENCE_SCENARIOS,
     **CHANGE_SCENARIOS,
     **RESTART_SCENARIOS,
 }
-"""By name, what builds the specification of each check."""
+"""Factories of the specifications to check, by name."""
 
 _MUTATIONS: dict[str, Callable[[str], Specification]] = {
     **REGISTRY_MUTATIONS,
     **EVIDENCE_MUTATIONS,
     **CHANGE_MUTATIONS,
     **RESTART_MUTATIONS,
-    "a target runs whatever reaches it": _placement(
+    "a target runs any request": _placement(
         PlacementBounds(False, rules=TargetRules(service=False, incarnation=False))
     ),
     "a non-idempotent request is sent to a second target": _placement(
-        PlacementBounds(False, parts=PlacementParts(dispatcher=CarelessDispatcher))
+        PlacementBounds(False, parts=PlacementParts(dispatcher=AllIdempotentDispatcher))
     ),
-    "a configuration version may go back": _configuration(
-        ConfigBounds(messages=0, restarts=0, parts=ConfigParts(cache=BackwardsCache))
+    "a configuration version may revert": _configuration(
+        ConfigBounds(messages=0, restarts=0, parts=ConfigParts(cache=RevertingCache))
     ),
     "a deletion is forgotten": _configuration(
         ConfigBounds(
-            messages=0, restarts=0, parts=ConfigParts(cache=DeletionBlindCache)
+            messages=0, restarts=0, parts=ConfigParts(cache=TombstoneIgnoringCache)
         )
     ),
     "an instance serves before its peers answered": _configuration(
         ConfigBounds(
             history=_NO_DELETION,
             messages=0,
-            parts=ConfigParts(readiness=HastyReadiness),
+            parts=ConfigParts(readiness=PeerIgnoringReadiness),
         )
     ),
     "an answer to an earlier process of the name counts": _configuration(
         ConfigBounds(
             history=_NO_DELETION,
             messages=2,
-            parts=ConfigParts(readiness=CredulousReadiness),
+            parts=ConfigParts(readiness=AnyDigestReadiness),
         )
     ),
-    "a key is used before it is everywhere": _keys(
-        KeyBounds(cuts=0, restarts=0, rules=KeyRules(may_activate=_always))
+    "a key is used before all instances hold it": _keys(
+        KeyBounds(isolations=0, restarts=0, rules=KeyRules(may_activate=_always))
     ),
-    "a key goes before the tokens of a cut-off instance": _keys(
+    "a key is retired before the tokens of an isolated instance expire": _keys(
         KeyBounds(restarts=0, rules=KeyRules(settings=RotationSettings(2, 0)))
     ),
 }
@@ -168,4 +168,4 @@
 OTHER_MUTATIONS: tuple[Mutation, ...] = tuple(
     Mutation(name, build(name)) for name, build in _MUTATIONS.items()
 )
-"""Changes of rules outside the flow's, each of which has to break an invariant."""
+"""Mutations of rules outside the flow model; each must violate an invariant."""
--- a/endivepick/model/_placement_node.py
+++ b/endivepick/model/_placement_node.py
@@ -1,4 +1,4 @@
-"""Owner of the placement model: the real dispatcher, executor and owner."""
+"""Owner of the placement model, built from the production decision core."""
 
 from collections.abc import Callable, Hashable
 from dataclasses import dataclass
@@ -23,13 +23,20 @@
 from endivepick.model._node import CODEC, NOW_S
 from endivepick.records.model import Affinity, ServiceRecord, TargetRecord
 
-__all__ = ["Copy", "Finished", "PlacementNode", "PlacementParts", "Probed", "SERVICE"]
+__all__ = [
+    "RequestCopy",
+    "Finished",
+    "PlacementNode",
+    "PlacementParts",
+    "Probed",
+    "SERVICE",
+]
 
 SERVICE = "notes"
 ZONE = "zone"
 TARGETS = ("t0", "t1")
 CALLER = ("127.0.0.1", 1)
-TIE = 0.5
+FIXED_RANDOM = 0.5
 FLOW = FlowSettings()
 DISPATCH = DispatchSettings(attempts=2)
 RECORD = ServiceRecord(
@@ -43,20 +50,20 @@
         for index, name in enumerate(TARGETS)
     ),
 )
-_NO_STATE = (FlowSettings, DispatchSettings, ServiceRecord, TokenCodec)
+_STATELESS_TYPES = (FlowSettings, DispatchSettings, ServiceRecord, TokenCodec)
 
 
 @dataclass(frozen=True)
 class PlacementParts:
-    """Classes that the owner is built of; a mutation replaces one."""
+    """Classes that the owner consists of; a mutation replaces one."""
 
     dispatcher: Callable[..., ServiceDispatcher] = ServiceDispatcher
     executor: Callable[..., RequestExecutor] = RequestExecutor
 
 
 @dataclass(frozen=True)
-class Copy:
-    """A copy of the one request arrives."""
+class RequestCopy:
+    """A copy of the request arrives."""
 
     idempotent: bool
 
@@ -79,7 +86,7 @@
     incarnation: int
 
 
-Event = Copy | Finished | Probed
+Event = RequestCopy | Finished | Probed
 
 
 class PlacementNode:
@@ -88,28 +95,30 @@
     Parameters
     ----------
     parts : PlacementParts
-        Classes that it is built of.
+        Classes that the owner consists of.
     """
 
     def __init__(self, parts: PlacementParts) -> None:
         me = Identity("a", 1)
         self._table = FlowTable(FLOW, me, lambda: 7)
-        self._executor = parts.executor(FLOW, self._table, lambda: TIE)
+        self._executor = parts.executor(FLOW, self._table, lambda: FIXED_RANDOM)
         self._dispatcher = parts.dispatcher(DISPATCH, RECORD, ZONE, NOW_S)
         self._executor.dispatchers[SERVICE] = self._dispatcher
-        self._owner = FlowOwner(FLOW, self._table, CODEC, self._executor, lambda: TIE)
+        self._owner = FlowOwner(
+            FLOW, self._table, CODEC, self._executor, lambda: FIXED_RANDOM
+        )
         self._owner.open_flow(SERVICE, 1, CALLER, NOW_S)
 
     def frozen(self) -> Hashable:
-        """Return a picture of everything that later behaviour depends on."""
+        """Return a snapshot of everything that later behaviour depends on."""
         parts = [self._table, vars(self._executor)]
-        return freeze(parts, skip=_NO_STATE)
+        return freeze(parts, skip=_STATELESS_TYPES)
 
     def handle(self, event: Event) -> list[Action]:
-        """Take one event."""
+        """Handle one event and return the actions of the decision core."""
         match event:
-            case Copy(idempotent=idempotent):
-                return self._copy(idempotent)
+            case RequestCopy(idempotent=idempotent):
+                return self._handle_request(idempotent)
             case Probed(target=target, service=service, incarnation=incarnation):
                 outcome = ProbeResult(TargetHealth.READY, service, incarnation)
                 decisions = self._dispatcher.on_probe(target, NOW_S, outcome)
@@ -123,7 +132,7 @@
                 failed = AttemptFailed(event.request_id, event.attempt, event.kind, 0.0)
                 return self._executor.failed(failed, NOW_S)
 
-    def _copy(self, idempotent: bool) -> list[Action]:
+    def _handle_request(self, idempotent: bool) -> list[Action]:
         flow = next(iter(self._table))
         data = encode_struct(RequestHead("POST", "/", [], b""))
         packet = RequestPart(b"", 1, 0, 1, idempotent, 30_000, data)
--- a/endivepick/model/_registry_mutants.py
+++ b/endivepick/model/_registry_mutants.py
@@ -25,38 +25,38 @@
     Entry("i-1", _READY),
     Entry("i-1", None),
 )
-_STARTS_AGAIN = (
+_RESTARTED = (
     Entry("i-1", _READY, 5),
     Entry("i-1", _DRAINING, 5),
     Entry("i-1", None),
     Entry("i-1", _READY, 9),
 )
-_STARTS_TWICE = (
+_LATE_WRITE = (
     Entry("i-1", _READY, 5),
     Entry("i-1", _READY, 9),
     Entry("i-1", _DRAINING, 5),
 )
-"""The last one was written late by the incarnation that had ended."""
+"""The last entry is a delayed write by the incarnation that had ended."""
 
 
-class RemovalsUntold(TargetRegistry):
-    """Tells others of entries only."""
+class OmitsRemovals(TargetRegistry):
+    """A registry that omits removals from its answers."""
 
     def news_since(self, revision: int) -> RegistryNews:
-        """Leave out what vanished."""
+        """Omit the removed targets."""
         return replace(super().news_since(revision), removed=[])
 
 
-class NeverWhole(TargetRegistry):
-    """Takes what it tells for changes, whatever it has forgotten."""
+class AlwaysSendsDelta(TargetRegistry):
+    """A registry that sends a delta even if its history is incomplete."""
 
     def news_since(self, revision: int) -> RegistryNews:
-        """Say that the rest stays as it is."""
+        """Mark the answer as a delta."""
         return replace(super().news_since(revision), whole=False)
 
 
-class ListsHideNothing(TargetRegistry):
-    """Believes that a list shows all that happened before it."""
+class KeepsHistoryAcrossLists(TargetRegistry):
+    """A registry that assumes that a list shows all earlier changes."""
 
     def take_list(
         self,
@@ -65,28 +65,28 @@
         now_s: float,
         unreadable: Iterable[str] = (),
     ) -> list[BeliefChange]:
-        """Forget that entries may have come and gone."""
+        """Ignore that entries may have been added and removed before the list."""
         before = self.told_from
         changes = super().take_list(targets, revision, now_s, unreadable)
         self.told_from = before
         return changes
 
 
-class UnseenEntriesIgnored(TargetRegistry):
-    """Takes no note of entries that came and went between two answers."""
+class IgnoresUnseenEntries(TargetRegistry):
+    """A registry that ignores entries added and removed between two responses."""
 
     def take_removal(
         self, name: str, revision: int, now_s: float
     ) -> list[BeliefChange]:
-        """Forget what was not known."""
+        """Ignore the removal of an unknown entry."""
         before = self.told_from
         changes = super().take_removal(name, revision, now_s)
         self.told_from = before
         return changes
 
 
-class ForgetsWithoutNote(TargetRegistry):
-    """Forgets targets, and that it has."""
+class KeepsHistoryAfterExpiry(TargetRegistry):
+    """A registry that does not record that it removed targets."""
 
     def _forget(self, belief: TargetBelief) -> None:
         before = self.told_from
@@ -94,8 +94,8 @@
         self.told_from = before
 
 
-class OldListsBelieved(TargetRegistry):
-    """Takes any list for the newest."""
+class AcceptsStaleLists(TargetRegistry):
+    """A registry that accepts stale lists."""
 
     def take_list(
         self,
@@ -104,61 +104,61 @@
         now_s: float,
         unreadable: Iterable[str] = (),
     ) -> list[BeliefChange]:
-        """Go back to the list's revision."""
+        """Revert to the revision of the list."""
         self.revision = min(self.revision, revision)
         return super().take_list(targets, revision, now_s, unreadable)
 
 
-class OldNewsBelieved(TargetRegistry):
-    """Takes whatever others tell for news."""
+class AcceptsStaleNews(TargetRegistry):
+    """A registry that accepts stale answers of other instances."""
 
     def take_news(self, news: RegistryNews, now_s: float) -> list[BeliefChange]:
-        """Go back to what the other knew."""
+        """Revert to a revision before that of the answer."""
         self.revision = min(self.revision, news.revision - 1)
         return super().take_news(news, now_s)
 
 
-class UnknownEntriesNew(TargetRegistry):
-    """Takes an unknown entry for a new one, however old the news."""
+class AcceptsStaleUnknownEntries(TargetRegistry):
+    """A registry that treats any unknown entry as new, whatever its revision."""
 
     def take_entry(self, target: Target, now_s: float) -> list[BeliefChange]:
-        """Compare with the entry that is known only."""
+        """Compare only with the known entry."""
         self.revision = max(self.revision, target.revision)
         return self._take(target, now_s)
 
 
-class OldRemovalsBelieved(TargetRegistry):
-    """Takes a removal for news although the entry was written since."""
+class AcceptsStaleRemovals(TargetRegistry):
+    """A registry that accepts a removal older than the entry."""
 
     def take_removal(
         self, name: str, revision: int, now_s: float
     ) -> list[BeliefChange]:
-        """Forget when the entry was written."""
+        """Discard the revision of the entry."""
         belief = self.get(name)
         if belief is not None:
             belief.revision = 0
         return super().take_removal(name, revision, now_s)
 
 
-class StartsUntold(TargetRegistry):
-    """Does not tell when targets started."""
+class OmitsStartTimes(TargetRegistry):
+    """A registry that omits start times from its answers."""
 
     def news_since(self, revision: int) -> RegistryNews:
-        """Leave out the time of start."""
+        """Omit the start times."""
         news = super().news_since(revision)
         targets = [replace(target, born_ms=0) for target in news.targets]
         return replace(news, targets=targets)
 
 
-class StartsOverlooked(TargetRegistry):
-    """Takes a name for the identity."""
+class IgnoresStartTimes(TargetRegistry):
+    """A registry that identifies a target by its name and ignores its start time."""
 
     def _take(self, target: Target, now_s: float) -> list[BeliefChange]:
         return super()._take(replace(target, born_ms=0), now_s)
 
 
-class OldEntriesBelieved(TargetRegistry):
-    """Takes any writing of an entry for the newest."""
+class AcceptsStaleEntries(TargetRegistry):
+    """A registry that accepts stale writes of an entry."""
 
     def _take(self, target: Target, now_s: float) -> list[BeliefChange]:
         belief = self.get(target.name)
@@ -180,29 +180,29 @@
         RegistryBounds(history=_LAPSE_AND_RETURN, messages=1, restarts=0)
     ),
     "registry, target starts again": _registry(
-        RegistryBounds(history=_STARTS_AGAIN, messages=1, restarts=0)
+        RegistryBounds(history=_RESTARTED, messages=1, restarts=0)
     ),
     "registry, target starts twice": _registry(
-        RegistryBounds(history=_STARTS_TWICE, messages=2, restarts=0)
+        RegistryBounds(history=_LATE_WRITE, messages=2, restarts=0)
     ),
 }
-"""By name, what builds the specification of each check."""
+"""Factories of the specifications to check, by name."""
 
 _MUTANTS: dict[str, type[TargetRegistry]] = {
-    "a feeder does not tell what vanished": RemovalsUntold,
-    "a feeder tells changes beyond its memory": NeverWhole,
-    "a list is taken for a history": ListsHideNothing,
-    "entries that came and went unseen are not noted": UnseenEntriesIgnored,
-    "a forgotten target is not noted": ForgetsWithoutNote,
-    "an old list is believed": OldListsBelieved,
-    "old news of a feeder are believed": OldNewsBelieved,
-    "an unknown entry is taken for a new one": UnknownEntriesNew,
-    "an old removal is believed": OldRemovalsBelieved,
-    "an old entry is believed": OldEntriesBelieved,
+    "a feeder omits removals": OmitsRemovals,
+    "a feeder sends a delta beyond its history": AlwaysSendsDelta,
+    "a list is treated as a complete history": KeepsHistoryAcrossLists,
+    "unseen entries are not recorded": IgnoresUnseenEntries,
+    "the removal of a target is not recorded": KeepsHistoryAfterExpiry,
+    "a stale list is accepted": AcceptsStaleLists,
+    "a stale answer of a feeder is accepted": AcceptsStaleNews,
+    "an unknown entry is treated as new": AcceptsStaleUnknownEntries,
+    "a stale removal is accepted": AcceptsStaleRemovals,
+    "a stale entry is accepted": AcceptsStaleEntries,
 }
-_START_MUTANTS: dict[str, type[TargetRegistry]] = {
-    "a feeder does not tell when targets started": StartsUntold,
-    "a name is taken for an incarnation": StartsOverlooked,
+_START_TIME_MUTANTS: dict[str, type[TargetRegistry]] = {
+    "a feeder omits start times": OmitsStartTimes,
+    "a name is treated as an incarnation": IgnoresStartTimes,
 }
 
 REGISTRY_MUTATIONS: dict[str, Callable[[str], Specification]] = {
@@ -210,8 +210,8 @@
     for name, mutant in _MUTANTS.items()
 } | {
     name: _registry(
-        RegistryBounds(history=_STARTS_TWICE, messages=1, restarts=0, registry=mutant)
+        RegistryBounds(history=_LATE_WRITE, messages=1, restarts=0, registry=mutant)
     )
-    for name, mutant in _START_MUTANTS.items()
+    for name, mutant in _START_TIME_MUTANTS.items()
 }
-"""By name, what builds the specification with one rule broken."""
+"""Factories of the specifications with one broken rule, by name."""
--- a/endivepick/model/_restart_mutants.py
+++ b/endivepick/model/_restart_mutants.py
@@ -1,4 +1,4 @@
-"""Cores with one rule on restarts broken, and the checks of the restart model."""
+"""Decision cores with one restart rule broken, and the checks of the restart model."""
 
 from collections.abc import Callable
 from dataclasses import replace
@@ -20,53 +20,53 @@
 
 __all__ = ["RESTART_MUTATIONS", "RESTART_SCENARIOS"]
 
-_LAST_AHEAD_S = 2.0
-"""How far the target's clock is ahead of the true time in the checks of clocks."""
+_CLOCK_OFFSET_S = 2.0
+"""Offset of the target's clock from the true time in the clock checks."""
 
 
-class StartsIgnored(ForwardingCore):
-    """Takes an id for the identity."""
+class IgnoresStartTimes(ForwardingCore):
+    """A core that identifies a target by its id and ignores its start time."""
 
     def on_target(self, target: Target, now_s: float) -> None:
-        """Forget when the target started."""
+        """Discard the start time of the target."""
         super().on_target(replace_fields(target, born_ms=0), now_s)
 
 
-class FormerProbesCount(ForwardingCore):
-    """Takes a probe for one of whoever is known now."""
+class AcceptsFormerProbes(ForwardingCore):
+    """A core that attributes each probe to the current incarnation."""
 
     def on_probe(self, result: ProbeResult, now_s: float) -> None:
-        """Forget which incarnation was probed."""
+        """Discard the incarnation that was probed."""
         super().on_probe(replace_fields(result, probed_born_ms=0), now_s)
 
 
-class NewestClock(ForwardingCore):
-    """Believes the time of day as it is now."""
+class FollowsWallClock(ForwardingCore):
+    """A core that adopts every change of the wall clock."""
 
     def on_wall_clock(self, ahead_s: float) -> None:
-        """Follow each jump."""
+        """Adopt the current offset."""
         self._wall_ahead_s = ahead_s
 
 
-class StartIsNow(ForwardingCore):
-    """Takes the time at which a start is learnt for that of the start."""
+class UsesDiscoveryTime(ForwardingCore):
+    """A core that uses the time at which it learns of a start as the start time."""
 
     def _earliest_start_s(self, target: Target, now_s: float) -> float:
         return now_s
 
 
-class NothingReset(ForwardingCore):
-    """Leaves all flows to the new incarnation."""
+class KeepsAllFlows(ForwardingCore):
+    """A core that assigns all flows to the new incarnation."""
 
     def _earliest_start_s(self, target: Target, now_s: float) -> float:
         return float("-inf")
 
 
-class AllReset(EvidenceJudge):
-    """Resets whatever was sent to the name."""
+class ResetsAllFlowsJudge(EvidenceJudge):
+    """A judge that resets all flows to the name of a restarted target."""
 
     def restarted(self, restart: TargetRestart, began_s: float) -> list[Effect]:
-        """Forget when flows were opened."""
+        """Ignore when the flows were opened."""
         name, reason = restart.before.name, ResetReason.TARGET_RESTARTED
         return [
             Reset(flow.key, flow.acknowledged, reason, name)
@@ -74,12 +74,14 @@
         ]
 
 
-class AllResetCore(ForwardingCore):
-    """A core with that judge."""
+class ResetsAllFlowsCore(ForwardingCore):
+    """A core that uses `ResetAllFlowsJudge`."""
 
     def on_target(self, target: Target, now_s: float) -> None:
-        """Let the judge reset all flows."""
-        judge = AllReset(self.settings, self.registry, self.flows, self.routes)
+        """Install the judge, then handle the target."""
+        judge = ResetsAllFlowsJudge(
+            self.settings, self.registry, self.flows, self.routes
+        )
         self._judge = judge
         super().on_target(target, now_s)
 
@@ -88,31 +90,33 @@
     return lambda name: restart_specification(name, bounds)
 
 
-_AHEAD = RestartBounds(target_ahead_s=_LAST_AHEAD_S)
+_AHEAD = RestartBounds(target_ahead_s=_CLOCK_OFFSET_S)
 _JUMPS = RestartBounds(jumps=True)
 
 RESTART_SCENARIOS: dict[str, Callable[[str], Specification]] = {
     "restarts": _restarts(RestartBounds()),
     "restarts, the target's clock is ahead": _restarts(_AHEAD),
     "restarts, the target's clock is behind": _restarts(
-        RestartBounds(target_ahead_s=-_LAST_AHEAD_S)
+        RestartBounds(target_ahead_s=-_CLOCK_OFFSET_S)
     ),
     "restarts, the instance's clock jumps": _restarts(_JUMPS),
 }
-"""By name, what builds the specification of each check."""
+"""Factories of the specifications to check, by name."""
 
 _NO_DIFFERENCE = replace_fields(RestartBounds().settings, clock_difference_s=0.0)
 _MUTANTS: dict[str, RestartBounds] = {
-    "a start under a known id is not noticed": RestartBounds(core=StartsIgnored),
-    "a probe of the former incarnation counts": RestartBounds(core=FormerProbesCount),
-    "the newest time of day is believed": replace(_JUMPS, core=NewestClock),
-    "a start is when it is learnt": RestartBounds(core=StartIsNow),
-    "flows of a former incarnation are kept": RestartBounds(core=NothingReset),
-    "all flows of a name are reset": RestartBounds(core=AllResetCore),
-    "clocks are taken for equal": replace(_AHEAD, settings=_NO_DIFFERENCE),
+    "a restart under a known id is not detected": RestartBounds(core=IgnoresStartTimes),
+    "a probe of the former incarnation counts": RestartBounds(core=AcceptsFormerProbes),
+    "every wall clock change is adopted": replace(_JUMPS, core=FollowsWallClock),
+    "the time of discovery is used as the start time": RestartBounds(
+        core=UsesDiscoveryTime
+    ),
+    "flows of a former incarnation are kept": RestartBounds(core=KeepsAllFlows),
+    "all flows of a name are reset": RestartBounds(core=ResetsAllFlowsCore),
+    "clocks are assumed to be equal": replace(_AHEAD, settings=_NO_DIFFERENCE),
 }
 
 RESTART_MUTATIONS: dict[str, Callable[[str], Specification]] = {
     name: _restarts(bounds) for name, bounds in _MUTANTS.items()
 }
-"""By name, what builds the specification with one rule broken."""
+"""Factories of the specifications with one broken rule, by name."""
--- a/endivepick/model/_world.py
+++ b/endivepick/model/_world.py
@@ -18,7 +18,7 @@
 
 
 class Outcome(Enum):
-    """What the caller library told its program about the request."""
+    """Outcome of the request that the caller library reported to its program."""
 
     WAITING = "waiting"
     ANSWERED = "answered"
@@ -33,9 +33,9 @@
     Attributes
     ----------
     resends_non_idempotent : bool
-        It sends a non-idempotent request again under a re-issued binding.
+        The caller resends a non-idempotent request under a re-issued binding.
     believes_last_refusal : bool
-        It reports "not run" although an earlier attempt may have run.
+        The caller reports "not run" although an earlier attempt may have run.
     """
 
     resends_non_idempotent: bool = False
@@ -44,49 +44,55 @@
 
 @dataclass(frozen=True)
 class Bounds:
-    """How much may happen in one run of the flow model.
+    """Limits on the events in one run of the flow model.
 
     Attributes
     ----------
     names : tuple of str
-        Instances; the first one opens the flow.
+        Names of the instances; the first one opens the flow.
     idempotent, stream : bool
-        Kind of the one request.
+        Kind of the request.
     crashes : int
-        Crashes of instances.
+        Maximum number of instance crashes.
     restarts : int
-        Starts of an instance that crashed or left, with a new incarnation.
+        Maximum number of restarts of an instance that crashed or left; each has a
+        new incarnation.
     reissues : int
-        Tokens with a new binding.
+        Maximum number of tokens with a new binding.
     attempts : int
-        Attempts at targets.
+        Maximum number of attempts at targets.
     new_numbers : int
-        Further numbers that the program may use after "not run".
+        Additional request numbers that the program may use after "not run".
     stops : tuple of str
-        Instances that are stopped as planned, at any moment.
-    in_turn : bool
-        The successor is always the next instance, to keep a chain of planned
-        stops within bounds.
+        Instances with a planned stop, which may begin at any time.
+    fixed_successor : bool
+        The successor is always the next instance, which keeps a chain of planned
+        stops small enough to check.
     placements : tuple of Placement
-        What a dispatcher may do, beside starting a request.
-    breaks : bool
-        Attempts may be shed or break, and not only be answered.
-    gives_up : bool
-        A giver may believe that its successor died, rightly or not.
-    time_up : bool
-        A planned stop may come to its time limit while a request runs.
-    forgets : bool
-        Flows that were closed or never used may be forgotten.
-    closes : bool
-        The caller may close the flow, before or after its request has ended.
+        Decisions of a dispatcher other than starting a request.
+    attempts_fail : bool
+        Attempts may also be shed or break, not only succeed.
+    may_declare_dead : bool
+        A giver may declare its successor dead, rightly or wrongly.
+    may_time_out : bool
+        A planned stop may reach its deadline while a request runs.
+    expires_flows : bool
+        Flows that were closed or never used may expire.
+    closes_flow : bool
+        The caller may close the flow before or after its request has ended.
     next_request : bool
-        After the loss of the owner the program sends another request.
+        The program sends another request after the loss of the owner.
     acknowledges : bool
-        The caller acknowledges the end, after which the owner forgets it.
-    renews : bool
-        The caller hears of new tokens of the same binding.
+        The caller acknowledges the end of the answer, after which the owner
+        discards it.
+    receives_renewals : bool
+        The caller receives new tokens of the same binding.
     cancels : bool
-        The caller may give up.
+        The caller may cancel the request.
+    parts : Parts
+        Classes that an instance consists of.
+    caller : CallerRules
+        Rules of the caller library.
     """
 
     names: tuple[str, ...] = ("a", "b", "c")
@@ -98,36 +104,36 @@
     attempts: int = 1
     new_numbers: int = 0
     stops: tuple[str, ...] = ()
-    in_turn: bool = False
+    fixed_successor: bool = False
     placements: tuple[Placement, ...] = (Placement.QUEUE, Placement.REFUSE)
-    breaks: bool = True
-    gives_up: bool = True
-    time_up: bool = False
-    forgets: bool = False
-    closes: bool = False
+    attempts_fail: bool = True
+    may_declare_dead: bool = True
+    may_time_out: bool = False
+    expires_flows: bool = False
+    closes_flow: bool = False
     next_request: bool = False
     acknowledges: bool = False
-    renews: bool = True
+    receives_renewals: bool = True
     cancels: bool = False
     parts: Parts = Parts()
     caller: CallerRules = CallerRules()
 
 
 class Attempt(NamedTuple):
-    """A request on its way to a target, or there.
+    """Attempt to run a request at a target.
 
     Attributes
     ----------
     sender : Identity
-        Instance that sent it.
+        Instance that sent the request.
     request_id : tuple of int
-        Binding, number and submission.
+        Binding, request number and submission.
     number : int
         Number of the attempt.
     ran : bool
-        The target has run it.
+        Whether the target has run the request.
     open : bool
-        The sender still waits for its end.
+        Whether the sender still waits for the result.
     """
 
     sender: Identity
@@ -138,10 +144,10 @@
 
 
 class Caller(NamedTuple):
-    """The caller library's view of its one request.
+    """State of the caller library for its request.
 
-    ``next_seq`` is the number of another request, sent after the first one ended,
-    or 0.
+    ``next_seq`` is the number of a second request, sent after the first one ended,
+    or 0 if there is none.
     """
 
     token: bytes
@@ -153,8 +159,8 @@
     next_seq: int = 0
 
 
-class Left(NamedTuple):
-    """What the bounds still allow."""
+class Remaining(NamedTuple):
+    """Events that the bounds still allow."""
 
     crashes: int
     restarts: int
@@ -165,54 +171,54 @@
 class World(NamedTuple):
     """One state of the flow model.
 
-    Messages are never taken out of the network: any of them may arrive late, more
-    than once, in any order or not at all.
+    Messages are never removed from the network: each may be delayed, duplicated,
+    reordered or lost.
 
     Attributes
     ----------
     nodes : tuple of int or None
         State number of each instance; None while it is down.
     incarnations : tuple of int
-        Last incarnation of each instance.
+        Latest incarnation of each instance.
     packets : frozenset of bytes
-        Datagrams that the caller sent.
-    told : frozenset
-        What instances sent to the caller.
-    peer : frozenset
+        Datagrams sent by the caller.
+    caller_packets : frozenset
+        Packets that instances sent to the caller.
+    handover_messages : frozenset
         Hand-over messages with their senders.
     attempts : frozenset of Attempt
-        What is on its way to targets.
+        Attempts that are open or have not run yet.
     ran : frozenset
         Requests, by binding and number, that a target ran at least once.
     runs : int
-        How often targets ran the one request, under whatever number; 2 also if
+        Number of runs of the request under any number, at most 2; also 2 if
         another request ran twice.
     caller : Caller
-        The caller.
-    heirs : frozenset
-        Pairs of an incarnation and its successor, as peers can hear it.
-    cut : bool
-        A planned stop has cut a request in progress.
-    left : Left
-        What the bounds still allow.
+        State of the caller.
+    successions : frozenset
+        Pairs of an incarnation and its successor, as announced to peers.
+    stop_cut_request : bool
+        Whether a planned stop has cut a request in progress.
+    remaining : Remaining
+        Events that the bounds still allow.
     """
 
     nodes: tuple[int | None, ...]
     incarnations: tuple[int, ...]
     packets: frozenset[bytes]
-    told: frozenset[InstancePacket]
-    peer: frozenset[tuple[Identity, ToPeer]]
+    caller_packets: frozenset[InstancePacket]
+    handover_messages: frozenset[tuple[Identity, ToPeer]]
     attempts: frozenset[Attempt]
     ran: frozenset[tuple[int, int]]
     runs: int
     caller: Caller
-    heirs: frozenset[tuple[Identity, Identity]]
-    cut: bool
-    left: Left
+    successions: frozenset[tuple[Identity, Identity]]
+    stop_cut_request: bool
+    remaining: Remaining
 
 
 def request(token: bytes, seq: int, bounds: Bounds) -> bytes:
-    """Build the datagram of the one request."""
+    """Build the datagram of a request."""
     head = RequestHead("POST", "/", [], b"", bounds.stream)
     data = encode_struct(head)
     return encode_packet(
--- a/endivepick/model/checker.py
+++ b/endivepick/model/checker.py
@@ -1,6 +1,6 @@
-"""Exhaustive check of a specification, by the library ``minicheck``.
+"""Exhaustive check of a specification with the library ``minicheck``.
 
-The library walks breadth first, so that the counterexamples are the shortest.
+The library searches breadth first, so counterexamples have minimal length.
 
 Examples
 --------
@@ -30,18 +30,18 @@
 
 @dataclass(frozen=True)
 class Specification:
-    """A finite state machine and what must hold in each of its states.
+    """Finite state machine with its invariants.
 
     Attributes
     ----------
     name : str
-        Short name, used in reports.
+        Short name shown in reports.
     initial : Hashable
-        First state.
+        Initial state.
     steps : callable
-        Returns the label and the next state of every step out of a state.
+        Returns the label and the next state of each transition out of a state.
     invariants : mapping of str to callable
-        By name, predicates that each reachable state fulfils.
+        Predicates, by name, that hold in each reachable state.
     """
 
     name: str
@@ -52,22 +52,22 @@
 
 @dataclass(frozen=True)
 class CheckResult:
-    """Outcome of one check.
+    """Result of one check.
 
     Attributes
     ----------
     name : str
         Name of the specification.
     states : int
-        States that were reached.
+        Number of states reached.
     depth : int
-        Steps to the farthest state.
+        Number of steps to the most distant state.
     duration_s : float
-        Time that the check took, in seconds.
+        Duration of the check in seconds.
     complete : bool
-        All reachable states were looked at.
+        Whether all reachable states were visited.
     violations : dict
-        By invariant, the labels of the shortest run that breaks it.
+        Labels of the shortest counterexample, by invariant.
     """
 
     name: str
@@ -84,8 +84,8 @@
 
 
 @dataclass
-class _Walk:
-    """Follows the library's walk: depth of each state, and an early end."""
+class _Search:
+    """Tracks the depth of each state and ends the search early on request."""
 
     specification: Specification
     stop_at_violation: bool
@@ -120,26 +120,26 @@
     stop_at_violation: bool = False,
     max_states: int = MAX_STATES,
 ) -> CheckResult:
-    """Look at every reachable state.
+    """Check the invariants in every reachable state.
 
     Parameters
     ----------
     specification : Specification
-        What to check.
+        Specification to check.
     stop_at_violation : bool, default=False
-        End the walk at the first violation; the shortest one is known by then.
+        End the search at the first violation; no counterexample is shorter.
     max_states : int
-        States after which the walk ends as incomplete.
+        Number of states after which the search ends as incomplete.
     """
-    walk = _Walk(specification, stop_at_violation, {specification.initial: 0})
+    search = _Search(specification, stop_at_violation, {specification.initial: 0})
     protocol = minicheck.Protocol(
         name=specification.name,
         candidate=False,
         fields=("state",),
         initial=(specification.initial,),
-        transitions=walk.steps,
+        transitions=search.steps,
         invariants={
-            name: walk.predicate(invariant)
+            name: search.predicate(invariant)
             for name, invariant in specification.invariants.items()
         },
     )
@@ -151,11 +151,11 @@
         for name, verdict in report["properties"].items()
         if verdict["holds"] is False
     }
-    ended_early = walk.violated and stop_at_violation
+    ended_early = search.violated and stop_at_violation
     return CheckResult(
         name=specification.name,
         states=report["reachable_states"],
-        depth=max(walk.depths.values()),
+        depth=max(search.depths.values()),
         duration_s=duration_s,
         complete=report["exhaustive"] and not ended_early,
         violations=violations,
--- a/endivepick/model/configuration.py
+++ b/endivepick/model/configuration.py
@@ -1,9 +1,9 @@
 """Specification of configuration: an accepted version never reverts.
 
-Two instances run the real record cache, exchange of records and readiness.  The
-platform's reads may be stale, its watch answers may come again, peer messages may
-come late, twice or never, also at a later process of the receiver's name, and an
-instance may lose everything and start again.
+Two instances run the production record cache, record exchange and readiness check.
+Reads from the platform may be stale and its watch responses may be repeated.  Peer
+messages may be delayed, duplicated or lost, and may reach a later process with the
+name of the receiver.  An instance may restart without any state.
 """
 
 from collections.abc import Iterator
@@ -13,13 +13,13 @@
 from endivepick.model._config_node import (
     ConfigNode,
     ConfigParts,
-    Digest,
     Event,
     Listed,
     Received,
+    SendDigest,
     Watched,
 )
-from endivepick.model._memory import Memory
+from endivepick.model._memory import TransitionCache
 from endivepick.model.checker import Specification
 
 __all__ = ["ConfigBounds", "configuration_specification"]
@@ -30,26 +30,26 @@
 
 @dataclass(frozen=True)
 class ConfigBounds:
-    """How much may happen in one run of the configuration model.
+    """Limits on the events in one run of the configuration model.
 
     Attributes
     ----------
     history : tuple of bool
-        Changes of the record in turn: True for a new version, False for a
+        Sequence of changes of the record: True for a new version, False for a
         deletion.
     messages : int
-        Different messages between instances.
-    cut_off : bool
-        The first instance never reaches the platform; it alone begins exchanges.
+        Maximum number of distinct messages between instances.
+    first_isolated : bool
+        The first instance never reaches the platform; only it initiates exchanges.
     restarts : int
-        Instances that start again with nothing.
+        Maximum number of restarts without state.
     parts : ConfigParts
-        Classes that the instances are built of.
+        Classes that the instances consist of.
     """
 
     history: tuple[bool, ...] = (True, False, True)
     messages: int = 3
-    cut_off: bool = False
+    first_isolated: bool = False
     restarts: int = 1
     parts: ConfigParts = ConfigParts()
 
@@ -62,16 +62,17 @@
     nodes : tuple of int
         State number of each instance.
     highest : tuple of int
-        Highest version or deletion that each instance, since its start, had in
-        force.
+        Highest version or deletion that was in force at each instance since its
+        start.
     floor : tuple of int
-        What its ready peer held when the instance started.
+        Version that the ready peer held when the instance started, 0 if the peer
+        was not ready.
     revision : int
-        Changes that the platform has accepted.
+        Number of changes that the platform has accepted.
     sent : frozenset
-        Messages between instances, with receiver.
+        Messages between instances with their receivers.
     restarts : int
-        Starts that the bounds still allow.
+        Restarts that the bounds still allow.
     """
 
     nodes: tuple[int, ...]
@@ -83,7 +84,7 @@
 
 
 def configuration_specification(name: str, bounds: ConfigBounds) -> Specification:
-    """Build the specification of the configuration within some bounds."""
+    """Build the specification of configuration within given bounds."""
     model = _ConfigModel(bounds)
     return Specification(
         name=name,
@@ -91,7 +92,7 @@
         steps=model.steps,
         invariants={
             "a configuration in force never reverts": model.never_reverts,
-            "a ready instance is as new as its peer was": model.ready_is_new,
+            "a ready instance is as new as its peer was": model.ready_is_up_to_date,
         },
     )
 
@@ -99,44 +100,44 @@
 class _ConfigModel:
     def __init__(self, bounds: ConfigBounds) -> None:
         self._bounds = bounds
-        self._nodes: Memory[ConfigNode] = Memory(ConfigNode.frozen)
+        self._nodes: TransitionCache[ConfigNode] = TransitionCache(ConfigNode.frozen)
 
     def initial(self) -> ConfigWorld:
-        """Return the world in which nothing is known anywhere."""
+        """Return the state in which no instance has any record."""
         restarts = self._bounds.restarts
         nodes = tuple(self._fresh(index, restarts) for index in range(len(_NAMES)))
         return ConfigWorld(nodes, (0, 0), (0, 0), 0, frozenset(), restarts)
 
     def _fresh(self, index: int, restarts: int) -> int:
-        # The processes of a name differ in the starts that were left to them.
+        # The number of remaining restarts distinguishes the processes of a name.
         incarnation = restarts + 1
         node = ConfigNode(_NAMES[index], self._bounds.parts, incarnation)
         return self._nodes.number_of(node)
 
     def steps(self, world: ConfigWorld) -> Iterator[Step]:
-        """Yield every step out of a world, with its label."""
+        """Yield every step out of a state, with its label."""
         if world.revision < len(self._bounds.history):
             kind = "a version" if self._bounds.history[world.revision] else "a deletion"
             label = f"platform accepts {kind}, revision {world.revision + 1}"
             yield label, world._replace(revision=world.revision + 1)
         for index, name in enumerate(_NAMES):
             for label, event in self._events(world, index):
-                changed = self._after(world, index, event)
+                changed = self._apply_event(world, index, event)
                 if changed is not None and changed != world:
                     yield f"{name} {label}", changed
             if world.restarts:
                 yield f"{name} starts again", self._restart(world, index)
-                # What was meant for the process before may be lost with its
-                # connections, which leaves more new messages within the bounds.
+                # Messages to the previous process may be lost with its connections,
+                # which permits more new messages within the bounds.
                 kept = frozenset(one for one in world.sent if one[0] != index)
                 lost = self._restart(world._replace(sent=kept), index)
                 yield f"{name} starts again, messages to it are lost", lost
 
     def _events(self, world: ConfigWorld, index: int) -> Iterator[tuple[str, Event]]:
-        if index or not self._bounds.cut_off:
+        if index or not self._bounds.first_isolated:
             yield from self._platform_answers(world)
-        if not (index and self._bounds.cut_off):
-            yield "sends a digest", Digest()
+        if not (index and self._bounds.first_isolated):
+            yield "sends a digest", SendDigest()
         for receiver, message in world.sent:
             if receiver == index:
                 label = f"gets {type(message).__name__} {message}"
@@ -155,29 +156,29 @@
         return Listed(revision, ((revision, True),) if exists else ())
 
     def _watched(self, after: int, revision: int) -> Watched:
-        # A watch names the last change of each object.
+        # A watch response holds only the latest change of each object.
         latest = (revision, self._bounds.history[revision - 1])
         return Watched(after, revision, (latest,))
 
-    def _after(
+    def _apply_event(
         self, world: ConfigWorld, index: int, event: Event
     ) -> ConfigWorld | None:
         peers = (_NAMES[1 - index],)
-        state, messages = self._nodes.after(
+        state, messages = self._nodes.apply_event(
             world.nodes[index], event, lambda node: node.handle(event, peers)
         )
         sent = world.sent | {(1 - index, message) for message in messages}
         if len(sent) > self._bounds.messages:
             return None
-        highest = max(world.highest[index], self._known(state))
+        highest = max(world.highest[index], self._newest_applied_change(state))
         return world._replace(
             nodes=_replaced(world.nodes, index, state),
             highest=_replaced(world.highest, index, highest),
             sent=sent,
         )
 
-    def _known(self, state: int) -> int:
-        """Return the newest change of the record that an instance acted on."""
+    def _newest_applied_change(self, state: int) -> int:
+        """Return the newest change of the record that an instance has applied."""
         node = self._nodes[state]
         return node.version or min(
             node.cache.revision, self._last_deletion(node.cache.revision)
@@ -200,18 +201,18 @@
         )
 
     def never_reverts(self, world: ConfigWorld) -> bool:
-        """Tell whether no instance has an older version in force than before."""
+        """Tell whether the version in force has not decreased at any instance."""
         for state, highest in zip(world.nodes, world.highest, strict=True):
             version = self._nodes[state].version
             if version and version < highest:
                 return False
         return True
 
-    def ready_is_new(self, world: ConfigWorld) -> bool:
-        """Tell whether who serves holds what its peer held at its start."""
+    def ready_is_up_to_date(self, world: ConfigWorld) -> bool:
+        """Tell whether each ready instance holds what its peer held at its start."""
         for state, floor in zip(world.nodes, world.floor, strict=True):
             node = self._nodes[state]
-            if node.readiness.ready and self._known(state) < floor:
+            if node.readiness.ready and self._newest_applied_change(state) < floor:
                 return False
         return True
 
--- a/endivepick/model/flows.py
+++ b/endivepick/model/flows.py
@@ -1,7 +1,7 @@
-"""Specification of a flow's life: owners, copies, crashes and hand-over.
+"""Specification of the lifecycle of a flow: owners, duplicates, crashes, hand-over.
 
-The instances are the real parts of the decision core (see `_node`); network,
-targets, membership views and the caller are abstract and do whatever they may.
+The instances run the production decision core (see `_node`).  Network, targets,
+membership views and the caller are abstract and may take any permitted step.
 """
 
 from collections.abc import Iterator
@@ -14,21 +14,21 @@
 from endivepick.model._choices import Placement, View
 from endivepick.model._description import describe, describe_view, token_of
 from endivepick.model._events import (
-    Ended,
+    AttemptEnded,
+    BeginStop,
+    ContinueHandOver,
     Event,
-    Forget,
-    Give,
+    ExpireFlows,
     Packet,
-    Peer,
-    Stop,
-    TimeUp,
-    Turn,
+    PeerMessage,
+    PlaceQueued,
+    StopDeadline,
 )
 from endivepick.model._flow_effects import (
     FlowEffects,
-    pending,
     replaced,
     runs_after,
+    unfinished_attempts,
 )
 from endivepick.model._flow_invariants import FlowInvariants
 from endivepick.model._instances import Instances
@@ -37,8 +37,8 @@
     Attempt,
     Bounds,
     Caller,
-    Left,
     Outcome,
+    Remaining,
     World,
     request,
 )
@@ -50,7 +50,7 @@
 
 
 def flow_specification(name: str, bounds: Bounds) -> Specification:
-    """Build the specification of one flow within some bounds.
+    """Build the specification of one flow within given bounds.
 
     Examples
     --------
@@ -68,7 +68,7 @@
 
 
 class _FlowModel:
-    """Steps and invariants of one set of bounds."""
+    """Initial state and steps of the flow model within given bounds."""
 
     def __init__(self, bounds: Bounds) -> None:
         self._bounds = bounds
@@ -78,7 +78,7 @@
     # Start
 
     def initial(self) -> World:
-        """Return the world in which the first instance has opened the flow."""
+        """Return the state in which the first instance has opened the flow."""
         bounds = self._bounds
         incarnations = tuple(range(1, len(bounds.names) + 1))
         first, opened = self.instances.opening(Identity(bounds.names[0], 1))
@@ -95,15 +95,15 @@
             nodes=(first, *others),
             incarnations=incarnations,
             packets=frozenset([request(opened.token, 1, bounds)]),
-            told=frozenset(),
-            peer=frozenset(),
+            caller_packets=frozenset(),
+            handover_messages=frozenset(),
             attempts=frozenset(),
             ran=frozenset(),
             runs=0,
             caller=caller,
-            heirs=frozenset(),
-            cut=False,
-            left=Left(
+            successions=frozenset(),
+            stop_cut_request=False,
+            remaining=Remaining(
                 bounds.crashes, bounds.restarts, bounds.reissues, bounds.attempts
             ),
         )
@@ -111,18 +111,18 @@
     # Steps
 
     def steps(self, world: World) -> Iterator[Step]:
-        """Yield every step out of a world, with its label."""
+        """Yield every step out of a state, with its label."""
         for index, state in enumerate(world.nodes):
             if state is None:
                 yield from self._restart(world, index)
                 continue
             yield from self._packets(world, index, state)
             yield from self._peer_messages(world, index, state)
-            yield from self._turns(world, index, state)
+            yield from self._queued_requests(world, index, state)
             yield from self._stopping(world, index, state)
             yield from self._crash(world, index)
-            if self._bounds.forgets:
-                yield from self._event(world, index, Forget(), "forgets flows")
+            if self._bounds.expires_flows:
+                yield from self._event(world, index, ExpireFlows(), "forgets flows")
         yield from self._targets(world)
         for label, caller, packets in _caller.steps(world, self._bounds):
             sent = world.packets | packets
@@ -133,7 +133,7 @@
     ) -> Iterator[Step]:
         state = world.nodes[index]
         assert state is not None
-        reaction = self.instances.after(state, event)
+        reaction = self.instances.apply_event(state, event)
         changed = self._effects.apply(
             world, index, reaction.state, reaction.effects, event
         )
@@ -141,15 +141,19 @@
             yield f"{self._bounds.names[index]} {label}", changed
 
     def _placed(
-        self, world: World, index: int, event: Packet | Ended | Peer, label: str
+        self,
+        world: World,
+        index: int,
+        event: Packet | AttemptEnded | PeerMessage,
+        label: str,
     ) -> Iterator[Step]:
-        """Take a step with every placement, if the dispatcher is asked."""
+        """Yield a step for every placement if the event consults the dispatcher."""
         state = world.nodes[index]
         assert state is not None
-        if not self.instances.after(state, event).used_placement:
+        if not self.instances.apply_event(state, event).used_placement:
             yield from self._event(world, index, event, label)
             return
-        if world.left.attempts:
+        if world.remaining.attempts:
             yield from self._event(world, index, event, f"{label}, starts it")
         for placement in self._bounds.placements:
             other = replace(event, placement=placement)
@@ -159,7 +163,7 @@
     def _packets(self, world: World, index: int, state: int) -> Iterator[Step]:
         for datagram in world.packets:
             label = f"gets {describe(datagram)}"
-            reaction = self.instances.after(state, Packet(datagram))
+            reaction = self.instances.apply_event(state, Packet(datagram))
             views = [View()]
             if reaction.used_view:
                 views = list(self._views(world, index, datagram))
@@ -174,100 +178,113 @@
         owner = Identity(token.owner, token.owner_incarnation)
         successors = [None, *self._successors(world, owner)]
         waits = world.caller.outcome is Outcome.WAITING
-        lost = world.left.reissues and waits and token.binding == world.caller.binding
+        lost = (
+            world.remaining.reissues and waits and token.binding == world.caller.binding
+        )
         for successor in successors:
             if successor is not None:
                 yield View(successor=successor)
             if lost:
                 yield View(dead=True, successor=successor)
-                opener = self._effects.me(world, (index + 1) % len(world.nodes))
+                opener = self._effects.identity_of(
+                    world, (index + 1) % len(world.nodes)
+                )
                 yield View(dead=True, successor=successor, opener=opener)
 
     def _successors(self, world: World, owner: Identity) -> list[Identity]:
-        """Return all that chains of hand-overs lead to from an incarnation."""
+        """Return all direct and indirect successors of an incarnation."""
         found = [owner]
         for giver in found:
             found += [
-                heir
-                for one, heir in sorted(world.heirs, key=repr)
-                if one == giver and heir not in found
+                taker
+                for one, taker in sorted(world.successions, key=repr)
+                if one == giver and taker not in found
             ]
         return found[1:]
 
     def _peer_messages(self, world: World, index: int, state: int) -> Iterator[Step]:
         name = self._bounds.names[index]
-        for sender, sent in world.peer:
+        for sender, sent in world.handover_messages:
             if sent.name != name:
                 continue
             label = f"gets {sent.kind.__name__} of {sender.name}"
             successors: list[Identity | None] = [None]
             if sent.kind is HandOverRefused:
                 candidates = self._candidates(index)
-                successors += [self._effects.me(world, other) for other in candidates]
+                successors += [
+                    self._effects.identity_of(world, other) for other in candidates
+                ]
             for successor in successors:
-                event = Peer(sender, sent.kind, sent.data, successor)
+                event = PeerMessage(sender, sent.kind, sent.data, successor)
                 yield from self._placed(world, index, event, label)
 
-    def _turns(self, world: World, index: int, state: int) -> Iterator[Step]:
+    def _queued_requests(self, world: World, index: int, state: int) -> Iterator[Step]:
         for request_id in self.instances[state].dispatcher.queued:
-            if world.left.attempts:
-                event = Turn(request_id, Placement.START)
+            if world.remaining.attempts:
+                event = PlaceQueued(request_id, Placement.START)
                 yield from self._event(world, index, event, "starts what waited")
-            event = Turn(request_id, Placement.REFUSE)
+            event = PlaceQueued(request_id, Placement.REFUSE)
             yield from self._event(world, index, event, "refuses what waited")
 
     def _stopping(self, world: World, index: int, state: int) -> Iterator[Step]:
         node = self.instances[state]
         if not node.owner.leaving:
             if self._bounds.names[index] in self._bounds.stops:
-                yield from self._event(world, index, Stop(), "begins its planned stop")
+                yield from self._event(
+                    world, index, BeginStop(), "begins its planned stop"
+                )
             return
         for other in self._candidates(index):
-            successor = self._effects.me(world, other)
-            for dead in (False, True) if self._bounds.gives_up else (False,):
+            successor = self._effects.identity_of(world, other)
+            for dead in (False, True) if self._bounds.may_declare_dead else (False,):
                 label = f"hands over to {successor.name}"
                 if dead:
                     label += ", believing the last successor dead"
-                yield from self._event(world, index, Give(successor, dead), label)
-            if self._bounds.time_up:
+                yield from self._event(
+                    world, index, ContinueHandOver(successor, dead), label
+                )
+            if self._bounds.may_time_out:
                 label = "gives up what runs, its time is up"
-                yield from self._event(world, index, TimeUp(successor), label)
-        # With no successor, or after the time limit, it leaves with flows.
+                yield from self._event(world, index, StopDeadline(successor), label)
+        # Without a successor or after the deadline it leaves while holding flows.
         if not any(flow.in_progress for flow in node.table):
             yield from self._exit(world, index)
 
     def _candidates(self, index: int) -> list[int]:
         count = len(self._bounds.names)
         others = [(index + step) % count for step in range(1, count)]
-        return others[:1] if self._bounds.in_turn else others
+        return others[:1] if self._bounds.fixed_successor else others
 
     def _exit(self, world: World, index: int) -> Iterator[Step]:
-        me = self._effects.me(world, index)
+        me = self._effects.identity_of(world, index)
         running = any(one.open and one.sender == me for one in world.attempts)
-        cut = running and not self._bounds.stream
-        gone = self._take_down(world, index)
-        yield f"{me.name} leaves", gone._replace(cut=world.cut or cut)
+        stop_cut_request = running and not self._bounds.stream
+        gone = self._stop_process(world, index)
+        yield (
+            f"{me.name} leaves",
+            gone._replace(stop_cut_request=world.stop_cut_request or stop_cut_request),
+        )
 
     def _crash(self, world: World, index: int) -> Iterator[Step]:
-        if not world.left.crashes:
+        if not world.remaining.crashes:
             return
-        left = world.left._replace(crashes=world.left.crashes - 1)
-        gone = self._take_down(world, index)
-        yield f"{self._bounds.names[index]} crashes", gone._replace(left=left)
+        remaining = world.remaining._replace(crashes=world.remaining.crashes - 1)
+        gone = self._stop_process(world, index)
+        yield f"{self._bounds.names[index]} crashes", gone._replace(remaining=remaining)
 
-    def _take_down(self, world: World, index: int) -> World:
-        me = self._effects.me(world, index)
+    def _stop_process(self, world: World, index: int) -> World:
+        me = self._effects.identity_of(world, index)
         attempts = frozenset(
             one._replace(open=False) if one.sender == me else one
             for one in world.attempts
         )
         nodes = replaced(world.nodes, index, None)
-        return world._replace(nodes=nodes, attempts=pending(attempts))
+        return world._replace(nodes=nodes, attempts=unfinished_attempts(attempts))
 
     def _restart(self, world: World, index: int) -> Iterator[Step]:
-        if not world.left.restarts:
+        if not world.remaining.restarts:
             return
-        # No two processes ever have the same incarnation.
+        # Incarnations are unique across processes.
         incarnation = max(world.incarnations) + 1
         me = Identity(self._bounds.names[index], incarnation)
         state = self.instances.fresh(me)
@@ -276,7 +293,9 @@
             world._replace(
                 nodes=replaced(world.nodes, index, state),
                 incarnations=replaced(world.incarnations, index, incarnation),
-                left=world.left._replace(restarts=world.left.restarts - 1),
+                remaining=world.remaining._replace(
+                    restarts=world.remaining.restarts - 1
+                ),
             ),
         )
 
@@ -290,30 +309,30 @@
                 yield (
                     f"target runs attempt {attempt.number} of {attempt.sender.name}",
                     world._replace(
-                        attempts=pending(others | {ran}),
+                        attempts=unfinished_attempts(others | {ran}),
                         ran=world.ran | {attempt.request_id[:2]},
                         runs=runs_after(world, attempt),
                     ),
                 )
             if attempt.open:
-                yield from self._ends(world, attempt, others)
+                yield from self._attempt_ends(world, attempt, others)
 
-    def _ends(
+    def _attempt_ends(
         self, world: World, attempt: Attempt, others: frozenset[Attempt]
     ) -> Iterator[Step]:
         index = self._bounds.names.index(attempt.sender.name)
-        closed = pending(others | {attempt._replace(open=False)})
+        closed = unfinished_attempts(others | {attempt._replace(open=False)})
         kinds = []
         if attempt.ran:
             kinds.append((FinishKind.OK, others))
-        elif self._bounds.breaks:
+        elif self._bounds.attempts_fail:
             kinds.append((FinishKind.SHED, others))
-        if self._bounds.breaks:
+        if self._bounds.attempts_fail:
             kinds.append((FinishKind.BROKEN, closed))
         for kind, attempts in kinds:
             yield from self._placed(
                 world._replace(attempts=attempts),
                 index,
-                Ended(attempt.request_id, attempt.number, kind),
+                AttemptEnded(attempt.request_id, attempt.number, kind),
                 f"sees attempt {attempt.number} end: {kind.value}",
             )
--- a/endivepick/model/placement.py
+++ b/endivepick/model/placement.py
@@ -1,7 +1,8 @@
-"""Specification of placement: targets restart and addresses change hands.
+"""Specification of placement: targets restart and addresses are reassigned.
 
-The owner runs the real dispatcher and executor and learns of the targets late or
-never.  A target runs a request only if service and incarnation are its own.
+The owner runs the production dispatcher and executor and learns of changes of the
+targets late or never.  A target runs a request only if the service and the
+incarnation named in the request are its own.
 """
 
 from collections.abc import Callable, Iterator
@@ -11,16 +12,16 @@
 from endivepick.core.actions import Action, RequestId, SendToCaller, StartAttempt
 from endivepick.core.dispatch import FinishKind
 from endivepick.core.messages import Refused
-from endivepick.model._memory import Memory
+from endivepick.model._memory import TransitionCache
 from endivepick.model._placement_node import (
     SERVICE,
     TARGETS,
-    Copy,
     Event,
     Finished,
     PlacementNode,
     PlacementParts,
     Probed,
+    RequestCopy,
 )
 from endivepick.model.checker import Specification
 
@@ -33,7 +34,7 @@
 
 @dataclass(frozen=True)
 class TargetRules:
-    """What a target compares before it runs a request."""
+    """Fields that a target verifies before it runs a request."""
 
     service: bool = True
     incarnation: bool = True
@@ -41,18 +42,18 @@
 
 @dataclass(frozen=True)
 class PlacementBounds:
-    """How much may happen in one run of the placement model.
+    """Limits on the events in one run of the placement model.
 
     Attributes
     ----------
     idempotent : bool
-        Kind of the one request.
+        Whether the request is idempotent.
     changes : int
-        Restarts of targets and addresses that another service takes over.
+        Maximum number of target restarts and address reassignments.
     rules : TargetRules
-        What targets compare.
+        Fields that targets verify.
     parts : PlacementParts
-        Classes that the owner is built of.
+        Classes that the owner consists of.
     """
 
     idempotent: bool
@@ -62,14 +63,14 @@
 
 
 class Occupant(NamedTuple):
-    """Who answers at the address of a target."""
+    """Process that answers at the address of a target."""
 
     service: str
     incarnation: int
 
 
 class Attempt(NamedTuple):
-    """A request on its way to an address."""
+    """Attempt to run a request at an address."""
 
     request_id: RequestId
     number: int
@@ -87,17 +88,17 @@
     node : int
         State number of the owner.
     occupants : tuple of Occupant
-        Who answers at each target's address.
+        Process that answers at the address of each target.
     attempts : frozenset of Attempt
-        What is on its way.
+        Attempts that are open or have not run yet.
     runs : int
-        How often the request ran, 2 for more.
+        Number of runs of the request, at most 2.
     refused : bool
-        The caller was told "not run".
+        Whether "not run" was reported to the caller.
     misdirected : bool
-        Another service or incarnation ran the request.
+        Whether another service or incarnation ran the request.
     changes : int
-        What the bounds still allow.
+        Changes that the bounds still allow.
     """
 
     node: int
@@ -110,7 +111,7 @@
 
 
 def placement_specification(name: str, bounds: PlacementBounds) -> Specification:
-    """Build the specification of placement within some bounds."""
+    """Build the specification of placement within given bounds."""
     model = _PlacementModel(bounds)
     invariants: dict[str, Callable[[PlacementWorld], bool]] = {
         "no request reaches another service": lambda world: not world.misdirected,
@@ -126,10 +127,12 @@
 class _PlacementModel:
     def __init__(self, bounds: PlacementBounds) -> None:
         self._bounds = bounds
-        self._nodes: Memory[PlacementNode] = Memory(PlacementNode.frozen)
+        self._nodes: TransitionCache[PlacementNode] = TransitionCache(
+            PlacementNode.frozen
+        )
 
     def initial(self) -> PlacementWorld:
-        """Return the world in which the owner has probed both targets."""
+        """Return the state in which the owner has probed both targets."""
         node = PlacementNode(self._bounds.parts)
         occupants = tuple(Occupant(SERVICE, index + 1) for index in range(len(TARGETS)))
         for target, occupant in zip(TARGETS, occupants, strict=True):
@@ -140,17 +143,19 @@
         )
 
     def steps(self, world: PlacementWorld) -> Iterator[Step]:
-        """Yield every step out of a world, with its label."""
-        yield from self._event(world, Copy(self._bounds.idempotent), "gets the request")
+        """Yield every step out of a state, with its label."""
+        yield from self._event(
+            world, RequestCopy(self._bounds.idempotent), "gets the request"
+        )
         for index, occupant in enumerate(world.occupants):
             probed = Probed(TARGETS[index], *occupant)
             yield from self._event(world, probed, f"probes {TARGETS[index]}")
             if world.changes:
-                yield from self._changes(world, index)
+                yield from self._reassign_address(world, index)
         for attempt in world.attempts:
             yield from self._attempt(world, attempt)
 
-    def _changes(self, world: PlacementWorld, index: int) -> Iterator[Step]:
+    def _reassign_address(self, world: PlacementWorld, index: int) -> Iterator[Step]:
         incarnation = max(one.incarnation for one in world.occupants) + 1
         for service in (SERVICE, OTHER_SERVICE):
             occupants = list(world.occupants)
@@ -164,38 +169,38 @@
         others = world.attempts - {attempt}
         label = f"attempt {attempt.number} at {TARGETS[attempt.target]}"
         occupant = world.occupants[attempt.target]
-        confirmed = self._confirms(occupant, attempt.meant_for)
+        confirmed = self._accepts(occupant, attempt.meant_for)
         if not attempt.ran and confirmed:
             ran = attempt._replace(ran=True)
             yield (
                 f"{label} runs",
                 world._replace(
-                    attempts=_pending(others | {ran}),
+                    attempts=_unfinished_attempts(others | {ran}),
                     runs=min(world.runs + 1, 2),
                     misdirected=occupant != attempt.meant_for,
                 ),
             )
         if not attempt.open:
             return
-        closed = _pending(others | {attempt._replace(open=False)})
+        closed = _unfinished_attempts(others | {attempt._replace(open=False)})
         for kind in (FinishKind.BROKEN, FinishKind.LATE):
-            yield from self._ends(world, attempt, closed, kind, label)
+            yield from self._attempt_ends(world, attempt, closed, kind, label)
         if attempt.ran:
-            yield from self._ends(world, attempt, others, FinishKind.OK, label)
+            yield from self._attempt_ends(world, attempt, others, FinishKind.OK, label)
             return
         for kind in _NOT_RUN:
-            yield from self._ends(world, attempt, others, kind, label)
+            yield from self._attempt_ends(world, attempt, others, kind, label)
         if not confirmed:
             kind = FinishKind.MISDIRECTED
-            yield from self._ends(world, attempt, others, kind, label)
+            yield from self._attempt_ends(world, attempt, others, kind, label)
 
-    def _confirms(self, occupant: Occupant, meant_for: Occupant) -> bool:
+    def _accepts(self, occupant: Occupant, meant_for: Occupant) -> bool:
         rules = self._bounds.rules
         if rules.service and occupant.service != meant_for.service:
             return False
         return not rules.incarnation or occupant.incarnation == meant_for.incarnation
 
-    def _ends(
+    def _attempt_ends(
         self,
         world: PlacementWorld,
         attempt: Attempt,
@@ -208,7 +213,7 @@
         yield from self._event(ended, event, f"sees {label} end: {kind.value}")
 
     def _event(self, world: PlacementWorld, event: Event, label: str) -> Iterator[Step]:
-        node, actions = self._nodes.after(
+        node, actions = self._nodes.apply_event(
             world.node, event, lambda node: node.handle(event)
         )
         yield f"owner {label}", _apply(world._replace(node=node), actions)
@@ -232,5 +237,5 @@
     return world
 
 
-def _pending(attempts: frozenset[Attempt]) -> frozenset[Attempt]:
+def _unfinished_attempts(attempts: frozenset[Attempt]) -> frozenset[Attempt]:
     return frozenset(one for one in attempts if one.open or not one.ran)
--- a/endivepick/model/registry.py
+++ b/endivepick/model/registry.py
@@ -1,9 +1,9 @@
-"""Specification of the registry: what is believed at a revision is what stood there.
+"""Specification of the registry: its content matches the store at its revision.
 
-A feeder and an instance that is fed run the real registry.  Lists and watches of the
-store arrive in any order that the store allows, what the feeder tells may come late,
-twice or never, lapsed entries are given up and forgotten at any time, and the feeder
-may lose everything and start again.
+A feeder and a fed instance run the production registry.  Lists and watch responses of
+the store arrive in any order that the store permits.  Answers of the feeder may be
+delayed, duplicated or lost.  Lapsed entries are declared gone and removed at any time,
+and the feeder may restart without any state.
 """
 
 from collections.abc import Callable, Iterator
@@ -16,7 +16,7 @@
 from endivepick.forwarding.registry_news import RemovedTarget
 from endivepick.forwarding.settings import ForwardingSettings
 from endivepick.model._freeze import freeze
-from endivepick.model._memory import Memory
+from endivepick.model._memory import TransitionCache
 from endivepick.model.checker import Specification
 
 __all__ = ["RegistryBounds", "registry_specification"]
@@ -34,16 +34,16 @@
 
 
 class Entry(NamedTuple):
-    """A change of an entry.
+    """Change of a registry entry.
 
     Attributes
     ----------
     name : str
         Name of the target.
     phase : TargetPhase or None
-        Its phase after the change; None if the entry was removed.
+        Phase of the target after the change; None if the entry was removed.
     born_ms : int
-        When it started, in Unix milliseconds; 0 if the entry does not say.
+        Start time of the target in Unix milliseconds; 0 if unknown.
     """
 
     name: str
@@ -53,18 +53,18 @@
 
 @dataclass(frozen=True)
 class RegistryBounds:
-    """How much may happen in one run of the registry model.
+    """Limits on the events in one run of the registry model.
 
     Attributes
     ----------
     history : tuple
-        Changes of entries in turn.
+        Sequence of changes of entries.
     messages : int
-        Different answers of the feeder.
+        Maximum number of distinct answers of the feeder.
     restarts : int
-        Starts of the feeder with nothing.
+        Maximum number of restarts of the feeder without state.
     registry : callable
-        Makes the registry of an instance; a mutation replaces it.
+        Creates the registry of an instance; a mutation replaces it.
     """
 
     history: tuple[Entry, ...] = (
@@ -77,8 +77,8 @@
     registry: Callable[[ForwardingSettings], TargetRegistry] = TargetRegistry
 
 
-class Told(NamedTuple):
-    """What the feeder answered, in a form that can be compared."""
+class FeederAnswer(NamedTuple):
+    """Answer of the feeder in hashable form."""
 
     targets: tuple[Target, ...]
     removed: tuple[RemovedTarget, ...]
@@ -94,28 +94,28 @@
     nodes : tuple of int
         State number of each instance.
     revision : int
-        Changes that the store has accepted.
-    sent : frozenset of Told
+        Number of changes that the store has accepted.
+    sent : frozenset of FeederAnswer
         Answers of the feeder.
     restarts : int
-        Starts that the bounds still allow.
+        Restarts that the bounds still allow.
     """
 
     nodes: tuple[int, int]
     revision: int
-    sent: frozenset[Told]
+    sent: frozenset[FeederAnswer]
     restarts: int
 
 
 def registry_specification(name: str, bounds: RegistryBounds) -> Specification:
-    """Build the specification of the registry within some bounds."""
+    """Build the specification of the registry within given bounds."""
     model = _RegistryModel(bounds)
     return Specification(
         name=name,
         initial=model.initial(),
         steps=model.steps,
         invariants={
-            "what is believed at a revision stood there": model.agrees,
+            "what is believed at a revision stood there": model.matches_store,
             "nothing newer than the store is known": model.is_bounded,
         },
     )
@@ -124,11 +124,11 @@
 class _RegistryModel:
     def __init__(self, bounds: RegistryBounds) -> None:
         self._bounds = bounds
-        self._nodes: Memory[TargetRegistry] = Memory(freeze)
+        self._nodes: TransitionCache[TargetRegistry] = TransitionCache(freeze)
         self._names = sorted({entry.name for entry in bounds.history})
 
     def initial(self) -> RegistryWorld:
-        """Return the world in which nothing is known anywhere."""
+        """Return the state in which all registries are empty."""
         fresh = self._fresh()
         return RegistryWorld((fresh, fresh), 0, frozenset(), self._bounds.restarts)
 
@@ -136,7 +136,7 @@
         return self._nodes.number_of(self._bounds.registry(_SETTINGS))
 
     def steps(self, world: RegistryWorld) -> Iterator[Step]:
-        """Yield every step out of a world, with its label."""
+        """Yield every step out of a state, with its label."""
         if world.revision < len(self._bounds.history):
             entry = self._bounds.history[world.revision]
             what = "removed" if entry.phase is None else entry.phase.value
@@ -144,10 +144,10 @@
             yield label, world._replace(revision=world.revision + 1)
         for index, name in enumerate(_NODES):
             for label, act in self._events(world, index):
-                changed = self._after(world, index, label, act)
+                changed = self._apply_event(world, index, label, act)
                 if changed != world:
                     yield f"{name} {label}", changed
-        yield from self._answer(world)
+        yield from self._answer_steps(world)
         if world.restarts:
             fresh = (self._fresh(), world.nodes[_FED])
             restarts = world.restarts - 1
@@ -168,33 +168,35 @@
                 take = partial(self._take_changes, after, revision)
                 yield f"gets the changes from {after} to {revision}", take
         if index == _FED:
-            for told in world.sent:
-                yield f"is told {told}", partial(_take_told, told)
+            for answer in world.sent:
+                yield f"is told {answer}", partial(_take_feeder_answer, answer)
         yield "gives lapsed entries up", lambda node: node.expire(_GRACE_OVER_S)
         yield "forgets what is gone", lambda node: node.expire(_MEMORY_OVER_S)
 
-    def _after(
+    def _apply_event(
         self,
         world: RegistryWorld,
         index: int,
         label: str,
         act: Callable[[TargetRegistry], object],
     ) -> RegistryWorld:
-        state, _ = self._nodes.after(world.nodes[index], label, act)
+        state, _ = self._nodes.apply_event(world.nodes[index], label, act)
         nodes = list(world.nodes)
         nodes[index] = state
         return world._replace(nodes=(nodes[_FEEDER], nodes[_FED]))
 
-    def _answer(self, world: RegistryWorld) -> Iterator[Step]:
-        """The feeder answers what the other asked for."""
+    def _answer_steps(self, world: RegistryWorld) -> Iterator[Step]:
+        """Send the changes since the revision of the fed instance."""
         feeder, fed = (self._nodes[state] for state in world.nodes)
         if not feeder.known or not fed.known or feeder.revision <= fed.revision:
             return
         news = feeder.news_since(fed.revision)
-        told = Told(tuple(news.targets), tuple(news.removed), news.whole, news.revision)
-        sent = world.sent | {told}
+        answer = FeederAnswer(
+            tuple(news.targets), tuple(news.removed), news.whole, news.revision
+        )
+        sent = world.sent | {answer}
         if len(sent) <= self._bounds.messages:
-            yield f"feeder answers {told}", world._replace(sent=sent)
+            yield f"feeder answers {answer}", world._replace(sent=sent)
 
     def _entry(self, revision: int) -> Target | None:
         name, phase, born_ms = self._bounds.history[revision - 1]
@@ -208,7 +210,7 @@
         )
 
     def _last_change(self, name: str, after: int, revision: int) -> int:
-        """Return the last change of an entry within some, 0 if there is none."""
+        """Return the last change of an entry in a range of revisions, or 0."""
         changes = range(after + 1, revision + 1)
         return max(
             (r for r in changes if self._bounds.history[r - 1].name == name), default=0
@@ -230,15 +232,15 @@
                 node.take_entry(entry, 0.0)
         node.seen(revision)
 
-    def agrees(self, world: RegistryWorld) -> bool:
-        """Tell whether each instance believes what stood at its revision."""
+    def matches_store(self, world: RegistryWorld) -> bool:
+        """Tell whether each registry matches the store at its revision."""
         return all(
-            self._agrees(self._nodes[state])
+            self._matches_store(self._nodes[state])
             for state in world.nodes
             if self._nodes[state].known
         )
 
-    def _agrees(self, node: TargetRegistry) -> bool:
+    def _matches_store(self, node: TargetRegistry) -> bool:
         stood = {target.name: target for target in self._listed(node.revision)}
         for name in self._names:
             belief = node.get(name)
@@ -253,7 +255,7 @@
         return True
 
     def is_bounded(self, world: RegistryWorld) -> bool:
-        """Tell whether no instance claims a revision that the store has not."""
+        """Tell whether no registry has a higher revision than the store."""
         nodes = (self._nodes[state] for state in world.nodes)
         return all(node.revision <= world.revision for node in nodes)
 
@@ -262,8 +264,8 @@
     node.take_list(listed, revision, 0.0)
 
 
-def _take_told(told: Told, node: TargetRegistry) -> None:
+def _take_feeder_answer(answer: FeederAnswer, node: TargetRegistry) -> None:
     news = RegistryNews(
-        list(told.targets), list(told.removed), told.whole, told.revision
+        list(answer.targets), list(answer.removed), answer.whole, answer.revision
     )
     node.take_news(news, 0.0)
--- a/endivepick/model/restarts.py
+++ b/endivepick/model/restarts.py
@@ -1,9 +1,10 @@
-"""Specification of restarts: a target's flows end with the incarnation that has them.
+"""Specification of restarts: the flows of a target end with its incarnation.
 
-One instance runs the real decision core.  A target ends and starts again under its
-name.  Flows are opened at either incarnation, whatever the instance knows; it learns of
-the new one late, from the registry or from a probe.  Probes may end long after they
-began.  The clocks of target and instance differ, and that of the instance may jump.
+One instance runs the production decision core.  A target ends and restarts under the
+same name.  Flows are opened at either incarnation, whatever the instance knows; it
+learns of the new incarnation late, from the registry or from a probe.  Probes may end
+long after they began.  The clocks of target and instance differ, and the clock of the
+instance may jump.
 """
 
 from collections.abc import Callable, Iterator
@@ -28,7 +29,7 @@
     TargetBelief,
 )
 from endivepick.model._freeze import freeze
-from endivepick.model._memory import Memory
+from endivepick.model._memory import TransitionCache
 from endivepick.model.checker import Specification
 
 __all__ = ["RestartBounds", "restart_specification"]
@@ -46,20 +47,20 @@
 
 @dataclass(frozen=True)
 class RestartBounds:
-    """How much may happen in one run of the restart model.
+    """Limits on the events in one run of the restart model.
 
     Attributes
     ----------
     steps : int
-        How often time passes.
+        Number of time steps.
     target_ahead_s : float
-        How far the target's clock is ahead of the true time, in seconds.
+        Offset of the target's clock from the true time in seconds.
     jumps : bool
         The clock of the instance may jump back once.
     settings : ForwardingSettings
         Settings of the instance.
     core : callable
-        Makes the decision core; a mutation replaces it.
+        Creates the decision core; a mutation replaces it.
     """
 
     steps: int = 4
@@ -72,14 +73,14 @@
 
 
 class OpenFlow(NamedTuple):
-    """A flow: at which start of the target it is open, and since which step."""
+    """Open flow: number of the target's start that holds it, and its opening step."""
 
     start: int
     step: int
 
 
 class Probe(NamedTuple):
-    """A probe under way: what it will report, of which incarnation."""
+    """Probe in progress: its outcome, the probed and the reported incarnation."""
 
     outcome: ProbeOutcome
     probed_born_ms: int
@@ -94,23 +95,23 @@
     core : int
         State number of the instance.
     step : int
-        How often time has passed.
+        Number of time steps so far.
     starts : int
-        Starts of the target up to now: 1 or 2.
+        Number of starts of the target so far: 1 or 2.
     alive : bool
-        The newest incarnation runs.
+        Whether the newest incarnation runs.
     started_step : int
-        When the second one started.
+        Step at which the second incarnation started.
     flows : tuple of OpenFlow or None
-        Flows that were opened.
+        Flows that were opened; None for the others.
     probes : frozenset of Probe
-        Probes under way.
-    told : bool
-        The registry has told of the second start.
+        Probes in progress.
+    restart_announced : bool
+        Whether the registry has announced the second start.
     jumped : bool
-        The instance's clock has jumped back.
+        Whether the clock of the instance has jumped back.
     wrong : bool
-        A flow was reset while the incarnation that has it was alive.
+        Whether a flow was reset while its incarnation was alive.
     """
 
     core: int
@@ -120,7 +121,7 @@
     started_step: int
     flows: tuple[OpenFlow | None, ...]
     probes: frozenset[Probe]
-    told: bool
+    restart_announced: bool
     jumped: bool
     wrong: bool
 
@@ -130,7 +131,7 @@
 
 
 def restart_specification(name: str, bounds: RestartBounds) -> Specification:
-    """Build the specification of restarts within some bounds."""
+    """Build the specification of restarts within given bounds."""
     model = _RestartModel(bounds)
     return Specification(
         name=name,
@@ -140,9 +141,9 @@
             "no flow is reset while its incarnation lives": lambda world: (
                 not world.wrong
             ),
-            "an old flow ends with its incarnation": model.lets_go,
-            "a new incarnation is not dead for the former": model.is_fresh,
-            "no flow counts for an incarnation that is not there": model.counts,
+            "an old flow ends with its incarnation": model.releases_old_flows,
+            "a new incarnation is not dead for the former": model.is_incarnation_alive,
+            "no flow counts for an incarnation that is not there": model.counts_match,
         },
     )
 
@@ -150,10 +151,10 @@
 class _RestartModel:
     def __init__(self, bounds: RestartBounds) -> None:
         self._bounds = bounds
-        self._cores: Memory[ForwardingCore] = Memory(freeze)
+        self._states: TransitionCache[ForwardingCore] = TransitionCache(freeze)
 
     def initial(self) -> RestartWorld:
-        """Return the world in which a target runs and no flow is open."""
+        """Return the state in which the target runs and no flow is open."""
         core = self._bounds.core(self._bounds.settings, lambda: 0.0)
         share = (ServiceShare("s", 1.0),)
         route = Route("r", _HOST, _PORT, share, RouteKind.AT_MOST_ONCE)
@@ -162,33 +163,35 @@
         core.on_target_list(targets, 1, 0.0)
         core.on_wall_clock(_EPOCH_S)
         core.effects.clear()
-        number = self._cores.number_of(core)
+        number = self._states.number_of(core)
         flows: tuple[OpenFlow | None, ...] = (None,) * len(_FLOWS)
         return RestartWorld(
             number, 0, 1, True, 0, flows, frozenset(), False, False, False
         )
 
     def steps(self, world: RestartWorld) -> Iterator[Step]:
-        """Yield every step out of a world, with its label."""
+        """Yield every step out of a state, with its label."""
         if world.starts == 1:
-            yield from self._first_ends(world)
+            yield from self._target_restarts(world)
         for index, flow in enumerate(world.flows):
             if flow is None and world.alive:
-                yield self._opened(world, index)
+                yield self._open_flow(world, index)
         yield from self._probes(world)
-        if world.starts == 2 and not world.told:
-            told = world._replace(told=True)
+        if world.starts == 2 and not world.restart_announced:
+            restart_announced = world._replace(restart_announced=True)
             entry = _target(_NAME, self._second_born_ms(world), revision=5)
             act: Act = partial(_on_target, entry, self._now_s(world))
-            yield self._acted(told, "the registry tells of the start", act)
+            yield self._apply_to_core(
+                restart_announced, "the registry tells of the start", act
+            )
         if world.step < self._bounds.steps:
             later = world._replace(step=world.step + 1)
             act = partial(_tick, self._now_s(later), self._ahead_s(later))
-            yield self._acted(later, "time passes", act)
+            yield self._apply_to_core(later, "time passes", act)
         if self._bounds.jumps and not world.jumped:
             yield "the clock jumps back", world._replace(jumped=True)
 
-    def _first_ends(self, world: RestartWorld) -> Iterator[Step]:
+    def _target_restarts(self, world: RestartWorld) -> Iterator[Step]:
         if world.alive:
             yield "the target ends", world._replace(alive=False)
         else:
@@ -197,30 +200,31 @@
                 world._replace(starts=2, alive=True, started_step=world.step),
             )
 
-    def _opened(self, world: RestartWorld, index: int) -> Step:
-        """A caller's packet shows a flow that is open at whoever lives now."""
+    def _open_flow(self, world: RestartWorld, index: int) -> Step:
+        """Observe a caller's packet of a flow open at the current incarnation."""
         flows = list(world.flows)
         flows[index] = OpenFlow(world.starts, world.step)
-        cookie = _belief(self._cores[world.core]).cookie
+        cookie = _belief(self._states[world.core]).cookie
         packet = Packet(_FLOWS[index], False, False, cookie, 101, 500, 0)
         act = partial(_on_packet, packet, self._now_s(world))
         opened = world._replace(flows=tuple(flows))
-        return self._acted(opened, f"flow {index} opens", act)
+        return self._apply_to_core(opened, f"flow {index} opens", act)
 
     def _probes(self, world: RestartWorld) -> Iterator[Step]:
-        known_ms = _belief(self._cores[world.core]).target.born_ms
+        known_ms = _belief(self._states[world.core]).target.born_ms
         begun = self._probe(world, known_ms)
         if not world.probes:
             probes = world.probes | {begun}
             yield f"probe finds {begun.outcome.value}", world._replace(probes=probes)
         for probe in world.probes:
-            # A refusal takes no time; one that comes late is of one known to be gone.
+            # A refusal is immediate, so a delayed one concerns an incarnation that
+            # the instance knows to have ended.
             refused = probe.outcome is ProbeOutcome.REFUSED
             if refused and world.alive and known_ms == probe.probed_born_ms:
                 continue
             ended = world._replace(probes=world.probes - {probe})
             act = partial(_on_probe, probe, self._now_s(world))
-            yield self._acted(ended, f"probe ends: {probe.outcome.value}", act)
+            yield self._apply_to_core(ended, f"probe ends: {probe.outcome.value}", act)
 
     def _probe(self, world: RestartWorld, known_ms: int) -> Probe:
         if not world.alive:
@@ -239,10 +243,10 @@
     def _second_born_ms(self, world: RestartWorld) -> int:
         return _born_ms(world.started_step * _STEP_S + self._bounds.target_ahead_s)
 
-    def _acted(self, world: RestartWorld, label: str, act: Act) -> Step:
-        """Let the core act, and judge what it resets."""
+    def _apply_to_core(self, world: RestartWorld, label: str, act: Act) -> Step:
+        """Apply an event to the core and check the flows that it resets."""
         event = (label, world.step, world.jumped, world.started_step, world.probes)
-        core, reset = self._cores.after(world.core, event, partial(_resets, act))
+        core, reset = self._states.apply_event(world.core, event, partial(_resets, act))
         wrong = any(self._is_wrong(world, flow) for flow in reset)
         return label, world._replace(core=core, wrong=world.wrong or wrong)
 
@@ -250,10 +254,10 @@
         opened = world.flows[_FLOWS.index(flow)]
         return opened is not None and world.alive and opened.start == world.starts
 
-    def lets_go(self, world: RestartWorld) -> bool:
-        """Tell whether no flow is kept that surely ended with its incarnation."""
-        core = self._cores[world.core]
-        if not world.told:
+    def releases_old_flows(self, world: RestartWorld) -> bool:
+        """Tell whether no flow is kept that certainly ended with its incarnation."""
+        core = self._states[world.core]
+        if not world.restart_announced:
             return True
         margin_s = _CLOCK_DIFFERENCE_S + abs(self._bounds.target_ahead_s)
         started_s = world.started_step * _STEP_S
@@ -265,16 +269,19 @@
             for key, opened in zip(_FLOWS, world.flows, strict=True)
         )
 
-    def is_fresh(self, world: RestartWorld) -> bool:
-        """Tell whether the second incarnation, which never ends, is not held dead."""
-        if not world.told:
+    def is_incarnation_alive(self, world: RestartWorld) -> bool:
+        """Tell whether the second incarnation, which never ends, is not held dead.
+
+        The core must not transfer the death of the first incarnation to the second.
+        """
+        if not world.restart_announced:
             return True
-        belief = _belief(self._cores[world.core])
+        belief = _belief(self._states[world.core])
         return belief.reachability is not Reachability.DEAD
 
-    def counts(self, world: RestartWorld) -> bool:
-        """Tell whether the flows that count for a target are observed ones of it."""
-        core = self._cores[world.core]
+    def counts_match(self, world: RestartWorld) -> bool:
+        """Tell whether the flow count of the target equals its observed flows."""
+        core = self._states[world.core]
         belief = _belief(core)
         return belief.flows == sum(1 for _ in core.flows.of_target(belief))
 
--- a/endivepick/model/run.py
+++ b/endivepick/model/run.py
@@ -1,4 +1,4 @@
-"""All checks: the specifications as they are, then each mutation."""
+"""Runs of all checks: the unmodified specifications and their mutations."""
 
 import multiprocessing
 from collections.abc import Iterable, Iterator
@@ -23,10 +23,10 @@
 MUTATIONS: dict[str, Mutation] = {
     mutation.name: mutation for mutation in FLOW_MUTATIONS + OTHER_MUTATIONS
 }
-"""By name, each deliberate change of one rule."""
+"""Mutations by name."""
 SCENARIOS: tuple[str, ...] = (*FLOW_SCENARIOS, *OTHER_SCENARIOS)
-"""Names of the checks of the specifications as they are."""
-# Long checks go first, so that no process is left alone with one at the end.
+"""Names of the checks of the unmodified specifications."""
+# The longest checks start first, so that none runs alone at the end.
 _LONG_FIRST = (
     "chain of planned stops, crash",
     "planned stop and crash",
@@ -38,16 +38,16 @@
 
 @dataclass(frozen=True)
 class MutationResult:
-    """Whether a mutation was found.
+    """Result of the check of one mutation.
 
     Attributes
     ----------
     name : str
-        The mutation.
+        Name of the mutation.
     invariant : str
-        Invariant that its shortest counterexample breaks; empty if none does.
+        Invariant that the shortest counterexample violates; empty if none was found.
     trace : tuple of str
-        Steps of that counterexample.
+        Labels of the steps of that counterexample.
     """
 
     name: str
@@ -56,7 +56,7 @@
 
     @property
     def survived(self) -> bool:
-        """Whether no invariant noticed it."""
+        """Whether no invariant detects the mutation."""
         return not self.invariant
 
 
@@ -68,20 +68,20 @@
 
 
 def check_scenarios(names: Iterable[str], processes: int) -> Iterator[CheckResult]:
-    """Check specifications as they are, in some number of processes."""
+    """Check unmodified specifications in a pool of processes."""
     ordered = sorted(names, key=lambda name: name not in _LONG_FIRST)
-    with _pool(processes) as pool:
+    with _create_pool(processes) as pool:
         yield from pool.map(_check_scenario, ordered)
 
 
 def check_mutations(names: Iterable[str], processes: int) -> Iterator[MutationResult]:
-    """Look for the shortest counterexample of each mutation."""
-    with _pool(processes) as pool:
+    """Find the shortest counterexample of each mutation."""
+    with _create_pool(processes) as pool:
         yield from pool.map(_check_mutation, names)
 
 
-def _pool(processes: int) -> ProcessPoolExecutor:
-    # A forked child would inherit the state of gevent's hub.
+def _create_pool(processes: int) -> ProcessPoolExecutor:
+    # A forked child process would inherit the state of gevent's hub.
     return ProcessPoolExecutor(processes, multiprocessing.get_context("spawn"))
 
 
--- a/endivepick/model/tests/test_checker.py
+++ b/endivepick/model/tests/test_checker.py
@@ -22,8 +22,8 @@
     )
 
 
-def walk(specification):
-    """Reachable states and depth, without the library."""
+def explore(specification):
+    """Return the number of reachable states and the depth without the library."""
     depths = {specification.initial: 0}
     queue = deque(depths)
     while queue:
@@ -64,7 +64,7 @@
             with self.subTest(name):
                 specification = specification_of(name)
                 result = check(specification)
-                self.assertEqual(walk(specification), (result.states, result.depth))
+                self.assertEqual(explore(specification), (result.states, result.depth))
 
 
 class FreezeTest(unittest.TestCase):
--- a/endivepick/model/tests/test_specifications.py
+++ b/endivepick/model/tests/test_specifications.py
@@ -46,8 +46,13 @@
                 self.assertTrue(result.violations)
 
     def test_stops_and_crashes_reach_their_ends(self):
-        """The model gets as far as an answer from the last of a chain."""
-        bounds = replace(FLOW_SCENARIOS["chain of planned stops"], gives_up=False)
+        """Guard against a chain of stops that never reaches the last instance's answer.
+
+        Invariants would hold trivially if the model stopped earlier.
+        """
+        bounds = replace(
+            FLOW_SCENARIOS["chain of planned stops"], may_declare_dead=False
+        )
         specification = flow_specification("reach", bounds)
         first, *_, last = bounds.names
         reached = replace(
@@ -57,7 +62,7 @@
                     not (
                         world.runs
                         and world.caller.outcome.value == "answered"
-                        and len(world.heirs) == 2
+                        and len(world.successions) == 2
                         and world.nodes[0] is None
                         and world.nodes[1] is None
                     )
@@ -107,7 +112,7 @@
             self.assertEqual(code, 1)
             self.assertIn("1 passed, 1 failed", output)
 
-    def test_letter_of_the_issue_is_covered(self):
+    def test_required_invariants_are_checked(self):
         self.assertGreaterEqual(len(MUTATIONS), 8)
         names = {
             name
--- a/endivepick/model/told_changes.py
+++ b/endivepick/model/told_changes.py
@@ -1,9 +1,9 @@
-"""Specification of told changes: a configuration in force is one that was written.
+"""Specification of configuration deltas: each version in force was written as such.
 
-A feeder and an instance that is fed run the real tables of routes.  Each reads versions
-from the store, whose answers may come late; what the feeder tells of the difference
-between two versions may come late, twice or never, and the feeder may lose everything
-and start again.
+A feeder and a fed instance run the production route tables.  Both read versions from
+the store, whose responses may be delayed.  The deltas between two versions that the
+feeder sends may be delayed, duplicated or lost, and the feeder may restart without
+any state.
 """
 
 from collections.abc import Callable, Iterator
@@ -21,7 +21,7 @@
 )
 from endivepick.forwarding.routes import RouteTable
 from endivepick.model._freeze import freeze
-from endivepick.model._memory import Memory
+from endivepick.model._memory import TransitionCache
 from endivepick.model.checker import Specification
 
 __all__ = ["ChangeBounds", "changes_specification"]
@@ -34,20 +34,20 @@
 
 @dataclass(frozen=True)
 class ChangeBounds:
-    """How much may happen in one run of the model.
+    """Limits on the events in one run of the model.
 
     Attributes
     ----------
     history : tuple
-        Services by name of a route, of each version in turn.
+        Sequence of versions, each a mapping of route names to services.
     messages : int
-        Different answers of the feeder.
+        Maximum number of distinct answers of the feeder.
     restarts : int
-        Starts of the feeder with nothing.
+        Maximum number of restarts of the feeder without state.
     table : callable
-        Makes the table of routes of an instance; a mutation replaces it.
+        Creates the route table of an instance; a mutation replaces it.
     apply : callable
-        Applies a change to a version; a mutation replaces it.
+        Applies a delta to a version; a mutation replaces it.
     """
 
     history: tuple[dict[str, str], ...] = (
@@ -70,31 +70,31 @@
     nodes : tuple of int
         State number of each instance.
     revision : int
-        Versions that the store has accepted.
-    shown : int
-        Newest revision that was in force at the instance that is fed.
-    sent : tuple of int
-        Numbers of the feeder's answers.
+        Number of versions that the store has accepted.
+    highest_in_force : int
+        Highest revision that was in force at the fed instance.
+    sent : frozenset of int
+        State numbers of the feeder's answers.
     restarts : int
-        Starts that the bounds still allow.
+        Restarts that the bounds still allow.
     """
 
     nodes: tuple[int, int]
     revision: int
-    shown: int
+    highest_in_force: int
     sent: frozenset[int]
     restarts: int
 
 
 def changes_specification(name: str, bounds: ChangeBounds) -> Specification:
-    """Build the specification of told changes within some bounds."""
+    """Build the specification of configuration deltas within given bounds."""
     model = _ChangesModel(bounds)
     return Specification(
         name=name,
         initial=model.initial(),
         steps=model.steps,
         invariants={
-            "what is in force at a revision was written there": model.agrees,
+            "what is in force at a revision was written there": model.matches_written,
             "a version in force never goes back": model.never_reverts,
         },
     )
@@ -113,15 +113,17 @@
 class _ChangesModel:
     def __init__(self, bounds: ChangeBounds) -> None:
         self._bounds = bounds
-        self._nodes: Memory[RouteTable] = Memory(freeze)
-        self._told: Memory[ConfigurationChange] = Memory(freeze)
+        self._nodes: TransitionCache[RouteTable] = TransitionCache(freeze)
+        self._sent_changes: TransitionCache[ConfigurationChange] = TransitionCache(
+            freeze
+        )
         self._written = [
             _configuration(index + 1, services)
             for index, services in enumerate(bounds.history)
         ]
 
     def initial(self) -> ChangesWorld:
-        """Return the world in which nothing is known anywhere."""
+        """Return the state in which no instance has a configuration."""
         fresh = self._fresh()
         nothing: frozenset[int] = frozenset()
         return ChangesWorld((fresh, fresh), 0, 0, nothing, self._bounds.restarts)
@@ -130,62 +132,64 @@
         return self._nodes.number_of(self._bounds.table())
 
     def steps(self, world: ChangesWorld) -> Iterator[Step]:
-        """Yield every step out of a world, with its label."""
+        """Yield every step out of a state, with its label."""
         if world.revision < len(self._written):
             later = world._replace(revision=world.revision + 1)
             yield f"store: version of revision {later.revision}", later
         for index, name in enumerate(_NODES):
             for revision in range(1, world.revision + 1):
                 label = f"{name} reads revision {revision}"
-                yield self._taken(world, index, label, self._written[revision - 1])
-        yield from self._answer(world)
-        yield from self._hear(world)
+                yield self._apply_configuration(
+                    world, index, label, self._written[revision - 1]
+                )
+        yield from self._answer_steps(world)
+        yield from self._receive_steps(world)
         if world.restarts:
             fresh = (self._fresh(), world.nodes[_FED])
             left = world.restarts - 1
             yield "feeder starts again", world._replace(nodes=fresh, restarts=left)
 
-    def _taken(
+    def _apply_configuration(
         self, world: ChangesWorld, index: int, label: str, configuration: Configuration
     ) -> Step:
-        act = partial(_take_in, configuration)
+        act = partial(_accept_configuration, configuration)
         event = (configuration.revision, freeze(configuration))
-        state, _ = self._nodes.after(world.nodes[index], event, act)
+        state, _ = self._nodes.apply_event(world.nodes[index], event, act)
         nodes = list(world.nodes)
         nodes[index] = state
-        shown = world.shown
+        highest_in_force = world.highest_in_force
         if index == _FED:
-            shown = max(shown, self._nodes[state].revision)
+            highest_in_force = max(highest_in_force, self._nodes[state].revision)
         changed = (nodes[_FEEDER], nodes[_FED])
-        return label, world._replace(nodes=changed, shown=shown)
+        return label, world._replace(nodes=changed, highest_in_force=highest_in_force)
 
-    def _answer(self, world: ChangesWorld) -> Iterator[Step]:
-        """The feeder tells what changed since the version that the other has."""
+    def _answer_steps(self, world: ChangesWorld) -> Iterator[Step]:
+        """Send the delta from the version of the fed instance to the feeder's."""
         feeder, fed = (self._nodes[state] for state in world.nodes)
         if fed.configuration is None or feeder.revision <= fed.revision:
             return
         change = feeder.change_since(fed.revision)
         if change is None:
             return
-        sent = world.sent | {self._told.number_of(change)}
+        sent = world.sent | {self._sent_changes.number_of(change)}
         if len(sent) <= self._bounds.messages:
             yield f"feeder answers {change}", world._replace(sent=sent)
 
-    def _hear(self, world: ChangesWorld) -> Iterator[Step]:
+    def _receive_steps(self, world: ChangesWorld) -> Iterator[Step]:
         known = self._nodes[world.nodes[_FED]].configuration
         if known is None:
             return
         for number in sorted(world.sent):
-            configuration = self._bounds.apply(known, self._told[number])
+            configuration = self._bounds.apply(known, self._sent_changes[number])
             if configuration is not None:
                 label = f"fed is told {number}"
-                yield self._taken(world, _FED, label, configuration)
+                yield self._apply_configuration(world, _FED, label, configuration)
 
-    def agrees(self, world: ChangesWorld) -> bool:
-        """Tell whether each instance has what was written at its revision."""
-        return all(self._agrees(self._nodes[state]) for state in world.nodes)
+    def matches_written(self, world: ChangesWorld) -> bool:
+        """Tell whether each instance holds the configuration of its revision."""
+        return all(self._matches_written(self._nodes[state]) for state in world.nodes)
 
-    def _agrees(self, node: RouteTable) -> bool:
+    def _matches_written(self, node: RouteTable) -> bool:
         found = node.configuration
         if found is None:
             return True
@@ -197,9 +201,9 @@
         )
 
     def never_reverts(self, world: ChangesWorld) -> bool:
-        """Tell whether the instance that is fed has the newest that it had."""
-        return self._nodes[world.nodes[_FED]].revision == world.shown
+        """Tell whether the revision of the fed instance never decreased."""
+        return self._nodes[world.nodes[_FED]].revision == world.highest_in_force
 
 
-def _take_in(configuration: Configuration, node: RouteTable) -> None:
+def _accept_configuration(configuration: Configuration, node: RouteTable) -> None:
     node.take_in(configuration, 0.0)
