--- a/endivepick/model/_caller.py
+++ b/endivepick/model/_caller.py
@@ -29,7 +29,7 @@
             yield from _receive(caller, packet, bounds)
         if bounds.cancels:
             sent = frozenset([encode_packet(Cancel(caller.token, caller.seq))])
-            yield "gives up", caller._replace(outcome=Outcome.UNKNOWN), sent
+            yield "cancels the request", caller._replace(outcome=Outcome.UNKNOWN), sent
         if bounds.closes_flow:
             closed = caller._replace(outcome=Outcome.UNKNOWN)
             yield "closes the flow", closed, _close_packets(caller)
@@ -61,9 +61,13 @@
         case AnswerPart(binding=caller.binding, seq=caller.seq):
             yield "gets the answer", _ended(caller, Outcome.ANSWERED), _NOTHING
         case OutcomePacket(binding=caller.binding, seq=caller.seq):
-            yield "hears 'outcome unknown'", _ended(caller, Outcome.UNKNOWN), _NOTHING
+            yield (
+                "receives 'outcome unknown'",
+                _ended(caller, Outcome.UNKNOWN),
+                _NOTHING,
+            )
         case Refused(binding=caller.binding, seq=caller.seq):
-            yield "hears 'not run'", _refused(caller, bounds), _NOTHING
+            yield "receives 'not run'", _refused(caller, bounds), _NOTHING
 
 
 def _ended(caller: Caller, outcome: Outcome) -> Caller:
@@ -71,7 +75,7 @@
 
 
 def _refused(caller: Caller, bounds: Bounds) -> Caller:
-    if caller.may_have_run and not bounds.caller.believes_last_refusal:
+    if caller.may_have_run and not bounds.caller.trusts_last_refusal:
         return _ended(caller, Outcome.UNKNOWN)
     return _ended(caller, Outcome.NOT_RUN)
 
@@ -81,7 +85,11 @@
         if packet.token == caller.token:
             return
         sent = request(packet.token, caller.seq, bounds)
-        yield "goes on", caller._replace(token=packet.token), frozenset([sent])
+        yield (
+            "continues with a new token",
+            caller._replace(token=packet.token),
+            frozenset([sent]),
+        )
         return
     if not (bounds.idempotent or bounds.caller.resends_non_idempotent):
         ended = _ended(caller, Outcome.UNKNOWN)
--- a/endivepick/model/_description.py
+++ b/endivepick/model/_description.py
@@ -36,9 +36,9 @@
     if view.suspected:
         parts.append("holder suspected")
     if view.dead:
-        parts.append("holder given up")
+        parts.append("holder dead")
     if view.successor:
         parts.append(f"successor {view.successor.name}#{view.successor.incarnation}")
     if view.opener:
         parts.append(f"opener {view.opener.name}")
-    return f", believing {' and '.join(parts)}" if parts else ""
+    return f", with view: {' and '.join(parts)}" if parts else ""
--- a/endivepick/model/_flow_scenarios.py
+++ b/endivepick/model/_flow_scenarios.py
@@ -95,7 +95,7 @@
     _caller_mutation(
         "the caller trusts the last refusal",
         replace(_CRASH, idempotent=True),
-        CallerRules(believes_last_refusal=True),
+        CallerRules(trusts_last_refusal=True),
     ),
     _mutation(
         "a flow is unfrozen after its hand-over",
--- a/endivepick/model/_world.py
+++ b/endivepick/model/_world.py
@@ -34,12 +34,12 @@
     ----------
     resends_non_idempotent : bool
         The caller resends a non-idempotent request under a re-issued binding.
-    believes_last_refusal : bool
+    trusts_last_refusal : bool
         The caller reports "not run" although an earlier attempt may have run.
     """
 
     resends_non_idempotent: bool = False
-    believes_last_refusal: bool = False
+    trusts_last_refusal: bool = False
 
 
 @dataclass(frozen=True)
--- a/endivepick/model/configuration.py
+++ b/endivepick/model/configuration.py
@@ -64,7 +64,7 @@
     highest : tuple of int
         Highest version or deletion that was in force at each instance since its
         start.
-    floor : tuple of int
+    required_versions : tuple of int
         Version that the ready peer held when the instance started, 0 if the peer
         was not ready.
     revision : int
@@ -77,7 +77,7 @@
 
     nodes: tuple[int, ...]
     highest: tuple[int, ...]
-    floor: tuple[int, ...]
+    required_versions: tuple[int, ...]
     revision: int
     sent: frozenset[tuple[int, Any]]
     restarts: int
@@ -191,12 +191,12 @@
 
     def _restart(self, world: ConfigWorld, index: int) -> ConfigWorld:
         peer = self._nodes[world.nodes[1 - index]]
-        floor = peer.version if peer.readiness.ready else 0
+        required = peer.version if peer.readiness.ready else 0
         restarts = world.restarts - 1
         return world._replace(
             nodes=_replaced(world.nodes, index, self._fresh(index, restarts)),
             highest=_replaced(world.highest, index, 0),
-            floor=_replaced(world.floor, index, floor),
+            required_versions=_replaced(world.required_versions, index, required),
             restarts=restarts,
         )
 
@@ -210,9 +210,9 @@
 
     def ready_is_up_to_date(self, world: ConfigWorld) -> bool:
         """Tell whether each ready instance holds what its peer held at its start."""
-        for state, floor in zip(world.nodes, world.floor, strict=True):
+        for state, required in zip(world.nodes, world.required_versions, strict=True):
             node = self._nodes[state]
-            if node.readiness.ready and self._newest_applied_change(state) < floor:
+            if node.readiness.ready and self._newest_applied_change(state) < required:
                 return False
         return True
 
--- a/endivepick/model/evidence.py
+++ b/endivepick/model/evidence.py
@@ -271,12 +271,12 @@
         if progress.answered < progress.requests:
             # A retransmission may reach a target that has recovered.
             again = progress._replace(running=progress.running or serves)
-            yield self._packet_step(world, index, again, f"{label} repeats", True)
+            yield self._packet_step(world, index, again, f"{label} retransmits", True)
             finishes = world.condition is Condition.FINISHES
             if (serves or finishes) and progress.running:
                 done = progress._replace(answered=progress.requests, running=False)
                 yield self._packet_step(
-                    world, index, done, f"{label} has its answer", False
+                    world, index, done, f"{label} is answered", False
                 )
 
     def _packet_step(
@@ -287,8 +287,8 @@
         label: str,
         data: bool,
     ) -> Step:
-        every = list(world.progress)
-        every[index] = progress
+        all_progress = list(world.progress)
+        all_progress[index] = progress
         size_bytes = _DATA_BYTES if data else 0
         sequence = _FIRST_SEQUENCE + _DATA_BYTES * (
             progress.requests - (1 if data else 0)
@@ -303,7 +303,9 @@
             size_bytes,
         )
         act = partial(_on_packet, packet, world.step * _STEP_S)
-        return self._apply_to_core(world._replace(progress=tuple(every)), label, act)
+        return self._apply_to_core(
+            world._replace(progress=tuple(all_progress)), label, act
+        )
 
     def _apply_to_core(self, world: EvidenceWorld, label: str, act: Act) -> Step:
         """Apply an event to the core; start its probes and record its resets."""
@@ -373,7 +375,7 @@
         if belief.reachability is Reachability.REACHABLE:
             return True
         act = partial(_tick, (world.step + 1) * _STEP_S)
-        event = ("looks again", world.step)
+        event = ("probes again", world.step)
         after, effects = self._states.apply_event(
             world.core, event, partial(_effects, act)
         )
--- a/endivepick/model/flows.py
+++ b/endivepick/model/flows.py
@@ -1,6 +1,6 @@
 """Specification of the lifecycle of a flow: owners, duplicates, crashes, hand-over.
 
-The instances run the production decision core (see `_node`).  Network, targets,
+The instances run the production decision core (see `_flow_node`).  Network, targets,
 membership views and the caller are abstract and may take any permitted step.
 """
 
@@ -122,7 +122,7 @@
             yield from self._stopping(world, index, state)
             yield from self._crash(world, index)
             if self._bounds.expires_flows:
-                yield from self._event(world, index, ExpireFlows(), "forgets flows")
+                yield from self._event(world, index, ExpireFlows(), "expires flows")
         yield from self._targets(world)
         for label, caller, packets in _caller.steps(world, self._bounds):
             sent = world.packets | packets
@@ -222,9 +222,9 @@
         for request_id in self.instances[state].dispatcher.queued:
             if world.remaining.attempts:
                 event = PlaceQueued(request_id, Placement.START)
-                yield from self._event(world, index, event, "starts what waited")
+                yield from self._event(world, index, event, "starts a queued request")
             event = PlaceQueued(request_id, Placement.REFUSE)
-            yield from self._event(world, index, event, "refuses what waited")
+            yield from self._event(world, index, event, "refuses a queued request")
 
     def _stopping(self, world: World, index: int, state: int) -> Iterator[Step]:
         node = self.instances[state]
@@ -239,12 +239,12 @@
             for dead in (False, True) if self._bounds.may_declare_dead else (False,):
                 label = f"hands over to {successor.name}"
                 if dead:
-                    label += ", believing the last successor dead"
+                    label += ", with the last successor declared dead"
                 yield from self._event(
                     world, index, ContinueHandOver(successor, dead), label
                 )
             if self._bounds.may_time_out:
-                label = "gives up what runs, its time is up"
+                label = "aborts running requests at its deadline"
                 yield from self._event(world, index, StopDeadline(successor), label)
         # Without a successor or after the deadline it leaves while holding flows.
         if not any(flow.in_progress for flow in node.table):
--- a/endivepick/model/key_rotation.py
+++ b/endivepick/model/key_rotation.py
@@ -230,13 +230,13 @@
         if instance.reported < instance.version:
             reported = instance._replace(reported=instance.version)
             yield (
-                f"{name} reports what it holds",
+                f"{name} reports its version",
                 _with_instance(world, index, reported),
             )
         if world.isolations and all(not one.is_isolated for one in world.instances):
             reduced = world._replace(isolations=world.isolations - 1)
             isolated = instance._replace(isolated_since=world.now)
-            yield f"{name} is cut off", _with_instance(reduced, index, isolated)
+            yield f"{name} is isolated", _with_instance(reduced, index, isolated)
 
     def _local_steps(
         self, world: KeyWorld, index: int, instance: InstanceState
@@ -252,7 +252,7 @@
                 isolated_since=-1, version=len(world.versions) - 1
             )
             yield (
-                f"{name} is back and catches up",
+                f"{name} reconnects and catches up",
                 _with_instance(world, index, reconnected),
             )
         elif world.restarts:
--- a/endivepick/model/registry.py
+++ b/endivepick/model/registry.py
@@ -169,9 +169,9 @@
                 yield f"gets the changes from {after} to {revision}", take
         if index == _FED:
             for answer in world.sent:
-                yield f"is told {answer}", partial(_take_feeder_answer, answer)
-        yield "gives lapsed entries up", lambda node: node.expire(_GRACE_OVER_S)
-        yield "forgets what is gone", lambda node: node.expire(_MEMORY_OVER_S)
+                yield f"receives {answer}", partial(_take_feeder_answer, answer)
+        yield "declares lapsed entries gone", lambda node: node.expire(_GRACE_OVER_S)
+        yield "removes gone entries", lambda node: node.expire(_MEMORY_OVER_S)
 
     def _apply_event(
         self,
@@ -241,11 +241,11 @@
         )
 
     def _matches_store(self, node: TargetRegistry) -> bool:
-        stood = {target.name: target for target in self._listed(node.revision)}
+        stored = {target.name: target for target in self._listed(node.revision)}
         for name in self._names:
             belief = node.get(name)
             state = None if belief is None else belief.state
-            entry = stood.get(name)
+            entry = stored.get(name)
             if entry is not None and state is not _PRESENT[entry.phase]:
                 return False
             if entry and belief and belief.target.born_ms != entry.born_ms:
--- a/endivepick/model/restarts.py
+++ b/endivepick/model/restarts.py
@@ -182,7 +182,7 @@
             entry = _target(_NAME, self._second_born_ms(world), revision=5)
             act: Act = partial(_on_target, entry, self._now_s(world))
             yield self._apply_to_core(
-                restart_announced, "the registry tells of the start", act
+                restart_announced, "the registry announces the start", act
             )
         if world.step < self._bounds.steps:
             later = world._replace(step=world.step + 1)
--- a/endivepick/model/told_changes.py
+++ b/endivepick/model/told_changes.py
@@ -146,8 +146,8 @@
         yield from self._receive_steps(world)
         if world.restarts:
             fresh = (self._fresh(), world.nodes[_FED])
-            left = world.restarts - 1
-            yield "feeder starts again", world._replace(nodes=fresh, restarts=left)
+            remaining = world.restarts - 1
+            yield "feeder starts again", world._replace(nodes=fresh, restarts=remaining)
 
     def _apply_configuration(
         self, world: ChangesWorld, index: int, label: str, configuration: Configuration
@@ -182,7 +182,7 @@
         for number in sorted(world.sent):
             configuration = self._bounds.apply(known, self._sent_changes[number])
             if configuration is not None:
-                label = f"fed is told {number}"
+                label = f"fed receives delta {number}"
                 yield self._apply_configuration(world, _FED, label, configuration)
 
     def matches_written(self, world: ChangesWorld) -> bool:
