--- a/endivepick/addresses.py
+++ b/endivepick/addresses.py
@@ -2,12 +2,12 @@
 
 from socket import AF_INET, inet_pton
 
-__all__ = ["host_number", "parse_address"]
+__all__ = ["ipv4_to_int", "parse_address"]
 
 _PORT_MAX = 65535
 
 
-def host_number(text: str) -> int:
+def ipv4_to_int(text: str) -> int:
     """Return the number that an IPv4 address stands for.
 
     Raises
@@ -17,7 +17,7 @@
 
     Examples
     --------
-    >>> hex(host_number("198.18.0.1"))
+    >>> hex(ipv4_to_int("198.18.0.1"))
     '0xc6120001'
     """
     try:
@@ -55,5 +55,5 @@
     port = int(port_text)
     if port > _PORT_MAX:
         raise ValueError(f"use a port from 0 to {_PORT_MAX}")
-    host_number(host)
+    ipv4_to_int(host)
     return host, port
--- a/endivepick/bench/_capacity_lines.py
+++ b/endivepick/bench/_capacity_model.py
@@ -374,7 +374,7 @@
         yield CapacityLine(role, "writes", writes, "1/s", limits.writes_per_s)
 
 
-def _tiers(fleet: Fleet, changes_per_s: float) -> cost.SpreadCost:
+def _tiers(fleet: Fleet, changes_per_s: float) -> cost.DisseminationCost:
     """Return the cost of the tiers of watchers and feeders."""
     shape = cost.Fleet(
         "",
@@ -384,8 +384,8 @@
         fleet.targets_per_record,
         changes_per_s,
     )
-    ways = cost.spread_costs(shape, DisseminationSettings())
-    return next(way for way in ways if "chosen" in way.way)
+    ways = cost.estimate_dissemination_costs(shape, DisseminationSettings())
+    return next(strategy for strategy in ways if "chosen" in strategy.strategy)
 
 
 def capacity_lines(
--- a/endivepick/bench/_control_slopes.py
+++ b/endivepick/bench/_control_slopes.py
@@ -10,23 +10,23 @@
 
 import msgspec
 
-from endivepick.bench._fleet import TWO_YEARS, Fleet
-from endivepick.bench._node import (
-    DrivenNode,
+from endivepick.bench._fleet import PLANNED_FLEET, Fleet
+from endivepick.bench._simulated_node import (
+    SimulatedNode,
     instance_name,
     member_update,
     record_object,
 )
 from endivepick.bench._slopes import Measured, measure, traced
 from endivepick.core.events import InstancesListed, ObjectsChanged
-from endivepick.core.wire import Envelope, encode_envelope
-from endivepick.core.zone_status import PARTS_PER_EXPIRY
+from endivepick.core.peer_envelope import Envelope, encode_envelope
+from endivepick.core.zone_status import STATUS_SENDS_PER_EXPIRY
 from endivepick.daemon.metrics import DaemonMetrics
-from endivepick.daemon.status import instance_status, role_gauges
+from endivepick.daemon.status import build_instance_status, compute_role_gauges
 from endivepick.membership import ListedInstance
 from endivepick.membership.peer_messages import MemberUpdate, Phase, Ping
 from endivepick.membership.view import InstanceView, PeerState
-from endivepick.platform.answers import WatchResult, read_instances
+from endivepick.platform.answers import WatchResult, decode_instances
 from endivepick.records.model import Affinity, ServiceRecord
 from endivepick.records.objects import StoredObject
 from endivepick.records.peer_messages import (
@@ -34,10 +34,15 @@
     SubtreeReport,
     TargetStatus,
 )
-from endivepick.records.roles import hash_names, zone_roles
+from endivepick.records.roles import compute_zone_roles, hash_names
 from endivepick.records.settings import DisseminationSettings, StatusSettings
-from endivepick.records.status import ShownRows, StatusView, StatusWriter, WriteStatus
-from endivepick.records.status_groups import status_group
+from endivepick.records.status import (
+    RowSelection,
+    StatusView,
+    StatusWriter,
+    WriteStatus,
+)
+from endivepick.records.status_groups import find_status_group
 
 __all__ = ["measure_changes", "measure_fleet", "measure_lists", "measure_status"]
 
@@ -58,11 +63,11 @@
 
 
 def _fleet_once(instances: int) -> dict[str, float]:
-    fleet = TWO_YEARS.scaled(instances)
+    fleet = PLANNED_FLEET.scaled(instances)
     with traced() as held:
-        node = DrivenNode(fleet)
+        node = SimulatedNode(fleet)
         node.join()
-    node = DrivenNode(fleet)
+    node = SimulatedNode(fleet)
     node.take_members()
     node.reset()
     node.take_records()
@@ -83,13 +88,13 @@
         "messages_sent_per_s": sum(node.sent.values()) / IDLE_S,
         "metrics_read_ms": _busy_ms(lambda: _read_metrics(metrics, node)),
         "status_page_bytes": float(
-            len(msgspec.json.encode(instance_status(node.core, node.now_s)))
+            len(msgspec.json.encode(build_instance_status(node.core, node.now_s)))
         ),
     }
 
 
-def _read_metrics(metrics: DaemonMetrics, node: DrivenNode) -> None:
-    metrics.set_roles(role_gauges(node.core))
+def _read_metrics(metrics: DaemonMetrics, node: SimulatedNode) -> None:
+    metrics.set_role_gauges(compute_role_gauges(node.core))
     metrics.render([])
 
 
@@ -117,14 +122,14 @@
 
 
 def _changes_once(instances: int) -> dict[str, float]:
-    fleet = TWO_YEARS.scaled(instances)
-    node = DrivenNode(fleet)
+    fleet = PLANNED_FLEET.scaled(instances)
+    node = SimulatedNode(fleet)
     node.join()
     node.run(1.0)
     numbers = range(1, 1 + min(CHANGES, instances // 3))
-    leaving = [_advanced(node.update_of(n), Phase.LEAVING) for n in numbers]
+    leaving = [_advanced(node.get_member_update(n), Phase.LEAVING) for n in numbers]
     lost = range(fleet.zones, instances, fleet.zones)
-    stopped = [_advanced(node.update_of(n), Phase.STOPPED) for n in lost]
+    stopped = [_advanced(node.get_member_update(n), Phase.STOPPED) for n in lost]
     return {
         "peer_change_ms": _cost_of_updates(node, leaving) / len(leaving),
         "record_change_ms": _cost_of_records(node),
@@ -138,29 +143,29 @@
     return msgspec.structs.replace(update, phase=phase)
 
 
-def _cost_of_updates(node: DrivenNode, updates: Sequence[MemberUpdate]) -> float:
+def _cost_of_updates(node: SimulatedNode, updates: Sequence[MemberUpdate]) -> float:
     """Return the processor time of changes that come one by one, in ms."""
     node.reset()
     node.run(0.05 * len(updates))
     quiet_s = node.busy_s
     node.reset()
     for update in updates:
-        node.tell(Ping(1, 1, 0, [update], []))
+        node.deliver_message(Ping(1, 1, 0, [update], []))
         node.run(0.05)
     return max(0.0, node.busy_s - quiet_s) * _MS
 
 
-def _cost_of_zone(node: DrivenNode, updates: Sequence[MemberUpdate]) -> float:
+def _cost_of_zone(node: SimulatedNode, updates: Sequence[MemberUpdate]) -> float:
     """Return the processor time of a zone's end, news coming six at a time."""
     node.reset()
     for start in range(0, len(updates), 6):
-        node.tell(Ping(1, 1, 0, list(updates[start : start + 6]), []))
+        node.deliver_message(Ping(1, 1, 0, list(updates[start : start + 6]), []))
         if start % 12 == 0:
             node.run(0.05)
     return node.busy_s * _MS
 
 
-def _cost_of_records(node: DrivenNode) -> float:
+def _cost_of_records(node: SimulatedNode) -> float:
     revision = node.core.configuration.cache.revision
     node.reset()
     for step in range(CHANGES):
@@ -205,12 +210,14 @@
     """Let a writer write while records and load change."""
     written = _Written()
     writer.step(view_at(0), 0.0, 0.5)
-    writer.was_read(None)
+    writer.on_read(None)
     for second in range(round(STATUS_S)):
         view = view_at(second)
         for name in view.rows(()):
             number = int(name.rpartition("-")[2])
-            writer.note(name, _part(TWO_YEARS, number, 1, second), float(second))
+            writer.record_part(
+                name, _part(PLANNED_FLEET, number, 1, second), float(second)
+            )
         started_s = time.process_time()
         action = writer.step(view, float(second), 0.5)
         written.busy_s += time.process_time() - started_s
@@ -218,7 +225,7 @@
             written.size = len(msgspec.json.encode(action.body))
             written.total += written.size
             stored = StoredObject("status", action.name, second + 1, action.body)
-            writer.was_written(stored)
+            writer.on_written(stored)
     return written
 
 
@@ -240,7 +247,7 @@
             records[at] = replace(records[at], version=version)
         reported = fleet.records + round((second - 2) * fleet.changes_per_s)
         report = SubtreeReport(reported, len(names), names_hash)
-        shown = ShownRows((), names, groups) if groups else ShownRows()
+        shown = RowSelection((), names, groups) if groups else RowSelection()
         return StatusView(list(records), report, names, {}, shown)
 
     return view_at
@@ -248,14 +255,15 @@
 
 def _status_once(instances: int) -> dict[str, float]:
     """Let the writers of a zone write, with the zone's share of the targets."""
-    fleet = TWO_YEARS.scaled(instances)
+    fleet = PLANNED_FLEET.scaled(instances)
     settings = StatusSettings()
     members = [m for m in range(instances) if fleet.zone_of(m) == "zone-0"]
     names = [instance_name(number) for number in members]
     peers = [InstanceView(name, "zone-0", 1, "", PeerState.ALIVE) for name in names]
-    roles = zone_roles("zone-0", peers, DisseminationSettings())
+    roles = compute_zone_roles("zone-0", peers, DisseminationSettings())
     of_names = [
-        status_group(name, "zone-0", roles, settings.group_instances) for name in names
+        find_status_group(name, "zone-0", roles, settings.group_instances)
+        for name in names
     ]
     found = [group for group in of_names if group is not None]
     groups = max((group.groups for group in found), default=0)
@@ -267,13 +275,13 @@
         largest = max(found, key=lambda one: len(one.members))
         report = SubtreeReport(1, len(names), 0)
         listed = sorted(largest.members)
-        shown = ShownRows(listed, group=largest.number)
+        shown = RowSelection(listed, group=largest.number)
         view = StatusView((), report, names, {}, shown)
         slowdown, told = largest.slowdown, len(listed)
         writer = StatusWriter(settings, "zone-0", largest.object_name, slowdown)
         group = _write_status(writer, lambda _: view)
     part = len(_enveloped(_part(fleet, 1, 1, 0)))
-    period_s = settings.part_expiry_s * slowdown / PARTS_PER_EXPIRY
+    period_s = settings.part_expiry_s * slowdown / STATUS_SENDS_PER_EXPIRY
     return {
         "status_objects": 1.0 + groups,
         "status_zone_bytes": float(zone.size),
@@ -312,8 +320,8 @@
 
 
 def _lists_once(instances: int) -> dict[str, float]:
-    fleet = TWO_YEARS.scaled(instances)
-    node = DrivenNode(fleet)
+    fleet = PLANNED_FLEET.scaled(instances)
+    node = SimulatedNode(fleet)
     node.take_members()
     updates = [member_update(fleet, number) for number in range(instances)]
     listed = [
@@ -330,7 +338,7 @@
     entries = tuple(ListedInstance(u.name, u.zone, u.peer_address) for u in updates)
     return {
         "list_bytes": float(len(data)),
-        "list_read_ms": _busy_ms(lambda: read_instances(data)),
+        "list_read_ms": _busy_ms(lambda: decode_instances(data)),
         "list_taken_ms": _busy_ms(lambda: node.handle(InstancesListed(entries, 0.0))),
     }
 
--- a/endivepick/bench/_core_slopes.py
+++ b/endivepick/bench/_core_slopes.py
@@ -6,11 +6,10 @@
 
 import msgspec
 
-from endivepick.bench._fleet import TWO_YEARS
-from endivepick.bench._node import TICK_S, DrivenNode
+from endivepick.bench._fleet import PLANNED_FLEET
+from endivepick.bench._simulated_node import TICK_S, SimulatedNode
 from endivepick.bench._slopes import Measured, measure, traced
 from endivepick.core.actions import Action, SendToCaller, SendToPeer, StartAttempt
-from endivepick.core.codec import encode_packet, encode_struct
 from endivepick.core.dispatch import (
     DispatchSettings,
     FinishKind,
@@ -39,6 +38,7 @@
     RequestHead,
     RequestPart,
 )
+from endivepick.core.packet_codec import encode_packet, encode_struct
 from endivepick.core.peer_messages import HandOver, HandOverAccepted, RelayedPacket
 from endivepick.core.token import FlowToken, TokenCodec
 from endivepick.records.model import Affinity, ServiceRecord, TargetRecord
@@ -89,7 +89,7 @@
     """One instance that owns a service with ready targets."""
 
     def __init__(self, instances: int = 8) -> None:
-        self.node = DrivenNode(TWO_YEARS.scaled(instances))
+        self.node = SimulatedNode(PLANNED_FLEET.scaled(instances))
         self.node.join()
         self.core = self.node.core
         self.service = self._own_service()
@@ -107,7 +107,7 @@
     def send(self, packet: CallerPacket, caller: CallerAddress) -> list[Action]:
         """Give the core a packet that another instance relayed to it."""
         relayed = RelayedPacket(caller, 1, encode_packet(packet))
-        peer = self.node.update_of(1)
+        peer = self.node.get_member_update(1)
         event = PeerMessage(peer.name, peer.incarnation, relayed)
         return self.core.handle(event, self.node.now_s)
 
@@ -127,7 +127,7 @@
 
     def foreign_token(self) -> bytes:
         """Return a token of a flow that another instance owns."""
-        peer = self.node.update_of(1)
+        peer = self.node.get_member_update(1)
         token = FlowToken(
             self.service, 1, 2, peer.name, peer.incarnation, "", int(self.node.now_s)
         )
--- a/endivepick/bench/_fleet.py
+++ b/endivepick/bench/_fleet.py
@@ -3,7 +3,7 @@
 from dataclasses import dataclass
 from math import exp
 
-__all__ = ["LIMITS", "TWO_YEARS", "Fleet", "Limits"]
+__all__ = ["LIMITS", "PLANNED_FLEET", "Fleet", "Limits"]
 
 DAY_S = 86_400.0
 
@@ -125,7 +125,7 @@
     spread_s: float = 14.0
 
 
-TWO_YEARS = Fleet(
+PLANNED_FLEET = Fleet(
     instances=8_000,
     records=6_300,
     targets=44_000,
--- a/endivepick/bench/_membership_slopes.py
+++ b/endivepick/bench/_membership_slopes.py
@@ -2,8 +2,8 @@
 
 from collections.abc import Sequence
 
-from endivepick.bench._fleet import TWO_YEARS
-from endivepick.bench._node import DrivenNode
+from endivepick.bench._fleet import PLANNED_FLEET
+from endivepick.bench._simulated_node import SimulatedNode
 from endivepick.bench._slopes import Measured, measure
 from endivepick.membership import MembershipSettings, PeerState
 from endivepick.membership.measure import measure_change, measure_cost, measure_join
@@ -34,16 +34,18 @@
 
 def _zone_lost(instances: int) -> dict[str, float]:
     """Tell one whole core that a zone is suspect, until it holds all of it dead."""
-    fleet = TWO_YEARS.scaled(instances)
-    node = DrivenNode(fleet)
+    fleet = PLANNED_FLEET.scaled(instances)
+    node = SimulatedNode(fleet)
     node.join()
     node.run(SETTLE_S)
-    lost = [node.update_of(n) for n in range(fleet.zones, instances, fleet.zones)]
+    lost = [
+        node.get_member_update(n) for n in range(fleet.zones, instances, fleet.zones)
+    ]
     node.silence({update.name for update in lost})
     node.reset()
     began_s = node.now_s
     for news in _messages(lost):
-        node.tell(news, node.update_of(1))
+        node.deliver_message(news, node.get_member_update(1))
         node.run(STEP_S)
     while _dead(node, lost) < len(lost) and node.now_s < began_s + LIMIT_S:
         node.run(STEP_S)
@@ -66,7 +68,7 @@
     return [Ping(1, 1, 0, [], [], short[start : start + count]) for start in starts]
 
 
-def _dead(node: DrivenNode, lost: Sequence[MemberUpdate]) -> int:
+def _dead(node: SimulatedNode, lost: Sequence[MemberUpdate]) -> int:
     view = node.core.membership.view()
     return sum(view[update.name].state is PeerState.DEAD for update in lost)
 
--- a/endivepick/bench/_peer_slopes.py
+++ b/endivepick/bench/_peer_slopes.py
@@ -17,7 +17,7 @@
 from endivepick.bench._processes import rss_bytes
 from endivepick.bench._slopes import Measured, measure
 from endivepick.core.peer_messages import HandOverAccepted
-from endivepick.daemon.peers import curve_keys, peer_task
+from endivepick.daemon.peers import derive_curve_keys, peer_task
 from endivepick.settings import parse_settings
 from endivepick.settings.model import DaemonSettings
 from endivepick.timeline.clock import HybridClock
@@ -49,7 +49,7 @@
 def serve_peers(count: int) -> None:
     """Stand for many peers until the standard input is closed."""
     context = zmq.Context()
-    keys = curve_keys(bytes.fromhex(_SECRET_HEX))
+    keys = derive_curve_keys(bytes.fromhex(_SECRET_HEX))
     routers = []
     for _ in range(count):
         router = context.socket(zmq.ROUTER)
--- a/endivepick/bench/_sender.py
+++ b/endivepick/bench/_sender.py
@@ -5,8 +5,8 @@
 from collections.abc import Callable, Iterable
 from itertools import cycle
 
-from endivepick.core.codec import decode_instance_packet, encode_packet
 from endivepick.core.messages import CallerAddress, Open, Opened, Renew
+from endivepick.core.packet_codec import decode_instance_packet, encode_packet
 from endivepick.daemon.fabric import PREFIX_SIZE_BYTES, pack_prefix
 
 __all__ = ["Sender"]
--- a/endivepick/bench/_node.py
+++ b/endivepick/bench/_simulated_node.py
@@ -18,7 +18,7 @@
 )
 from endivepick.core.instance import InstanceCore
 from endivepick.core.keyring import first_keyring, keyring_to_body
-from endivepick.core.wire import Envelope, encode_envelope
+from endivepick.core.peer_envelope import Envelope, encode_envelope
 from endivepick.membership import ListedInstance
 from endivepick.membership.peer_messages import (
     Ack,
@@ -33,7 +33,7 @@
 from endivepick.records.objects import KEYRING_KIND, SERVICE_KIND, StoredObject
 from endivepick.records.peer_messages import ConfigDigest
 
-__all__ = ["DrivenNode", "instance_name", "member_update", "record_object"]
+__all__ = ["SimulatedNode", "instance_name", "member_update", "record_object"]
 
 TICK_S = 0.05
 PING_EVERY_TICKS = 5
@@ -88,7 +88,7 @@
     )
 
 
-class DrivenNode:
+class SimulatedNode:
     """One core whose peers answer each probe.
 
     Parameters
@@ -137,7 +137,7 @@
         """Give the core its peers, as on join."""
         entries = [ListedInstance(p.name, p.zone, p.peer_address) for p in self._peers]
         self.handle(InstancesListed(tuple(entries), 0.0))
-        self.tell(SyncPage(0, [], self._peers, []))
+        self.deliver_message(SyncPage(0, [], self._peers, []))
 
     def take_records(self) -> None:
         """Give the core the keyring and all records."""
@@ -162,14 +162,16 @@
             self.handle(Tick())
             number = next(self._ticks)
             if number % PING_EVERY_TICKS == 0 and self._peers:
-                self.tell(Ping(number, 1, 0, [], []))
+                self.deliver_message(Ping(number, 1, 0, [], []))
 
-    def tell(self, message: Any, sender: MemberUpdate | None = None) -> list[Action]:
+    def deliver_message(
+        self, message: Any, sender: MemberUpdate | None = None
+    ) -> list[Action]:
         """Give the core a message of a peer, a random one by default."""
         peer = sender or self.random.choice(self._peers)
         return self.handle(PeerMessage(peer.name, peer.incarnation, message))
 
-    def update_of(self, number: int) -> MemberUpdate:
+    def get_member_update(self, number: int) -> MemberUpdate:
         """Return the news about a peer; ``number`` is at least 1."""
         return self._peers[number - 1]
 
@@ -204,7 +206,7 @@
         """Give the core a message of the peer of this name."""
         if name in self._silent:
             return []
-        peer = self.update_of(int(name.rpartition("-")[2]))
+        peer = self.get_member_update(int(name.rpartition("-")[2]))
         return self.handle(PeerMessage(peer.name, peer.incarnation, message))
 
     def _digest(self, question: int) -> ConfigDigest:
--- a/endivepick/bench/capacity.py
+++ b/endivepick/bench/capacity.py
@@ -23,8 +23,8 @@
     _target_slopes,
     packets,
 )
-from endivepick.bench._capacity_lines import CapacityLine, capacity_lines
-from endivepick.bench._fleet import LIMITS, TWO_YEARS, Fleet
+from endivepick.bench._capacity_model import CapacityLine, capacity_lines
+from endivepick.bench._fleet import LIMITS, PLANNED_FLEET, Fleet
 from endivepick.bench._slopes import Measured, format_slopes
 
 __all__ = ["MEASUREMENTS", "capacity", "format_lines"]
@@ -72,8 +72,8 @@
         print(format_slopes(list(found.values())), flush=True)
     _write(Path(results), slopes)
     if len(names) == len(MEASUREMENTS):
-        print(f"\n{_describe(TWO_YEARS)}")
-        print(format_lines(capacity_lines(TWO_YEARS, LIMITS, slopes)))
+        print(f"\n{_describe(PLANNED_FLEET)}")
+        print(format_lines(capacity_lines(PLANNED_FLEET, LIMITS, slopes)))
     print(f"\ntook {time.monotonic() - started_s:.0f} s")
 
 
--- a/endivepick/bench/alone.py
+++ b/endivepick/bench/independent.py
@@ -9,8 +9,8 @@
 
 from endivepick.bench.policy import Policy, World
 from endivepick.bench.workload import Flow, Request
-from endivepick.core.codec import encode_struct
 from endivepick.core.dispatch import FinishKind
+from endivepick.core.packet_codec import encode_struct
 from endivepick.records.model import Affinity, ServiceRecord
 
 __all__ = [
--- a/endivepick/bench/owners.py
+++ b/endivepick/bench/owners.py
@@ -4,10 +4,9 @@
 from collections.abc import Callable, Hashable
 from dataclasses import dataclass, field
 
-from endivepick.bench.alone import DATAGRAM_HEADER_BYTES
+from endivepick.bench.independent import DATAGRAM_HEADER_BYTES
 from endivepick.bench.policy import Policy, World
 from endivepick.bench.workload import Flow, Request
-from endivepick.core.codec import encode_struct
 from endivepick.core.dispatch import (
     CostClass,
     Decision,
@@ -21,6 +20,7 @@
     ServiceDispatcher,
     Start,
 )
+from endivepick.core.packet_codec import encode_struct
 from endivepick.records.model import Affinity, ServiceRecord
 
 __all__ = ["Owner", "OwnerOwnZonePolicy", "OwnerPerZonePolicy", "OwnerPolicy"]
--- a/endivepick/bench/path_cost.py
+++ b/endivepick/bench/path_cost.py
@@ -122,9 +122,9 @@
 
     def __init__(self) -> None:
         super().__init__()
-        self.batch = lambda _: None
+        self.record_batch = lambda _: None
 
-    def fold(self) -> None:
+    def aggregate(self) -> None:
         """Count nothing."""
 
 
@@ -163,7 +163,7 @@
     log = open_log("front-1")
     metrics = ForwarderMetrics() if told else _NoMetrics()
     decisions = DecisionLog(log, metrics) if told else _NoLog(log, metrics)
-    requests = PathRequests(lambda: None, lambda _target, _found_here: None)
+    requests = PathRequests(lambda: None, lambda _target, _detected_locally: None)
     codec, dialect = cast(PacketCodec, _Codec()), cast(StoreDialect, None)
     kind = PacketPath if told else _BarePath
     with kind(_core(), codec, dialect, decisions, requests).open("127.0.0.1:0") as at:
@@ -178,7 +178,7 @@
     """Count at the pace at which a forwarder does; both processes tick."""
     while True:
         gevent.sleep(TICK_S)
-        metrics.fold()
+        metrics.aggregate()
 
 
 def _say(value: object) -> None:
--- a/endivepick/bench/placer.py
+++ b/endivepick/bench/placer.py
@@ -84,7 +84,7 @@
         target.healthy = report.healthy
         target.flows = report.flows
         now_s = report.sent_s + report.delay_s
-        target.activity.take_report(report.rate_per_s, report.flows, now_s)
+        target.activity.set_totals(report.rate_per_s, report.flows, now_s)
         if report.serves and not target.record.draining:
             self._serving.add(target.name)
         else:
@@ -123,5 +123,5 @@
         ]
         for target in targets:
             work = self._work[target.name] + len(self._placed_s[target.name])
-            target.load.on_peer(_OWNER, work, now_s)
+            target.load.set_peer_count(_OWNER, work, now_s)
         return targets
--- a/endivepick/bench/policies.py
+++ b/endivepick/bench/policies.py
@@ -1,6 +1,6 @@
 """The compared placement policies by name."""
 
-from endivepick.bench.alone import (
+from endivepick.bench.independent import (
     BoundedHashPolicy,
     LeastLoadedPolicy,
     RandomPolicy,
--- a/endivepick/bench/shards.py
+++ b/endivepick/bench/shards.py
@@ -3,14 +3,14 @@
 import dataclasses
 from collections import defaultdict
 
-from endivepick.bench.alone import DATAGRAM_HEADER_BYTES
+from endivepick.bench.independent import DATAGRAM_HEADER_BYTES
 from endivepick.bench.owners import Owner, OwnerPolicy
 from endivepick.bench.placer import Placer, TargetReport
 from endivepick.bench.policy import World
 from endivepick.bench.workload import Flow, Request
-from endivepick.core.codec import encode_struct
 from endivepick.core.dispatch import FlowActivity, RefusalReason
 from endivepick.core.dispatch.flow_activity import TargetActivity
+from endivepick.core.packet_codec import encode_struct
 from endivepick.records.model import Affinity, ServiceRecord
 
 __all__ = ["OwnerShardsPolicy", "TargetOwnersPolicy"]
--- a/endivepick/bench/tests/test_capacity.py
+++ b/endivepick/bench/tests/test_capacity.py
@@ -4,9 +4,9 @@
 from pathlib import Path
 
 from endivepick.bench import _core_slopes, _target_slopes, packets
-from endivepick.bench._capacity_lines import capacity_lines
-from endivepick.bench._fleet import LIMITS, TWO_YEARS
-from endivepick.bench._node import DrivenNode
+from endivepick.bench._capacity_model import capacity_lines
+from endivepick.bench._fleet import LIMITS, PLANNED_FLEET
+from endivepick.bench._simulated_node import SimulatedNode
 from endivepick.bench._slopes import Measured, format_slopes, measure
 from endivepick.bench.capacity import MEASUREMENTS, format_lines
 
@@ -43,43 +43,43 @@
 
 class FleetTest(unittest.TestCase):
     def test_services_are_dealt_out_unevenly(self):
-        self.assertEqual(TWO_YEARS.targets_per_record, 7)
-        self.assertGreater(TWO_YEARS.most_records, 3)
-        self.assertLess(TWO_YEARS.most_records, 10)
+        self.assertEqual(PLANNED_FLEET.targets_per_record, 7)
+        self.assertGreater(PLANNED_FLEET.most_records, 3)
+        self.assertLess(PLANNED_FLEET.most_records, 10)
 
     def test_every_zone_belongs_to_one_region(self):
         zones = [
             zone
-            for region in range(TWO_YEARS.regions)
-            for zone in TWO_YEARS.zones_of_region(region)
+            for region in range(PLANNED_FLEET.regions)
+            for zone in PLANNED_FLEET.zones_of_region(region)
         ]
-        self.assertEqual(len(zones), TWO_YEARS.zones)
-        self.assertEqual(len(set(zones)), TWO_YEARS.zones)
+        self.assertEqual(len(zones), PLANNED_FLEET.zones)
+        self.assertEqual(len(set(zones)), PLANNED_FLEET.zones)
 
     def test_smaller_fleet_keeps_the_proportions(self):
-        half = TWO_YEARS.scaled(4_000)
+        half = PLANNED_FLEET.scaled(4_000)
         self.assertEqual((half.records, half.targets), (3_150, 22_000))
 
 
 class LinesTest(unittest.TestCase):
     def test_every_role_of_the_page_has_lines(self):
-        lines = capacity_lines(TWO_YEARS, LIMITS, same_slopes(1.0))
+        lines = capacity_lines(PLANNED_FLEET, LIMITS, same_slopes(1.0))
         roles = {line.role for line in lines}
         wanted = {"relay", "owner", "placer", "prober", "configuration", "key holder"}
         self.assertLessEqual(wanted | {"status writer", "platform"}, roles)
 
     def test_line_over_its_limit_says_by_how_much(self):
-        lines = capacity_lines(TWO_YEARS, LIMITS, same_slopes(1e6))
+        lines = capacity_lines(PLANNED_FLEET, LIMITS, same_slopes(1e6))
         text = format_lines([line for line in lines if line.what == "object of a zone"])
         self.assertIn("1,000,000", text)
         self.assertNotIn("OVER", text)
-        lines = capacity_lines(TWO_YEARS, LIMITS, same_slopes(3e6))
+        lines = capacity_lines(PLANNED_FLEET, LIMITS, same_slopes(3e6))
         text = format_lines([line for line in lines if line.what == "object of a zone"])
         self.assertIn("OVER x3.0", text)
 
     def test_lines_ask_only_for_what_is_measured(self):
         asked = same_slopes(1.0)
-        capacity_lines(TWO_YEARS, LIMITS, asked)
+        capacity_lines(PLANNED_FLEET, LIMITS, asked)
         source = "".join(
             Path(inspect.getfile(one)).read_text() for one in MEASUREMENTS.values()
         )
@@ -91,7 +91,7 @@
 
 class MeasurementTest(unittest.TestCase):
     def test_driven_node_joins_a_made_up_fleet(self):
-        node = DrivenNode(TWO_YEARS.scaled(128))
+        node = SimulatedNode(PLANNED_FLEET.scaled(128))
         node.join()
         node.run(2.0)
         self.assertEqual(node.core.lifecycle.state, "ready")
--- a/endivepick/cli/bench.py
+++ b/endivepick/cli/bench.py
@@ -2,7 +2,7 @@
 
 from collections.abc import Container
 
-from endivepick.cli.failures import option_values
+from endivepick.cli.command_errors import option_values
 from endivepick.cli.output import print_line
 
 __all__ = ["BenchCommands"]
--- a/endivepick/cli/connection.py
+++ b/endivepick/cli/connection.py
@@ -7,8 +7,8 @@
 from contextlib import closing, contextmanager
 
 from endivepick.addresses import parse_address
+from endivepick.cli.command_errors import CommandError, option_values
 from endivepick.cli.exit_codes import ExitCode
-from endivepick.cli.failures import CommandError, option_values
 from endivepick.platform import PlatformClient, PlatformSettings
 
 __all__ = ["PLATFORM_VARIABLE", "platform_client"]
--- a/endivepick/cli/drain.py
+++ b/endivepick/cli/drain.py
@@ -4,11 +4,11 @@
 from collections.abc import Mapping
 from typing import Any
 
+from endivepick.cli.command_errors import CommandError, value_of
 from endivepick.cli.connection import platform_client
 from endivepick.cli.exit_codes import ExitCode
-from endivepick.cli.failures import CommandError, value_of
+from endivepick.cli.object_writes import ObjectName, update_object
 from endivepick.cli.output import print_line
-from endivepick.cli.writing import ObjectName, update_object
 from endivepick.records import INSTANCE_KIND, SERVICE_KIND, StoredObject
 
 __all__ = ["DrainCommands"]
--- a/endivepick/cli/calling.py
+++ b/endivepick/cli/fabric_connection.py
@@ -3,8 +3,8 @@
 import os
 
 from endivepick.addresses import parse_address
+from endivepick.cli.command_errors import CommandError, option_values
 from endivepick.cli.exit_codes import ExitCode
-from endivepick.cli.failures import CommandError, option_values
 
 __all__ = ["FABRIC_VARIABLE", "fabric_address"]
 
--- a/endivepick/cli/forwarder.py
+++ b/endivepick/cli/forwarder.py
@@ -8,8 +8,8 @@
 
 from msgspec.structs import asdict
 
+from endivepick.cli.command_errors import CommandError, option_values
 from endivepick.cli.exit_codes import ExitCode
-from endivepick.cli.failures import CommandError, option_values
 from endivepick.cli.output import print_json, print_line, print_table
 from endivepick.forwarder.settings import load_forwarder_settings
 from endivepick.timeline import LogEvent, fields_text, read_log, trace_flow
--- a/endivepick/cli/keys.py
+++ b/endivepick/cli/keys.py
@@ -6,8 +6,8 @@
 from typing import Any
 
 from endivepick.cli.connection import platform_client
+from endivepick.cli.object_writes import ObjectName, read_object, update_object
 from endivepick.cli.output import print_json, print_line, print_table
-from endivepick.cli.writing import ObjectName, read_object, update_object
 from endivepick.core.keyring import (
     KEY_SIZE_BYTES,
     Keyring,
--- a/endivepick/cli/main.py
+++ b/endivepick/cli/main.py
@@ -11,8 +11,8 @@
 import fire
 from fire.parser import DefaultParseValue
 
+from endivepick.cli.command_errors import CommandError, option_values
 from endivepick.cli.exit_codes import ExitCode, exit_code_of
-from endivepick.cli.failures import CommandError, option_values
 from endivepick.cli.option_names import check_option_names
 from endivepick.cli.output import print_line
 from endivepick.errors import EndivepickError
@@ -137,7 +137,7 @@
         json : bool
             Print status, headers and body as JSON.
         """
-        from endivepick.cli.calling import fabric_address
+        from endivepick.cli.fabric_connection import fabric_address
         from endivepick.client.command import call
 
         with option_values("--deadline_s"):
@@ -166,7 +166,7 @@
         fabric : str
             host:port of the fabric; ENDIVEPICK_FABRIC by default.
         """
-        from endivepick.cli.calling import fabric_address
+        from endivepick.cli.fabric_connection import fabric_address
         from endivepick.client.command import stream
 
         with option_values("--events"):
--- a/endivepick/cli/writing.py
+++ b/endivepick/cli/object_writes.py
@@ -5,8 +5,8 @@
 from dataclasses import dataclass
 from typing import Any
 
+from endivepick.cli.command_errors import CommandError, value_of
 from endivepick.cli.exit_codes import ExitCode
-from endivepick.cli.failures import CommandError, value_of
 from endivepick.errors import RecordConflictError
 from endivepick.platform import PlatformClient
 from endivepick.records import StoredObject
--- a/endivepick/cli/option_names.py
+++ b/endivepick/cli/option_names.py
@@ -9,8 +9,8 @@
 from itertools import takewhile, zip_longest
 from typing import Any
 
+from endivepick.cli.command_errors import CommandError
 from endivepick.cli.exit_codes import ExitCode
-from endivepick.cli.failures import CommandError
 
 __all__ = ["check_option_names"]
 
--- a/endivepick/cli/records.py
+++ b/endivepick/cli/records.py
@@ -5,12 +5,12 @@
 from collections.abc import Iterator
 from typing import Any
 
+from endivepick.cli.command_errors import option_values, value_of
 from endivepick.cli.connection import platform_client
 from endivepick.cli.exit_codes import ExitCode
-from endivepick.cli.failures import option_values, value_of
+from endivepick.cli.object_writes import ObjectName, put_object, read_object
 from endivepick.cli.output import print_json, print_line, print_table
 from endivepick.cli.record_file import RecordFile, read_record_file
-from endivepick.cli.writing import ObjectName, put_object, read_object
 from endivepick.errors import RecordConflictError, WatchExpiredError
 from endivepick.platform import PlatformClient
 from endivepick.records import (
@@ -18,7 +18,7 @@
     FieldDifference,
     ServiceRecord,
     StoredObject,
-    body_differences,
+    compare_bodies,
     parse_service,
 )
 
@@ -206,7 +206,7 @@
 def _differences(
     current: StoredObject | None, record: RecordFile
 ) -> tuple[FieldDifference, ...]:
-    return body_differences(current.body if current else None, record.body)
+    return compare_bodies(current.body if current else None, record.body)
 
 
 def _check_base(
--- a/endivepick/cli/status.py
+++ b/endivepick/cli/status.py
@@ -6,8 +6,8 @@
 from collections.abc import Callable, Sequence
 from typing import TypeVar
 
+from endivepick.cli.command_errors import value_of
 from endivepick.cli.connection import platform_client
-from endivepick.cli.failures import value_of
 from endivepick.cli.output import print_json, print_line, print_table
 from endivepick.cli.status_view import (
     InstanceRow,
--- a/endivepick/cli/tests/_status_zone.py
+++ b/endivepick/cli/tests/_status_zone.py
@@ -13,7 +13,7 @@
     ReadObject,
     WriteObject,
 )
-from endivepick.core.zone_status import ZoneStatus
+from endivepick.core.zone_status import ZoneStatusReporter
 from endivepick.membership import InstanceView, PeerState
 from endivepick.platform.answers import ListedInstance
 from endivepick.records.objects import StoredObject
@@ -22,11 +22,11 @@
     SubtreeReport,
     TargetStatus,
 )
-from endivepick.records.roles import hash_names, zone_roles
+from endivepick.records.roles import compute_zone_roles, hash_names
 from endivepick.records.schema import parse_service
 from endivepick.records.settings import DisseminationSettings, StatusSettings
 from endivepick.records.status import StatusView
-from endivepick.records.status_groups import shown_rows, status_group
+from endivepick.records.status_groups import find_status_group, select_rows
 from endivepick.records.tests.test_schema import body_v2
 
 ZONE = "thamel"
@@ -43,13 +43,13 @@
         self.records = records
         self.believe(members)
         self.load = 0
-        self.status = ZoneStatus(SETTINGS, name, ZONE, self)
+        self.status = ZoneStatusReporter(SETTINGS, name, ZONE, self)
 
     def believe(self, members):
         self.members = tuple(members)
         peers = [InstanceView(n, ZONE, 1, "", PeerState.ALIVE) for n in members]
-        self._roles = zone_roles(ZONE, peers, DisseminationSettings())
-        self.group = status_group(
+        self._roles = compute_zone_roles(ZONE, peers, DisseminationSettings())
+        self.group = find_status_group(
             self.name, ZONE, self._roles, SETTINGS.group_instances
         )
 
@@ -57,7 +57,7 @@
     def status_writer(self):
         return self._roles.status_writer
 
-    def own_part(self):
+    def build_own_status(self):
         target = TargetStatus(self.name, "t1", "ready", self.load % 3, 0, 2)
         return InstanceStatus("ready", DAY_S, (2,), (target,))
 
@@ -72,7 +72,7 @@
         revision = max(record.version for record in self.records)
         report = SubtreeReport(revision, len(members), hash_names(members))
         writes_zone = self.status_writer == self.name
-        shown = shown_rows(self.name, members, self.group, writes_zone, of_group)
+        shown = select_rows(self.name, members, self.group, writes_zone, of_group)
         states = dict.fromkeys(members, "alive")
         records = () if of_group else self.records
         return StatusView(records, report, members, states, shown)
@@ -123,7 +123,7 @@
             match action:
                 case SendToPeer(name, part):
                     if name in self.nodes:
-                        self.nodes[name].status.note(node.name, part, self.now_s)
+                        self.nodes[name].status.record_part(node.name, part, self.now_s)
                 case CallPlatform(call=call):
                     answer = self._call(call)
                     share = self.random.random()
--- a/endivepick/cli/tests/support.py
+++ b/endivepick/cli/tests/support.py
@@ -11,7 +11,7 @@
 from endivepick.cli.exit_codes import ExitCode
 from endivepick.cli.main import main
 from standins.launcher import Launcher
-from standins.platformcontrol import PlatformHandle
+from standins.platform_handle import PlatformHandle
 
 RECORD = {
     "name": "notes",
--- a/endivepick/cli/tests/test_status.py
+++ b/endivepick/cli/tests/test_status.py
@@ -2,7 +2,7 @@
 import time
 
 from endivepick.cli.tests.support import PlatformCase
-from standins.platformcontrol import ListedInstance
+from standins.platform_handle import ListedInstance
 
 KUMAMOTO = {
     "schema_version": 9,
--- a/endivepick/cli/tests/test_status_zone.py
+++ b/endivepick/cli/tests/test_status_zone.py
@@ -2,7 +2,7 @@
 from collections import Counter
 
 from endivepick.cli.tests._status_zone import SETTINGS, ZONE, StatusZone
-from endivepick.records.status_groups import group_number
+from endivepick.records.status_groups import compute_group_number
 
 SETTLE_S = 60.0
 
@@ -110,7 +110,8 @@
         node = next(
             node
             for name, node in zone.nodes.items()
-            if name != writer and group_number(name, 3) != group_number(name, 5)
+            if name != writer
+            and compute_group_number(name, 3) != compute_group_number(name, 5)
         )
         others = [name for name in everyone if name not in (writer, node.name)]
         for seen in (8, 24):
--- a/endivepick/cli/timeline.py
+++ b/endivepick/cli/timeline.py
@@ -4,8 +4,8 @@
 from datetime import UTC, datetime
 from pathlib import Path
 
+from endivepick.cli.command_errors import CommandError, option_values
 from endivepick.cli.exit_codes import ExitCode
-from endivepick.cli.failures import CommandError, option_values
 from endivepick.cli.output import print_line
 from endivepick.timeline import (
     EventFilter,
--- a/endivepick/client/_core/actions.py
+++ b/endivepick/client/_core/actions.py
@@ -5,8 +5,8 @@
 
 from endivepick.client.errors import OpenError, RequestError
 from endivepick.client.model import Answer, StreamEvent, StreamHead
-from endivepick.core.codec import encode_packet
 from endivepick.core.messages import CallerPacket, RequestHead
+from endivepick.core.packet_codec import encode_packet
 
 __all__ = [
     "Action",
--- a/endivepick/client/_core/attempt.py
+++ b/endivepick/client/_core/attempt.py
@@ -4,11 +4,10 @@
 from collections.abc import Iterable
 
 from endivepick.client._core.actions import RequestCall
-from endivepick.client._core.context import FlowContext, Repeat
+from endivepick.client._core.answer_window import AnswerWindow
+from endivepick.client._core.flow_context import FlowContext, Repeat
 from endivepick.client._core.receiver import PartReceiver
 from endivepick.client._core.sender import PartSender
-from endivepick.client._core.window import AnswerWindow
-from endivepick.core.codec import encode_struct
 from endivepick.core.messages import (
     Acknowledge,
     Cancel,
@@ -16,6 +15,7 @@
     RequestPart,
     RequestProgress,
 )
+from endivepick.core.packet_codec import encode_struct
 
 __all__ = ["Attempt"]
 
--- a/endivepick/client/_core/caller_core.py
+++ b/endivepick/client/_core/caller_core.py
@@ -10,14 +10,13 @@
     Outbox,
     RequestCall,
 )
-from endivepick.client._core.context import FlowContext, Repeat
 from endivepick.client._core.flow import FlowState, RequestPacket
+from endivepick.client._core.flow_context import FlowContext, Repeat
 from endivepick.client._core.opening import Opening
 from endivepick.client._core.request import RequestState
 from endivepick.client._core.timing import RoundTrip, Timers
 from endivepick.client.errors import NotRun, OpenRefused
 from endivepick.client.settings import CallerSettings
-from endivepick.core.codec import decode_instance_packet
 from endivepick.core.messages import (
     FlowClosed,
     InstancePacket,
@@ -26,6 +25,7 @@
     Reissued,
 )
 from endivepick.core.messages import OpenRefused as OpenRefusedPacket
+from endivepick.core.packet_codec import decode_instance_packet
 from endivepick.errors import PacketInvalidError
 
 __all__ = ["CallerCore"]
--- a/endivepick/client/_core/collector.py
+++ b/endivepick/client/_core/collector.py
@@ -5,8 +5,8 @@
 from endivepick.client._core.actions import EventArrived, HeadArrived, Outbox
 from endivepick.client._core.event_stream import EventParser, EventTooLongError
 from endivepick.client.model import Answer, StreamHead
-from endivepick.core.codec import decode_struct
 from endivepick.core.messages import AnswerHead, RequestHead
+from endivepick.core.packet_codec import decode_struct
 from endivepick.errors import PacketInvalidError
 
 __all__ = ["AnswerUnusableError", "BodyCollector", "Collector", "StreamCollector"]
--- a/endivepick/client/_core/flow.py
+++ b/endivepick/client/_core/flow.py
@@ -3,7 +3,7 @@
 from collections import deque
 
 from endivepick.client._core.actions import Completed, RequestCall
-from endivepick.client._core.context import FlowContext, Repeat
+from endivepick.client._core.flow_context import FlowContext, Repeat
 from endivepick.client._core.request import RequestState
 from endivepick.client._core.timing import NEVER_S, Backoff, spread
 from endivepick.client.errors import NotRun
--- a/endivepick/client/_core/receiver.py
+++ b/endivepick/client/_core/receiver.py
@@ -3,8 +3,8 @@
 from collections.abc import Iterator
 from dataclasses import dataclass, field
 
-from endivepick.client._core.holes import HoleList
-from endivepick.client._core.window import AnswerWindow
+from endivepick.client._core.answer_window import AnswerWindow
+from endivepick.client._core.missing_parts import HoleList
 
 __all__ = ["PartReceiver"]
 
--- a/endivepick/client/_core/request.py
+++ b/endivepick/client/_core/request.py
@@ -8,7 +8,7 @@
     Collector,
     StreamCollector,
 )
-from endivepick.client._core.context import FlowContext
+from endivepick.client._core.flow_context import FlowContext
 from endivepick.client._core.timing import NEVER_S, Backoff, clamp_retry_s, spread
 from endivepick.client.errors import GaveUp, NotRun, OutcomeUnknown, RequestError
 from endivepick.client.model import Answer
--- a/endivepick/client/measure.py
+++ b/endivepick/client/measure.py
@@ -10,7 +10,6 @@
 
 from endivepick.client._core import Action, CallerCore, RequestCall, SendDatagram
 from endivepick.client.settings import CallerSettings
-from endivepick.core.codec import encode_packet, encode_struct
 from endivepick.core.messages import (
     PART_SIZE_BYTES,
     Accepted,
@@ -19,6 +18,7 @@
     Opened,
     RequestHead,
 )
+from endivepick.core.packet_codec import encode_packet, encode_struct
 
 __all__ = ["measure_large_answer", "measure_small_requests"]
 
--- a/endivepick/client/tests/fake_owner.py
+++ b/endivepick/client/tests/fake_owner.py
@@ -15,8 +15,7 @@
     RequestCall,
     SendDatagram,
 )
-from endivepick.core.answer import AnswerBuffer
-from endivepick.core.codec import decode_caller_packet, decode_struct, encode_packet
+from endivepick.core.answer_buffer import AnswerBuffer
 from endivepick.core.messages import (
     Accepted,
     Acknowledge,
@@ -29,6 +28,11 @@
     RequestPart,
     RequestProgress,
 )
+from endivepick.core.packet_codec import (
+    decode_caller_packet,
+    decode_struct,
+    encode_packet,
+)
 
 SETTINGS = CallerSettings(fabric_address="127.0.0.1:7000")
 
--- a/endivepick/client/tests/test_caller.py
+++ b/endivepick/client/tests/test_caller.py
@@ -18,8 +18,8 @@
 )
 from endivepick.client.command import call, stream
 from endivepick.client.tests.fake_owner import FakeOwner
-from endivepick.core.codec import decode_caller_packet, encode_packet
 from endivepick.core.messages import Cancel, FlowClosed
+from endivepick.core.packet_codec import decode_caller_packet, encode_packet
 
 WAIT_S = 30.0
 
--- a/endivepick/client/tests/test_parts.py
+++ b/endivepick/client/tests/test_parts.py
@@ -2,11 +2,11 @@
 
 import unittest
 
+from endivepick.client._core.answer_window import AnswerWindow
 from endivepick.client._core.event_stream import EventParser, EventTooLongError
 from endivepick.client._core.receiver import PartReceiver
 from endivepick.client._core.sender import SEND_WINDOW_PARTS, PartSender
 from endivepick.client._core.timing import NEVER_S, Backoff, Timers
-from endivepick.client._core.window import AnswerWindow
 
 
 class Item:
--- a/endivepick/client/tests/test_robustness.py
+++ b/endivepick/client/tests/test_robustness.py
@@ -7,8 +7,8 @@
 from hypothesis import strategies as st
 
 from endivepick.client.tests.fake_owner import SETTINGS, FakeOwner, Simulation
-from endivepick.core.codec import encode_packet
 from endivepick.core.messages import AnswerPart, Reissued, RequestProgress
+from endivepick.core.packet_codec import encode_packet
 
 FLOW = 77
 integers = st.integers(-2, 3) | st.sampled_from([FLOW, 2**63, 2**64 - 1, -(2**63)])
--- a/endivepick/core/__init__.py
+++ b/endivepick/core/__init__.py
@@ -7,8 +7,8 @@
 
 from endivepick.core.chart import Chart, load_chart
 from endivepick.core.rendezvous import owner, rank, top
+from endivepick.core.replay_window import ReplayWindow, SeqState, WindowSnapshot
 from endivepick.core.token import FlowToken, TokenCodec
-from endivepick.core.window import ReplayWindow, SeqState, WindowSnapshot
 
 __all__ = [
     "Chart",
--- a/endivepick/core/answer.py
+++ b/endivepick/core/answer_buffer.py
@@ -3,8 +3,8 @@
 from collections.abc import Iterator
 from dataclasses import dataclass, field
 
-from endivepick.core.codec import encode_struct
 from endivepick.core.messages import PART_SIZE_BYTES, AnswerHead, AnswerPart
+from endivepick.core.packet_codec import encode_struct
 
 __all__ = ["AnswerBuffer"]
 
--- a/endivepick/core/silence.py
+++ b/endivepick/core/caller_timeout.py
@@ -57,7 +57,7 @@
         if request.state == "receiving":
             if now_s >= request.deadline_at_s:
                 del flow.requests[request.seq]
-        elif request.at_dispatcher:
+        elif request.is_at_dispatcher:
             if silent_s > self._settings.caller_silence_s:
                 return self._stop(flow, request, now_s)
         elif silent_s > self._settings.unacknowledged_s:
--- a/endivepick/core/catalog.py
+++ b/endivepick/core/catalog.py
@@ -6,8 +6,8 @@
 from endivepick.core.actions import Action, Log
 from endivepick.core.keyring import Keyring, keyring_from_body
 from endivepick.errors import RecordInvalidError
-from endivepick.records.book import (
-    ServiceBook,
+from endivepick.records.active_records import (
+    ActiveRecords,
     ServiceChange,
     ServiceChanged,
     ServiceRefused,
@@ -17,11 +17,11 @@
 from endivepick.records.model import ServiceRecord
 from endivepick.records.objects import KEYRING_KIND, KEYRING_NAME, StoredObject
 
-__all__ = ["Catalog", "HeldKeys"]
+__all__ = ["Catalog", "ActiveKeyring"]
 
 
 @dataclass
-class HeldKeys:
+class ActiveKeyring:
     """Keys in force; replaced whole when the keyring changes.
 
     Attributes
@@ -49,9 +49,9 @@
         """Tell whether the code is right."""
         return self.keyring is not None and self.keyring.verify(key_id, data, mac)
 
-    def holds(self, key_id: int) -> bool:
+    def has_key(self, key_id: int) -> bool:
         """Tell whether the key is known here."""
-        return self.keyring is not None and self.keyring.holds(key_id)
+        return self.keyring is not None and self.keyring.has_key(key_id)
 
 
 class Catalog:
@@ -66,23 +66,23 @@
     """
 
     def __init__(self) -> None:
-        self.book = ServiceBook()
-        self.keys = HeldKeys()
+        self.service_records = ActiveRecords()
+        self.keys = ActiveKeyring()
 
     def service(self, name: str) -> ServiceRecord | None:
         """Return the record in force of a service, or None."""
-        return self.book.get(name)
+        return self.service_records.get(name)
 
     def zones(self, name: str) -> frozenset[str]:
         """Return the zones of a service's targets, empty if it is unknown."""
-        record = self.book.get(name)
+        record = self.service_records.get(name)
         if record is None:
             return frozenset()
         return frozenset(target.zone for target in record.targets)
 
     def versions(self) -> Iterator[tuple[str, int]]:
         """Yield name and version in force of each service."""
-        for record in self.book.records():
+        for record in self.service_records.records():
             yield record.name, record.version
 
     def apply(self, changes: tuple[Change, ...]) -> tuple[list[str], list[Action]]:
@@ -98,7 +98,7 @@
             if change.after.kind == KEYRING_KIND:
                 actions += self._apply_keyring(change.after)
         changed: list[str] = []
-        for applied in self.book.apply(changes):
+        for applied in self.service_records.apply(changes):
             name, log = _describe(applied)
             if not isinstance(applied, ServiceRefused):
                 changed.append(name)
--- a/endivepick/core/configuration.py
+++ b/endivepick/core/configuration.py
@@ -12,7 +12,7 @@
 from endivepick.core.catalog import Catalog
 from endivepick.core.relay import Relay
 from endivepick.core.roles import ServiceRoles
-from endivepick.core.stop_wish import StopWish
+from endivepick.core.stop_request_filter import StopWish
 from endivepick.membership import Membership
 from endivepick.records.cache import Change, RecordCache
 from endivepick.records.dissemination import Dissemination
@@ -97,7 +97,7 @@
         self._refused: tuple[RefusedRecord, ...] = ()
 
     @property
-    def missing(self) -> str:
+    def not_ready_reason(self) -> str:
         """What keeps this instance from serving, empty if nothing does."""
         if not self.dissemination.ready:
             return "no configuration as new as the peers' yet"
@@ -133,7 +133,7 @@
             self._relay.record_changed(service)
             actions += self._roles.record_changed(service, now_s)
         actions += self._roles.records_changed(changed, now_s)
-        refused = self._catalog.book.refused
+        refused = self._catalog.service_records.refused
         if refused != self._refused:
             self._refused = refused
             actions += self.handle(RefusedChanged(refused), now_s)
--- a/endivepick/core/delivery.py
+++ b/endivepick/core/delivery.py
@@ -3,11 +3,11 @@
 from endivepick.core.actions import Action, SendToCaller
 from endivepick.core.executor import RequestExecutor
 from endivepick.core.flow import OwnedFlow, OwnedRequest
-from endivepick.core.held import send_unsent_parts
+from endivepick.core.flow_request import send_unsent_parts
 from endivepick.core.messages import Acknowledge, RequestProgress
+from endivepick.core.replay_window import SeqState
 from endivepick.core.replies import accepted, forgotten, progress, repeat_state
 from endivepick.core.settings import FlowSettings
-from endivepick.core.window import SeqState
 
 __all__ = ["AnswerDelivery"]
 
@@ -85,7 +85,7 @@
         buffered_bytes = request.answer.size_bytes if request.answer else 0
         if buffered_bytes > self._settings.stream_buffer_bytes // 2:
             return []
-        return self._executor.resume(flow, request, now_s)
+        return self._executor.resume_stream(flow, request, now_s)
 
     def _done(
         self, flow: OwnedFlow, request: OwnedRequest, now_s: float
--- a/endivepick/core/dispatch/__init__.py
+++ b/endivepick/core/dispatch/__init__.py
@@ -1,7 +1,6 @@
 """Placement, admission, retries and target states at a service's owner."""
 
 from endivepick.core.dispatch.dispatcher import ServiceDispatcher
-from endivepick.core.dispatch.fairness import WaitingAllowance
 from endivepick.core.dispatch.flow_activity import FlowActivity
 from endivepick.core.dispatch.messages import (
     CancelRunning,
@@ -24,6 +23,7 @@
 from endivepick.core.dispatch.retry_budget import RetryBudget
 from endivepick.core.dispatch.settings import DispatchSettings
 from endivepick.core.dispatch.snapshot import DispatchSnapshot, TargetSnapshot
+from endivepick.core.dispatch.waiting_allowance import WaitingAllowance
 
 __all__ = [
     "CancelRunning",
--- a/endivepick/core/dispatch/backlog.py
+++ b/endivepick/core/dispatch/backlog.py
@@ -2,10 +2,10 @@
 
 from collections.abc import Callable, Hashable
 
-from endivepick.core.dispatch.fairness import WaitingAllowance
 from endivepick.core.dispatch.target import TargetState
 from endivepick.core.dispatch.target_set import TargetSet
 from endivepick.core.dispatch.waiting import PendingRequest, WaitingQueue
+from endivepick.core.dispatch.waiting_allowance import WaitingAllowance
 
 __all__ = ["Backlog"]
 
--- a/endivepick/core/dispatch/dispatcher.py
+++ b/endivepick/core/dispatch/dispatcher.py
@@ -3,7 +3,6 @@
 from collections.abc import Hashable, Mapping
 from itertools import count
 
-from endivepick.core.dispatch.fairness import WaitingAllowance
 from endivepick.core.dispatch.flow_activity import FlowActivity
 from endivepick.core.dispatch.messages import (
     CancelRunning,
@@ -18,6 +17,7 @@
 from endivepick.core.dispatch.settings import DispatchSettings
 from endivepick.core.dispatch.snapshot import DispatchSnapshot, snapshot_target
 from endivepick.core.dispatch.waiting import PendingRequest, order_key
+from endivepick.core.dispatch.waiting_allowance import WaitingAllowance
 from endivepick.records.model import Affinity, ServiceRecord
 
 __all__ = ["ServiceDispatcher"]
@@ -260,7 +260,7 @@
             # What a target tells here is passed on to that owner.
             self._used_at_s = now_s
         for target in self._targets:
-            target.load.on_peer(instance, counts.get(target.name, 0), now_s)
+            target.load.set_peer_count(instance, counts.get(target.name, 0), now_s)
         return self._scheduler.settle(now_s)
 
     def remove_peer(self, instance: str, now_s: float) -> list[Decision]:
--- a/endivepick/core/dispatch/flow_activity.py
+++ b/endivepick/core/dispatch/flow_activity.py
@@ -78,7 +78,7 @@
         flow.updated_s = now_s
         self._add(1.0 / self._memory_s, 1.0 - weight, now_s)
 
-    def take_report(self, rate_per_s: float, flows: float, now_s: float) -> None:
+    def set_totals(self, rate_per_s: float, flows: float, now_s: float) -> None:
         """Believe what another instance counted of all flows."""
         self._rate_per_s = rate_per_s
         self._active_flows = flows
--- a/endivepick/core/dispatch/occupancy.py
+++ b/endivepick/core/dispatch/occupancy.py
@@ -2,8 +2,8 @@
 
 from collections.abc import Hashable
 
+from endivepick.core.dispatch.external_load import LoadView
 from endivepick.core.dispatch.flow_activity import TargetActivity
-from endivepick.core.dispatch.load import LoadView
 from endivepick.core.dispatch.settings import DispatchSettings
 from endivepick.core.dispatch.waiting import PendingRequest, WaitingQueue
 from endivepick.records.model import TargetRecord
--- a/endivepick/core/dispatch/scheduler.py
+++ b/endivepick/core/dispatch/scheduler.py
@@ -13,7 +13,6 @@
 )
 from endivepick.core.dispatch.attempt import begin_attempt
 from endivepick.core.dispatch.backlog import Backlog
-from endivepick.core.dispatch.fairness import WaitingAllowance
 from endivepick.core.dispatch.messages import (
     Decision,
     FailReason,
@@ -37,6 +36,7 @@
 from endivepick.core.dispatch.target import TargetState
 from endivepick.core.dispatch.target_set import TargetSet
 from endivepick.core.dispatch.waiting import PendingRequest
+from endivepick.core.dispatch.waiting_allowance import WaitingAllowance
 from endivepick.records.model import Affinity, ServiceRecord
 
 __all__ = ["Scheduler"]
--- a/endivepick/core/dispatch/target.py
+++ b/endivepick/core/dispatch/target.py
@@ -1,8 +1,8 @@
 """What the owner knows about one target."""
 
 from endivepick.core.chart import load_chart
-from endivepick.core.dispatch.drain_note import DrainNote
-from endivepick.core.dispatch.failures import FailureRecord
+from endivepick.core.dispatch.drain_status import DrainNote
+from endivepick.core.dispatch.failure_tracker import FailureRecord
 from endivepick.core.dispatch.messages import (
     FinishKind,
     ProbeFailed,
--- a/endivepick/core/executor.py
+++ b/endivepick/core/executor.py
@@ -12,7 +12,7 @@
     SendToCaller,
     StartAttempt,
 )
-from endivepick.core.answer import AnswerBuffer
+from endivepick.core.answer_buffer import AnswerBuffer
 from endivepick.core.dispatch import (
     CancelRunning,
     Decision,
@@ -32,8 +32,8 @@
     StreamOpened,
 )
 from endivepick.core.flow import OwnedFlow, OwnedRequest
+from endivepick.core.flow_request import HeldRequest, send_unsent_parts
 from endivepick.core.flow_table import FlowTable
-from endivepick.core.held import HeldRequest, send_unsent_parts
 from endivepick.core.messages import AnswerHead, Outcome, Refused
 from endivepick.core.settings import FlowSettings
 
@@ -71,13 +71,13 @@
         self.dispatchers: dict[str, ServiceDispatcher] = {}
         self._at_target: dict[RequestId, str] = {}
 
-    def flow_added(self, flow: OwnedFlow, now_s: float) -> None:
+    def register_flow(self, flow: OwnedFlow, now_s: float) -> None:
         """Count a flow that came with its target from another owner."""
         dispatcher = self.dispatchers.get(flow.service)
         if dispatcher is not None:
             dispatcher.adopt_flow(flow.target, flow.activity, now_s)
 
-    def flow_removed(self, flow: OwnedFlow, now_s: float) -> None:
+    def unregister_flow(self, flow: OwnedFlow, now_s: float) -> None:
         """Count a flow out of its target that was closed, dropped or given away."""
         dispatcher = self.dispatchers.get(flow.service)
         if dispatcher is not None and not flow.closed:
@@ -94,9 +94,9 @@
             return self._refuse(held, "unknown_service", UNKNOWN_SERVICE_RETRY_MS)
         intent = held.intent()
         decisions = dispatcher.submit(intent, now_s, self._random_number())
-        return self.carry_out(decisions, now_s)
+        return self.apply_decisions(decisions, now_s)
 
-    def carry_out(self, decisions: list[Decision], now_s: float) -> list[Action]:
+    def apply_decisions(self, decisions: list[Decision], now_s: float) -> list[Action]:
         """Turn the dispatcher's decisions into actions."""
         actions: list[Action] = []
         for decision in decisions:
@@ -275,7 +275,7 @@
         if dispatcher is None:
             return []
         decisions = dispatcher.finished(request_id, now_s, FinishKind.CANCELLED, 0.0)
-        return self.carry_out(decisions, now_s)
+        return self.apply_decisions(decisions, now_s)
 
     def _finished(
         self,
@@ -292,7 +292,7 @@
         decisions = dispatcher.finished(
             held.request_id, now_s, kind, duration_s, retry_after_s
         )
-        return self.carry_out(decisions, now_s)
+        return self.apply_decisions(decisions, now_s)
 
     def stream_opened(self, event: StreamOpened) -> list[Action]:
         """Take the head of a stream; a resumed stream goes on under its first."""
@@ -314,7 +314,7 @@
         request.last_event_id = event.event_id or request.last_event_id
         actions = send_unsent_parts(held.flow, request)
         if request.answer.size_bytes > self._settings.stream_buffer_bytes:
-            actions += self.suspend(held.flow, request)
+            actions += self.suspend_stream(held.flow, request)
         return actions
 
     def stream_ended(self, event: StreamEnded, now_s: float) -> list[Action]:
@@ -330,7 +330,7 @@
         actions += self._finished(held, FinishKind.OK, 0.0, now_s)
         return actions
 
-    def suspend(self, flow: OwnedFlow, request: OwnedRequest) -> list[Action]:
+    def suspend_stream(self, flow: OwnedFlow, request: OwnedRequest) -> list[Action]:
         """Close a stream at its target; it can be resumed after its last event."""
         # Its next attempt may reach the target before a cancellation of this one.
         actions = self._leave_target(flow, request, by_key=False)
@@ -343,12 +343,12 @@
     ) -> list[Action]:
         """Let a stream rest, whether it runs or waits, until it is resumed."""
         if request.state == "running":
-            return self.suspend(flow, request)
-        actions = self.withdraw(flow, request, now_s)
+            return self.suspend_stream(flow, request)
+        actions = self.withdraw_request(flow, request, now_s)
         request.step("freeze")
         return actions
 
-    def cut(self, flow: OwnedFlow, request: OwnedRequest) -> list[Action]:
+    def abort_running(self, flow: OwnedFlow, request: OwnedRequest) -> list[Action]:
         """Give up an attempt because this instance has to end.
 
         An idempotent request waits for its next attempt, at the successor; the
@@ -361,14 +361,14 @@
         request.step("requeue")
         return actions
 
-    def resume(
+    def resume_stream(
         self, flow: OwnedFlow, request: OwnedRequest, now_s: float
     ) -> list[Action]:
         """Open a suspended stream again after its last event."""
         request.step("resume")
         return self.submit(flow, request, now_s)
 
-    def withdraw(
+    def withdraw_request(
         self, flow: OwnedFlow, request: OwnedRequest, now_s: float
     ) -> list[Action]:
         """Take a request that waits back from the dispatcher."""
@@ -415,4 +415,4 @@
         others = [
             decision for decision in decisions if decision.request_id != request_id
         ]
-        return self.carry_out(others, now_s)
+        return self.apply_decisions(others, now_s)
--- a/endivepick/core/flow.py
+++ b/endivepick/core/flow.py
@@ -2,11 +2,11 @@
 
 from dataclasses import dataclass, field
 
-from endivepick.core.answer import AnswerBuffer
+from endivepick.core.answer_buffer import AnswerBuffer
 from endivepick.core.chart import load_chart
 from endivepick.core.dispatch import FlowActivity
 from endivepick.core.messages import CallerAddress, Outcome, Refused, RequestHead
-from endivepick.core.window import ReplayWindow
+from endivepick.core.replay_window import ReplayWindow
 
 __all__ = ["OwnedFlow", "OwnedRequest"]
 
@@ -88,7 +88,7 @@
         return self.state == "running" and not self.is_stream
 
     @property
-    def at_dispatcher(self) -> bool:
+    def is_at_dispatcher(self) -> bool:
         """Whether the dispatcher knows it."""
         return self.state in _TARGET_BOUND
 
--- a/endivepick/core/owner.py
+++ b/endivepick/core/flow_owner.py
@@ -3,6 +3,7 @@
 from collections.abc import Callable
 
 from endivepick.core.actions import Action, Count, Log, SendToCaller
+from endivepick.core.caller_timeout import SilenceWatch
 from endivepick.core.delivery import AnswerDelivery
 from endivepick.core.dispatch import FlowActivity
 from endivepick.core.executor import RequestExecutor
@@ -21,7 +22,6 @@
 )
 from endivepick.core.replies import come_back
 from endivepick.core.settings import FlowSettings
-from endivepick.core.silence import SilenceWatch
 from endivepick.core.token import FlowToken, TokenCodec
 
 __all__ = ["FlowOwner", "TokenPacket"]
@@ -122,7 +122,7 @@
         flow = self._table.get(token.binding)
         if flow is None:
             flow = self._table.adopt(token, caller, now_s)
-            self._executor.flow_added(flow, now_s)
+            self._executor.register_flow(flow, now_s)
         return flow
 
     def handle(
@@ -166,7 +166,7 @@
         return self._executor.cancel(flow, request, now_s)
 
     def _close(self, flow: OwnedFlow, now_s: float) -> list[Action]:
-        self._executor.flow_removed(flow, now_s)
+        self._executor.unregister_flow(flow, now_s)
         self._table.note_closed(flow, now_s)
         actions: list[Action] = []
         for request in list(flow.requests.values()):
--- a/endivepick/core/held.py
+++ b/endivepick/core/flow_request.py
@@ -54,7 +54,7 @@
         others = [
             other
             for other in flow.requests.values()
-            if other is not request and other.at_dispatcher
+            if other is not request and other.is_at_dispatcher
         ]
         return RequestIntent(
             request_id=self.request_id,
--- a/endivepick/core/snapshot.py
+++ b/endivepick/core/flow_snapshot.py
@@ -1,13 +1,13 @@
 """Conversion between held flows and what a hand-over carries."""
 
-from endivepick.core.answer import AnswerBuffer
+from endivepick.core.answer_buffer import AnswerBuffer
 from endivepick.core.flow import OwnedFlow, OwnedRequest
 from endivepick.core.peer_messages import (
     AnswerSnapshot,
     FlowSnapshot,
     RequestSnapshot,
 )
-from endivepick.core.window import ReplayWindow
+from endivepick.core.replay_window import ReplayWindow
 
 __all__ = ["restore_flow", "snapshot_flow"]
 
--- a/endivepick/core/flow_table.py
+++ b/endivepick/core/flow_table.py
@@ -6,12 +6,12 @@
 from itertools import islice
 from math import ceil
 
-from endivepick.core.adopted import AdoptedBindings
+from endivepick.core.adopted_bindings import AdoptedBindings
 from endivepick.core.flow import OwnedFlow
 from endivepick.core.messages import CallerAddress
+from endivepick.core.replay_window import ReplayWindow
 from endivepick.core.settings import FlowSettings
 from endivepick.core.token import FlowToken
-from endivepick.core.window import ReplayWindow
 
 __all__ = ["FlowTable", "Identity"]
 
@@ -19,7 +19,7 @@
 """How far the clock of a token's issuer may run ahead, in seconds."""
 UNUSED_FLOWS_MAX = 65_536
 """Flows without a request that are kept; a flood of openings cannot hold more."""
-LOOK_EVERY_S = 3600.0
+EXPIRY_SCAN_PERIOD_S = 3600.0
 """Time in which expiry looks at each flow once, in seconds."""
 
 
@@ -179,7 +179,7 @@
         self._unused.pop(flow.binding, None)
         self._closed_at_s.setdefault(flow.binding, now_s)
 
-    def drop_closed(self) -> None:
+    def remove_closed_flows(self) -> None:
         """Forget all flows that are closed: no successor has to know of them."""
         for binding in list(self._closed_at_s):
             self._remove(binding)
@@ -242,7 +242,7 @@
         """Look at the next share of all flows for those whose token has expired."""
         share = 1.0
         if self._looked_at_s is not None:
-            share = min(1.0, (now_s - self._looked_at_s) / LOOK_EVERY_S)
+            share = min(1.0, (now_s - self._looked_at_s) / EXPIRY_SCAN_PERIOD_S)
         self._looked_at_s = now_s
         if not share:
             return []
--- a/endivepick/core/handover_taker.py
+++ b/endivepick/core/handover_destination.py
@@ -5,7 +5,9 @@
 from endivepick.core.actions import Action, Log, SendToPeer
 from endivepick.core.executor import RequestExecutor
 from endivepick.core.flow import OwnedFlow
+from endivepick.core.flow_snapshot import restore_flow
 from endivepick.core.flow_table import FlowTable, Identity
+from endivepick.core.handover_pieces import PieceCollector
 from endivepick.core.peer_messages import (
     HandOver,
     HandOverAccepted,
@@ -13,15 +15,13 @@
     HandOverPieceTaken,
     HandOverRefused,
 )
-from endivepick.core.pieces import PieceCollector
 from endivepick.core.settings import FlowSettings
-from endivepick.core.snapshot import restore_flow
 
-__all__ = ["HandOverTaker"]
+__all__ = ["HandOverDestination"]
 
 
 @dataclass(slots=True)
-class HandOverTaker:
+class HandOverDestination:
     """Taking side: restores flows once, whatever arrives how often.
 
     Attributes
@@ -144,7 +144,7 @@
                 continue
             flow = restore_flow(snapshot, self.settings.window_size, now_s)
             if self.table.restore(flow):
-                self.executor.flow_added(flow, now_s)
+                self.executor.register_flow(flow, now_s)
                 flows.append(flow)
         return flows
 
--- a/endivepick/core/handover_exchange.py
+++ b/endivepick/core/handover_exchange.py
@@ -3,10 +3,10 @@
 from collections.abc import Callable
 
 from endivepick.core.actions import Action, SendToPeer
+from endivepick.core.flow_owner import FlowOwner
 from endivepick.core.flow_table import Identity
-from endivepick.core.handover import HandOverGiver
-from endivepick.core.handover_taker import HandOverTaker
-from endivepick.core.owner import FlowOwner
+from endivepick.core.handover_destination import HandOverDestination
+from endivepick.core.handover_source import HandOverSource
 from endivepick.core.peer_messages import (
     Forwarded,
     HandOver,
@@ -43,8 +43,8 @@
     def __init__(
         self,
         me: Identity,
-        giver: HandOverGiver,
-        taker: HandOverTaker,
+        giver: HandOverSource,
+        taker: HandOverDestination,
         owner: FlowOwner,
         roles: ServiceRoles,
         is_leaving: Callable[[], bool],
@@ -87,8 +87,10 @@
     def _take(self, sender: Identity, message: HandOver, now_s: float) -> list[Action]:
         probes: list[Action] = []
         for service in sorted({flow.service for flow in message.flows}):
-            probes += self._roles.take_up(service, now_s)
-        flows, actions = self._taker.take(sender, message, self._is_leaving(), now_s)
+            probes += self._roles.activate_for_takeover(service, now_s)
+        flows, actions = self._taker.receive_transfer(
+            sender, message, self._is_leaving(), now_s
+        )
         # Callers learn their new owner before they miss the old one.
         actions += [self._owner.reissue(flow, now_s) for flow in flows]
         return probes + actions
--- a/endivepick/core/pieces.py
+++ b/endivepick/core/handover_pieces.py
@@ -7,8 +7,8 @@
 from collections.abc import Iterator
 from dataclasses import dataclass, field
 
-from endivepick.core.codec import decode_struct, encode_struct
 from endivepick.core.flow_table import Identity
+from endivepick.core.packet_codec import decode_struct, encode_struct
 from endivepick.core.peer_messages import HandOver, HandOverPiece
 from endivepick.errors import PacketInvalidError
 
--- a/endivepick/core/handover.py
+++ b/endivepick/core/handover_source.py
@@ -10,23 +10,23 @@
 from dataclasses import dataclass, field
 
 from endivepick.core.actions import Action, Count, Log, SendToPeer
-from endivepick.core.codec import encode_struct
 from endivepick.core.executor import RequestExecutor
 from endivepick.core.flow import OwnedFlow, OwnedRequest
+from endivepick.core.flow_snapshot import snapshot_flow
 from endivepick.core.flow_table import FlowTable, Identity
-from endivepick.core.handover_taker import HandOverTaker
+from endivepick.core.handover_destination import HandOverDestination
+from endivepick.core.handover_pieces import PieceSender, cut_into_pieces
+from endivepick.core.handover_transfer import Transfer
+from endivepick.core.packet_codec import encode_struct
 from endivepick.core.peer_messages import (
     FlowSnapshot,
     Forwarded,
     HandOver,
     HandOverMessage,
 )
-from endivepick.core.pieces import PieceSender, cut_into_pieces
 from endivepick.core.settings import FlowSettings
-from endivepick.core.snapshot import snapshot_flow
-from endivepick.core.transfer import Transfer
 
-__all__ = ["HandOverGiver", "HandOverTaker"]
+__all__ = ["HandOverSource", "HandOverDestination"]
 
 FLOWS_PER_MESSAGE_MAX = 256
 AROUND_AFTER_S = 0.5
@@ -36,7 +36,7 @@
 
 
 @dataclass(slots=True)
-class HandOverGiver:
+class HandOverSource:
     """Giving side: freezes flows, sends them and waits for the answer.
 
     Attributes
@@ -98,7 +98,7 @@
         """Transfers without an answer."""
         return len(self._transfers)
 
-    def finished_services(self) -> dict[str, Identity]:
+    def handed_over_services(self) -> dict[str, Identity]:
         """Return the successor of each service with no flow left here."""
         remaining = self.table.services
         return {
@@ -112,7 +112,7 @@
         self._now_s = now_s
         self.table.drop_closed()
         self._drop_lost_transfers()
-        return self._send_again(now_s) + self._give(now_s)
+        return self._retransmit_unanswered(now_s) + self._give(now_s)
 
     def cut(self) -> list[Action]:
         """Give up the attempts that still run, so that their flows can be given."""
@@ -128,14 +128,14 @@
     def _give(self, now_s: float) -> list[Action]:
         actions: list[Action] = []
         for service in sorted(self.table.services):
-            actions += self._give_service(service, now_s)
+            actions += self._send_service_flows(service, now_s)
         return actions
 
     @property
     def _full(self) -> bool:
         return len(self._transfers) >= OPEN_TRANSFERS_MAX
 
-    def _give_service(self, service: str, now_s: float) -> list[Action]:
+    def _send_service_flows(self, service: str, now_s: float) -> list[Action]:
         """Freeze and send as many flows as may be under way; the others go on."""
         successor = self._successor(service)
         if successor is None:
@@ -215,7 +215,7 @@
         transfer.pieces = PieceSender(pieces)
         return transfer.send(transfer.pieces.take_new())
 
-    def _send_again(self, now_s: float) -> list[Action]:
+    def _retransmit_unanswered(self, now_s: float) -> list[Action]:
         actions: list[Action] = []
         for transfer in self._transfers.values():
             if now_s >= transfer.due_at_s:
@@ -257,7 +257,7 @@
         for snapshot in transfer.message.flows:
             flow = self.table.get(snapshot.binding)
             if flow is not None:
-                self.executor.flow_removed(flow, self._now_s)
+                self.executor.unregister_flow(flow, self._now_s)
             self.table.release(snapshot.binding, transfer.successor)
 
     def accepted(self, sender: Identity, transfer_id: int) -> list[Action]:
--- a/endivepick/core/transfer.py
+++ b/endivepick/core/handover_transfer.py
@@ -5,8 +5,8 @@
 
 from endivepick.core.actions import Action, SendToPeer
 from endivepick.core.flow_table import Identity
+from endivepick.core.handover_pieces import PieceSender
 from endivepick.core.peer_messages import HandOver, HandOverMessage
-from endivepick.core.pieces import PieceSender
 
 __all__ = ["RETRY_MAX_S", "Transfer"]
 
--- a/endivepick/core/instance.py
+++ b/endivepick/core/instance.py
@@ -4,7 +4,6 @@
 
 from endivepick.core.actions import Action, Count
 from endivepick.core.catalog import Catalog
-from endivepick.core.codec import decode_caller_packet
 from endivepick.core.configuration import Configuration
 from endivepick.core.core_settings import CoreSettings
 from endivepick.core.events import (
@@ -27,13 +26,14 @@
     Tick,
 )
 from endivepick.core.executor import RequestExecutor
+from endivepick.core.flow_owner import FlowOwner
 from endivepick.core.flow_table import FlowTable, Identity
-from endivepick.core.handover import HandOverGiver, HandOverTaker
 from endivepick.core.handover_exchange import HandOverExchange
+from endivepick.core.handover_source import HandOverDestination, HandOverSource
 from endivepick.core.lifecycle import Lifecycle, LifecycleAction
-from endivepick.core.member_actions import MemberActions
-from endivepick.core.open_pings import OpenPings
-from endivepick.core.owner import FlowOwner
+from endivepick.core.membership_peers import MembershipPeers
+from endivepick.core.membership_translator import MembershipActionTranslator
+from endivepick.core.packet_codec import decode_caller_packet
 from endivepick.core.peer_messages import (
     Forwarded,
     HandOverMessage,
@@ -41,12 +41,12 @@
     RelayedPacket,
     TargetDraining,
 )
-from endivepick.core.peers import MembershipPeers
+from endivepick.core.pending_pings import OpenPings
 from endivepick.core.platform_writers import PlatformWriters
 from endivepick.core.relay import Relay
 from endivepick.core.roles import ServiceRoles
 from endivepick.core.router import PacketRouter
-from endivepick.core.status_sources import InstanceSources
+from endivepick.core.status_sources import InstanceStatusSources
 from endivepick.core.token import TokenCodec
 from endivepick.errors import PacketInvalidError, TokenInvalidError
 from endivepick.membership import InstanceView, Membership, PeerState
@@ -130,16 +130,16 @@
         self._router = PacketRouter(
             self.me, self._codec, self.table, self.owner, self.relay, self.roles
         )
-        self._giver = HandOverGiver(
+        self._giver = HandOverSource(
             settings.flow,
             self.table,
             self.executor,
             new_id,
             self._choose_successor,
             self.relay.is_lost,
-            self.relay.takes_flows,
+            self.relay.is_valid_successor,
             self._somebody_joins,
-            self._peers.ready_names,
+            self._peers.eligible_names,
         )
         self.lifecycle = Lifecycle(
             settings.flow, self.membership, self.owner, self._giver
@@ -155,7 +155,7 @@
             self.roles,
             self._begin_stop,
         )
-        sources = InstanceSources(
+        sources = InstanceStatusSources(
             settings.status,
             settings.name,
             settings.zone,
@@ -171,13 +171,13 @@
         self._writers = PlatformWriters(
             settings, self.membership, self.catalog, sources, self._random_number
         )
-        self._members = MemberActions(
+        self._members = MembershipActionTranslator(
             self._member_changed, self.roles.forget_peer, self._leave
         )
         self._exchange = HandOverExchange(
             self.me,
             self._giver,
-            HandOverTaker(settings.flow, self.table, self.executor),
+            HandOverDestination(settings.flow, self.table, self.executor),
             self.owner,
             self.roles,
             lambda: self.lifecycle.stopping,
@@ -208,7 +208,7 @@
 
     def _somebody_joins(self) -> bool:
         views = self.membership.view().values()
-        return any(view.joining for view in views if view.name != self.me.name)
+        return any(view.is_joining for view in views if view.name != self.me.name)
 
     def start(self) -> list[Action]:
         """Note that all sockets are bound."""
@@ -236,11 +236,13 @@
             case PeerSendFailed(name=name):
                 self._peer_failed = True
                 return self._members.translate(
-                    self.membership.direct_failure(now_s, name), now_s
+                    self.membership.on_send_failure(now_s, name), now_s
                 )
             case InstancesListed(entries=entries, age_s=age_s):
-                self._writers.note_listed(frozenset(entry.name for entry in entries))
-                news = self.membership.on_list(now_s, entries, age_s)
+                self._writers.set_listed_instances(
+                    frozenset(entry.name for entry in entries)
+                )
+                news = self.membership.on_instance_list(now_s, entries, age_s)
                 return self._members.translate(news, now_s)
             case ObjectsListed(listed=listed):
                 return self.configuration.handle(ListReceived(listed), now_s)
@@ -276,7 +278,7 @@
             case TargetDraining():
                 return self.roles.on_draining_note(sender.name, event.message, now_s)
             case InstanceStatus():
-                self._writers.note_part(sender.name, event.message, now_s)
+                self._writers.record_instance_status(sender.name, event.message, now_s)
                 return []
             case message if isinstance(message, HandOverMessage | Forwarded):
                 return self._exchange.on_message(sender, message, now_s)
@@ -324,11 +326,11 @@
         if now_s >= self._next_expiry_s:
             self._next_expiry_s = now_s + EXPIRY_EVERY_S
             for flow in self.table.expire(now_s):
-                self.executor.flow_removed(flow, now_s)
+                self.executor.unregister_flow(flow, now_s)
         return actions
 
     def _missing(self) -> str:
         """Return what keeps this instance from being ready."""
-        if self.configuration.missing:
-            return self.configuration.missing
+        if self.configuration.not_ready_reason:
+            return self.configuration.not_ready_reason
         return "" if self.membership.joined else "no peer has answered yet"
--- a/endivepick/core/intake.py
+++ b/endivepick/core/intake.py
@@ -1,7 +1,6 @@
 """Intake of requests: parts in, one complete request to the dispatcher."""
 
 from endivepick.core.actions import Action, Count, Log, SendToCaller
-from endivepick.core.codec import decode_struct
 from endivepick.core.executor import RequestExecutor
 from endivepick.core.flow import OwnedFlow, OwnedRequest
 from endivepick.core.flow_table import FlowTable
@@ -11,6 +10,8 @@
     RequestHead,
     RequestPart,
 )
+from endivepick.core.packet_codec import decode_struct
+from endivepick.core.replay_window import SeqState
 from endivepick.core.replies import (
     accepted,
     come_back,
@@ -19,7 +20,6 @@
     repeat_state,
 )
 from endivepick.core.settings import FlowSettings
-from endivepick.core.window import SeqState
 from endivepick.errors import PacketInvalidError
 
 __all__ = ["RequestIntake"]
--- a/endivepick/core/key_rotator.py
+++ b/endivepick/core/key_rotator.py
@@ -14,7 +14,7 @@
 
 from endivepick.backoff import Backoff, BackoffSettings
 from endivepick.core.actions import Action, CallPlatform, Count, Log
-from endivepick.core.catalog import HeldKeys
+from endivepick.core.catalog import ActiveKeyring
 from endivepick.core.flow_table import CLOCK_SKEW_MARGIN_S
 from endivepick.core.key_rotation import (
     RotationSettings,
@@ -115,7 +115,7 @@
         settings: KeySettings,
         token_lifetime_s: float,
         zone: str,
-        keys: HeldKeys,
+        keys: ActiveKeyring,
         sources: RotationSources,
     ) -> None:
         self._settings = settings
--- a/endivepick/core/keyring.py
+++ b/endivepick/core/keyring.py
@@ -94,7 +94,7 @@
             return False
         return hmac.compare_digest(_mac(key.secret, data), mac)
 
-    def holds(self, key_id: int) -> bool:
+    def has_key(self, key_id: int) -> bool:
         """Tell whether the key is here; a missing one may exist elsewhere."""
         return key_id in self.keys
 
--- a/endivepick/core/lifecycle.py
+++ b/endivepick/core/lifecycle.py
@@ -4,9 +4,9 @@
 
 from endivepick.core.actions import Action, Log, ReadinessChange, StopFinished
 from endivepick.core.chart import load_chart
+from endivepick.core.flow_owner import FlowOwner
 from endivepick.core.flow_table import Identity
-from endivepick.core.handover import HandOverGiver
-from endivepick.core.owner import FlowOwner
+from endivepick.core.handover_source import HandOverSource
 from endivepick.core.settings import FlowSettings
 from endivepick.membership import Action as MembershipAction
 from endivepick.membership import Membership
@@ -43,7 +43,7 @@
     settings: FlowSettings
     membership: Membership
     owner: FlowOwner
-    giver: HandOverGiver
+    giver: HandOverSource
     state: str = _CHART.initial
     _cut_at_s: float = 0.0
     _expires_at_s: float = 0.0
@@ -120,7 +120,7 @@
             return []
         actions: list[LifecycleAction] = []
         if now_s >= self._cut_at_s:
-            actions += self.giver.cut()
+            actions += self.giver.abort_running()
         actions += self.giver.tick(now_s)
         if self.state == "leaving" and self.giver.open_transfers:
             actions.append(self._step("hand_over"))
@@ -129,7 +129,7 @@
 
     def _announce(self) -> list[LifecycleAction]:
         """Tell the others which successor holds all of a service's flows."""
-        return self._announce_all(self.giver.finished_services())
+        return self._announce_all(self.giver.handed_over_services())
 
     def _announce_all(self, successors: dict[str, Identity]) -> list[LifecycleAction]:
         actions: list[LifecycleAction] = []
--- a/endivepick/core/measure.py
+++ b/endivepick/core/measure.py
@@ -19,7 +19,6 @@
 import fire
 
 from endivepick.core.actions import SendToCaller, SendToPeer, StartAttempt
-from endivepick.core.codec import encode_packet, encode_struct
 from endivepick.core.core_settings import CoreSettings
 from endivepick.core.dispatch import ProbeResult, TargetHealth
 from endivepick.core.events import (
@@ -39,6 +38,7 @@
     RequestHead,
     RequestPart,
 )
+from endivepick.core.packet_codec import encode_packet, encode_struct
 from endivepick.core.token import FlowToken, TokenCodec
 from endivepick.membership.peer_messages import (
     Liveness,
--- a/endivepick/core/peers.py
+++ b/endivepick/core/membership_peers.py
@@ -18,7 +18,7 @@
     def __init__(self, membership: Membership) -> None:
         self._membership = membership
 
-    def ready_names(self) -> tuple[str, ...]:
+    def eligible_names(self) -> tuple[str, ...]:
         """Return the names that may take a role."""
         return self._membership.live_names()
 
@@ -36,9 +36,9 @@
         """Tell whether an incarnation is known to be gone."""
         return self._membership.is_incarnation_dead(name, incarnation)
 
-    def successor_of(self, incarnation: int, service: str) -> Identity | None:
+    def find_successor(self, incarnation: int, service: str) -> Identity | None:
         """Return who took over a service's flows from an incarnation."""
-        found = self._membership.successor_of(incarnation, service)
+        found = self._membership.find_successor(incarnation, service)
         return Identity(*found) if found else None
 
     def incarnation_of(self, name: str) -> int:
--- a/endivepick/core/member_actions.py
+++ b/endivepick/core/membership_translator.py
@@ -18,10 +18,10 @@
 )
 from endivepick.membership import Log as MembershipLog
 
-__all__ = ["MemberActions"]
+__all__ = ["MembershipActionTranslator"]
 
 
-class MemberActions:
+class MembershipActionTranslator:
     """Turns what the membership wants into actions of the core.
 
     Parameters
--- a/endivepick/core/peer_messages.py
+++ b/endivepick/core/peer_messages.py
@@ -8,7 +8,7 @@
     Refused,
     RequestHead,
 )
-from endivepick.core.window import WindowSnapshot
+from endivepick.core.replay_window import WindowSnapshot
 
 __all__ = [
     "AnswerSnapshot",
--- a/endivepick/core/platform_writers.py
+++ b/endivepick/core/platform_writers.py
@@ -7,8 +7,8 @@
 from endivepick.core.core_settings import CoreSettings
 from endivepick.core.key_rotator import KeyRotator
 from endivepick.core.platform_calls import CallPurpose, PlatformAnswer
-from endivepick.core.status_sources import InstanceSources, RotationView
-from endivepick.core.zone_status import ZoneStatus
+from endivepick.core.status_sources import InstanceStatusSources, RotationView
+from endivepick.core.zone_status import ZoneStatusReporter
 from endivepick.membership import Membership
 from endivepick.records.peer_messages import InstanceStatus
 
@@ -37,11 +37,11 @@
         settings: CoreSettings,
         membership: Membership,
         catalog: Catalog,
-        sources: InstanceSources,
+        sources: InstanceStatusSources,
         random_number: Callable[[], float],
     ) -> None:
         self._random_number = random_number
-        self._status = ZoneStatus(
+        self._status = ZoneStatusReporter(
             settings.status, settings.name, settings.zone, sources
         )
         self._rotation_view = RotationView(settings.name, membership, sources)
@@ -58,11 +58,13 @@
         actions = self._status.tick(self._random_number(), now_s)
         return actions + self._keys.tick(now_s)
 
-    def note_part(self, sender: str, part: InstanceStatus, now_s: float) -> None:
+    def record_instance_status(
+        self, sender: str, part: InstanceStatus, now_s: float
+    ) -> None:
         """Take what another instance of the zone tells about itself."""
-        self._status.note(sender, part, now_s)
+        self._status.record_part(sender, part, now_s)
 
-    def note_listed(self, names: frozenset[str]) -> None:
+    def set_listed_instances(self, names: frozenset[str]) -> None:
         """Take the names on the platform's list of instances."""
         self._rotation_view.listed = names
 
--- a/endivepick/core/relay.py
+++ b/endivepick/core/relay.py
@@ -5,7 +5,7 @@
 from typing import Protocol
 
 from endivepick.core.actions import Action, Count, Log, SendToCaller, SendToPeer
-from endivepick.core.distinct import DistinctCounter
+from endivepick.core.distinct_counter import DistinctCounter
 from endivepick.core.flow_table import Identity
 from endivepick.core.messages import (
     CallerAddress,
@@ -13,8 +13,8 @@
     Reissued,
     Unreachable,
 )
-from endivepick.core.owners import LiveInstances, ServiceOwners
 from endivepick.core.peer_messages import RelayedPacket
+from endivepick.core.service_owners import LiveInstances, ServiceOwners
 from endivepick.core.token import FlowToken, TokenCodec
 
 __all__ = [
@@ -23,7 +23,7 @@
     "HolderSuspected",
     "Peers",
     "Relay",
-    "Whereabouts",
+    "FlowLocation",
 ]
 
 HOPS_MAX = 4
@@ -43,7 +43,7 @@
     def is_incarnation_dead(self, name: str, incarnation: int) -> bool:
         """Tell whether an incarnation is known to be gone."""
 
-    def successor_of(self, incarnation: int, service: str) -> Identity | None:
+    def find_successor(self, incarnation: int, service: str) -> Identity | None:
         """Return who took over a service's flows from an incarnation."""
 
     def incarnation_of(self, name: str) -> int:
@@ -71,7 +71,7 @@
     identity: Identity
 
 
-Whereabouts = Holder | HolderSuspected | HolderLost
+FlowLocation = Holder | HolderSuspected | HolderLost
 
 
 class Relay:
@@ -115,14 +115,14 @@
         self.flows_relayed = DistinctCounter()
         self._owners = ServiceOwners(me.name, peers, zones_of)
 
-    def locate(self, token: FlowToken) -> Whereabouts:
+    def locate(self, token: FlowToken) -> FlowLocation:
         """Find the holder of a token's binding."""
         named = Identity(token.owner, token.owner_incarnation)
         return self.follow(named, token.service)
 
-    def follow(self, holder: Identity, service: str) -> Whereabouts:
+    def follow(self, holder: Identity, service: str) -> FlowLocation:
         """Find who holds the flows of a service that an instance has held."""
-        successor = self._peers.successor_of(holder.incarnation, service)
+        successor = self._peers.find_successor(holder.incarnation, service)
         holder = successor or holder
         if holder == self._me:
             return Holder(holder)
@@ -136,11 +136,11 @@
         """Tell whether an incarnation is known to be gone."""
         return self._peers.is_incarnation_dead(identity.name, identity.incarnation)
 
-    def takes_flows(self, identity: Identity) -> bool:
+    def is_valid_successor(self, identity: Identity) -> bool:
         """Tell whether an instance that was chosen as successor still is one."""
         if self._peers.incarnation_of(identity.name) != identity.incarnation:
             return False
-        known = identity.name in self._peers.ready_names()
+        known = identity.name in self._peers.eligible_names()
         return known and not self._peers.is_suspected(identity.name)
 
     def forward(
@@ -156,7 +156,7 @@
         """Count a flow of which a packet is relayed."""
         self.flows_relayed.add(token.flow_id)
 
-    def say_unreachable(
+    def reply_unreachable(
         self, token: FlowToken, holder: Identity, seq: int, caller: CallerAddress
     ) -> list[Action]:
         """Tell the caller to come back; promise nothing about the run."""
@@ -237,17 +237,17 @@
             return self._me
         return Identity(name, incarnation)
 
-    def take_unsettled(self) -> set[str]:
+    def pop_ownership_candidates(self) -> set[str]:
         """Return services asked for before that this instance may now own."""
-        return self._owners.take_unsettled()
+        return self._owners.pop_ownership_candidates()
 
     def owner_name(self, service: str) -> str:
         """Return the instance that opens this service's flows at present."""
         return self._owners.owner(service) or self._me.name
 
-    def is_mine(self, service: str) -> bool:
+    def is_owned_here(self, service: str) -> bool:
         """Tell whether this instance opens this service's flows at present."""
-        return self._owners.is_mine(service)
+        return self._owners.is_owned_here(service)
 
     def record_changed(self, service: str) -> None:
         """Choose a service's owner anew: its targets may stand in other zones."""
--- a/endivepick/core/rendezvous.py
+++ b/endivepick/core/rendezvous.py
@@ -21,7 +21,7 @@
 
 from xxhash import xxh3_64_intdigest
 
-__all__ = ["heavier", "owner", "rank", "top"]
+__all__ = ["find_heavier", "owner", "rank", "top"]
 
 _CACHED_NAMES = 16_384
 
@@ -74,7 +74,7 @@
     return max(names, key=lambda name: _weight(encoded, name), default=None)
 
 
-def heavier(key: str, name: str, rivals: Iterable[str]) -> str | None:
+def find_heavier(key: str, name: str, rivals: Iterable[str]) -> str | None:
     """Return the first rival that is heavier than a name, or None.
 
     With rivals in any order that does not depend on the key, a logarithmic number
@@ -82,7 +82,7 @@
 
     Examples
     --------
-    >>> heavier("notes", "a", ["a"]) is None
+    >>> find_heavier("notes", "a", ["a"]) is None
     True
     """
     encoded = key.encode()
--- a/endivepick/core/roles.py
+++ b/endivepick/core/roles.py
@@ -54,13 +54,13 @@
 class OwnerChoice(Protocol):
     """What the roles ask about owners."""
 
-    def take_unsettled(self) -> set[str]:
+    def pop_ownership_candidates(self) -> set[str]:
         """Return services asked for before that this instance may now own."""
 
     def owner_name(self, service: str) -> str:
         """Return the instance that opens a service's flows at present."""
 
-    def is_mine(self, service: str) -> bool:
+    def is_owned_here(self, service: str) -> bool:
         """Tell whether this instance does."""
 
 
@@ -129,7 +129,7 @@
     @property
     def owned(self) -> list[str]:
         """Names of the services whose owner this instance is."""
-        return [name for name in self._active if self._owners.is_mine(name)]
+        return [name for name in self._active if self._owners.is_owned_here(name)]
 
     def activate(self, service: str, now_s: float) -> bool:
         """Make sure that a service has a dispatcher; False if it has no record."""
@@ -144,7 +144,7 @@
         self._active[service] = _ActiveService(NEVER_S, now_s)
         return True
 
-    def take_up(self, service: str, now_s: float) -> list[Action]:
+    def activate_for_takeover(self, service: str, now_s: float) -> list[Action]:
         """Make a dispatcher for flows that are taken over; probe its targets at once.
 
         Their requests wait for the first probe.
@@ -164,12 +164,14 @@
             return self._drop(service)
         active = self._active[service]
         active.probed_at_s = NEVER_S
-        return self._executor.carry_out(dispatcher.update_record(record, now_s), now_s)
+        return self._executor.apply_decisions(
+            dispatcher.update_record(record, now_s), now_s
+        )
 
     def _drop(self, service: str) -> list[Action]:
         del self._active[service]
         del self._executor.dispatchers[service]
-        self._allowance.leave(service)
+        self._allowance.remove_service(service)
         return [
             Log("owner", "service_released", "service released", {"service": service})
         ]
@@ -183,7 +185,7 @@
         actions += self._forget_lost(now_s)
         for service, active in self._active.items():
             dispatcher = self._executor.dispatchers[service]
-            actions += self._executor.carry_out(dispatcher.tick(now_s), now_s)
+            actions += self._executor.apply_decisions(dispatcher.tick(now_s), now_s)
             if self._probe_is_due(active, dispatcher, now_s):
                 active.probed_at_s = now_s
                 actions += self._probes(service)
@@ -206,12 +208,14 @@
             for name in sorted(lost & active.reporters.keys()):
                 del active.reporters[name]
                 decisions = dispatcher.remove_peer(name, now_s)
-                actions += self._executor.carry_out(decisions, now_s)
+                actions += self._executor.apply_decisions(decisions, now_s)
         return actions
 
     def review(self, now_s: float) -> list[Action]:
         """Take up services that fall to this instance, and let others go."""
-        return self._review(self._owners.take_unsettled() | set(self._active), now_s)
+        return self._review(
+            self._owners.pop_ownership_candidates() | set(self._active), now_s
+        )
 
     def review_soon(self) -> None:
         """Review at the next tick: an instance has come or gone."""
@@ -225,7 +229,7 @@
         actions: list[Action] = []
         held = self._table.services
         for service in services:
-            owned = self._owners.is_mine(service)
+            owned = self._owners.is_owned_here(service)
             active = service in self._active
             if owned and not active and self.activate(service, now_s):
                 actions.append(
@@ -295,7 +299,7 @@
         active.reporters[sender] = now_s
         dispatcher = self._executor.dispatchers[report.service]
         decisions = dispatcher.on_peer_in_flight(sender, report.in_flight, now_s)
-        return self._executor.carry_out(decisions, now_s)
+        return self._executor.apply_decisions(decisions, now_s)
 
     def on_probed(
         self, service: str, target: str, outcome: ProbeOutcome, now_s: float
@@ -304,7 +308,7 @@
         dispatcher = self._executor.dispatchers.get(service)
         if dispatcher is None:
             return []
-        actions = self._executor.carry_out(
+        actions = self._executor.apply_decisions(
             dispatcher.on_probe(target, now_s, outcome), now_s
         )
         match outcome:
@@ -340,11 +344,11 @@
             note.target, note.target_incarnation, now_s
         )
         passed_on = self._pass_on(sender, note)
-        return self._executor.carry_out(decisions, now_s) + passed_on
+        return self._executor.apply_decisions(decisions, now_s) + passed_on
 
     def _pass_on(self, sender: str, note: TargetDraining) -> list[Action]:
         """As the service's owner, tell those who don't know of the sender."""
-        if note.passed_on or not self._owners.is_mine(note.service):
+        if note.passed_on or not self._owners.is_owned_here(note.service):
             return []
         passed_on = structs.replace(note, passed_on=True)
         receivers = self._active[note.service].reporters.keys() - {sender}
--- a/endivepick/core/router.py
+++ b/endivepick/core/router.py
@@ -1,15 +1,15 @@
 """Routes each packet: handle it here, forward it, or answer in the owner's place."""
 
 from endivepick.core.actions import Action, Count
+from endivepick.core.flow_owner import FlowOwner, TokenPacket
 from endivepick.core.flow_table import FlowTable, Identity
 from endivepick.core.messages import CallerAddress, CallerPacket, Open
-from endivepick.core.owner import FlowOwner, TokenPacket
 from endivepick.core.relay import (
+    FlowLocation,
     Holder,
     HolderLost,
     HolderSuspected,
     Relay,
-    Whereabouts,
 )
 from endivepick.core.roles import ServiceRoles
 from endivepick.core.token import UNKNOWN_KEY, FlowToken, TokenCodec
@@ -126,12 +126,12 @@
                 self._relay.note_flow(token)
                 forwarded = self._relay.forward(identity, caller, hops, datagram)
                 seq = getattr(packet, "seq", 0)
-                told = self._relay.say_unreachable(token, identity, seq, caller)
+                told = self._relay.reply_unreachable(token, identity, seq, caller)
                 return forwarded + told
             case HolderLost():
                 return self._relay.reissue_after_loss(token, caller, now_s)
 
-    def _locate(self, token: FlowToken) -> Whereabouts:
+    def _locate(self, token: FlowToken) -> FlowLocation:
         taker = self._table.successor(token.binding)
         if taker is None:
             return self._relay.locate(token)
--- a/endivepick/core/owners.py
+++ b/endivepick/core/service_owners.py
@@ -4,7 +4,7 @@
 from dataclasses import dataclass
 from typing import Protocol
 
-from endivepick.core.rendezvous import heavier, owner, top
+from endivepick.core.rendezvous import find_heavier, owner, top
 
 __all__ = ["LiveInstances", "ServiceOwners"]
 
@@ -19,7 +19,7 @@
 class LiveInstances(Protocol):
     """What the owners are chosen from."""
 
-    def ready_names(self) -> tuple[str, ...]:
+    def eligible_names(self) -> tuple[str, ...]:
         """Return the names that may take a role, this instance included.
 
         The same tuple as long as no name comes or goes.
@@ -48,7 +48,7 @@
 
     Whether this instance owns a service is answered by the first rival that is
     heavier, a logarithmic number of comparisons, and remembered with the rival.
-    ``take_unsettled`` names those whose winner or rival has gone.
+    ``pop_ownership_candidates`` names those whose winner or rival has gone.
 
     Parameters
     ----------
@@ -62,12 +62,12 @@
     Examples
     --------
     >>> class Live:
-    ...     def ready_names(self):
+    ...     def eligible_names(self):
     ...         return ("a", "b")
     ...     def zone_of(self, name):
     ...         return {"a": "fukuoka", "b": "kumamoto"}[name]
     >>> owners = ServiceOwners("a", Live(), lambda service: frozenset({"kumamoto"}))
-    >>> owners.owner("notes"), owners.is_mine("notes")
+    >>> owners.owner("notes"), owners.is_owned_here("notes")
     ('b', False)
     """
 
@@ -103,7 +103,7 @@
                 self._winners[service] = winner
         return winner
 
-    def is_mine(self, service: str) -> bool:
+    def is_owned_here(self, service: str) -> bool:
         """Tell whether this instance owns a service; also if no instance may."""
         self._refresh()
         if service in self._rivals:
@@ -116,10 +116,10 @@
             return not self._names
         return self._settle_mine(service)
 
-    def take_unsettled(self) -> set[str]:
+    def pop_ownership_candidates(self) -> set[str]:
         """Return the services that may have become this instance's since last asked.
 
-        They are among those that were asked for before: with ``is_mine``, or with
+        They are among those that were asked for before: with ``is_owned_here``, or with
         ``owner``.
         """
         self._refresh()
@@ -135,7 +135,7 @@
         candidates = self._candidates(zones)
         rival: str | None = next(iter(candidates))
         if self._my_zone in zones or candidates is self._names:
-            rival = heavier(service, self._me, candidates)
+            rival = find_heavier(service, self._me, candidates)
         if rival is None:
             self._winners[service] = _Winner(self._me, zones)
             return True
@@ -162,7 +162,7 @@
         return near or self._names
 
     def _refresh(self) -> None:
-        names = self._live.ready_names()
+        names = self._live.eligible_names()
         if names is self._names:
             return
         before, now = set(self._names), set(names)
--- a/endivepick/core/status_sources.py
+++ b/endivepick/core/status_sources.py
@@ -13,15 +13,15 @@
 from endivepick.records.schema import SCHEMA_VERSIONS
 from endivepick.records.settings import StatusSettings
 from endivepick.records.status import READY_STATE, StatusView
-from endivepick.records.status_groups import StatusGroup, shown_rows, status_group
+from endivepick.records.status_groups import StatusGroup, find_status_group, select_rows
 
-__all__ = ["InstanceSources", "RotationView"]
+__all__ = ["InstanceStatusSources", "RotationView"]
 
 TARGETS_TOLD = 64
 """Targets in one part, first those not ready; the others are counted."""
 
 
-class InstanceSources:
+class InstanceStatusSources:
     """Collects the status from the parts of the core.
 
     Parameters
@@ -86,7 +86,7 @@
             return None
         return self._dissemination.roles.status_writer
 
-    def own_part(self) -> InstanceStatus:
+    def build_own_status(self) -> InstanceStatus:
         """Return the state of this instance and of the targets that it owns."""
         targets = [t for name in self._roles.owned for t in self._targets(name)]
         if len(targets) > TARGETS_TOLD:
@@ -121,7 +121,7 @@
         roles = self._dissemination.roles
         if self._grouped[0] is not roles:
             size = self._settings.group_instances
-            group = status_group(self._name, self._zone, roles, size)
+            group = find_status_group(self._name, self._zone, roles, size)
             self._grouped = (roles, group)
         return self._grouped[1]
 
@@ -137,11 +137,11 @@
         states = self._states(self._dissemination.zone_members())
         writes_zone = self.status_writer == self._name
         return StatusView(
-            records=() if of_group else self._catalog.book.records(),
+            records=() if of_group else self._catalog.service_records.records(),
             report=self._dissemination.zone_report,
             members=states.keys(),
             states=states,
-            shown=shown_rows(self._name, states, self.group, writes_zone, of_group),
+            shown=select_rows(self._name, states, self.group, writes_zone, of_group),
             all_refusals=self._dissemination.names_all_refusals,
         )
 
@@ -169,7 +169,7 @@
     """
 
     def __init__(
-        self, name: str, membership: Membership, sources: InstanceSources
+        self, name: str, membership: Membership, sources: InstanceStatusSources
     ) -> None:
         self._name = name
         self._membership = membership
--- a/endivepick/core/tests/_fixture.py
+++ b/endivepick/core/tests/_fixture.py
@@ -3,7 +3,6 @@
 from itertools import count
 
 from endivepick.core.actions import Action, SendToCaller, StartAttempt
-from endivepick.core.codec import encode_struct
 from endivepick.core.dispatch import (
     DispatchSettings,
     ProbeResult,
@@ -12,10 +11,11 @@
 )
 from endivepick.core.events import AttemptAnswered
 from endivepick.core.executor import RequestExecutor
+from endivepick.core.flow_owner import FlowOwner
 from endivepick.core.flow_table import FlowTable, Identity
 from endivepick.core.keyring import first_keyring
 from endivepick.core.messages import Opened, RequestHead, RequestPart
-from endivepick.core.owner import FlowOwner
+from endivepick.core.packet_codec import encode_struct
 from endivepick.core.settings import FlowSettings
 from endivepick.core.token import FlowToken, TokenCodec
 from endivepick.records.model import Affinity, ServiceRecord, TargetRecord
@@ -54,10 +54,10 @@
         self.owner = FlowOwner(
             self.settings, self.table, self.codec, self.executor, lambda: 0.5
         )
-        self.forget_probes()
+        self.reset_dispatcher()
         self.probe_targets()
 
-    def forget_probes(self) -> None:
+    def reset_dispatcher(self) -> None:
         dispatcher = ServiceDispatcher(DispatchSettings(), record(), "z1", NOW_S)
         self.executor.dispatchers[SERVICE] = dispatcher
 
@@ -69,7 +69,7 @@
         decisions = []
         for name in ("t0", "t1"):
             decisions += dispatcher.on_probe(name, NOW_S, probe)
-        return self.executor.carry_out(decisions, NOW_S)
+        return self.executor.apply_decisions(decisions, NOW_S)
 
     def open(self) -> tuple[FlowToken, bytes]:
         actions = self.owner.open_flow(SERVICE, 1, CALLER, NOW_S)
--- a/endivepick/core/tests/test_bad_input.py
+++ b/endivepick/core/tests/test_bad_input.py
@@ -5,7 +5,6 @@
 from hypothesis import strategies as st
 
 from endivepick.core.actions import Count, SendToCaller, SendToPeer, StartAttempt
-from endivepick.core.codec import encode_packet, encode_struct
 from endivepick.core.events import CallerDatagram, ObjectsListed, Tick
 from endivepick.core.instance import CoreSettings, InstanceCore
 from endivepick.core.keyring import first_keyring, keyring_to_body
@@ -20,6 +19,7 @@
     RequestHead,
     RequestPart,
 )
+from endivepick.core.packet_codec import encode_packet, encode_struct
 from endivepick.platform.answers import ObjectList
 from endivepick.records.objects import StoredObject
 
@@ -65,7 +65,7 @@
         stored = StoredObject(kind, name, 1, body)
         core.handle(ObjectsListed(ObjectList(kind, 1, (stored,))), NOW_S)
     core.handle(ObjectsListed(ObjectList("instance", 1, ())), NOW_S)
-    core.membership.on_list(NOW_S, [])
+    core.membership.on_instance_list(NOW_S, [])
     core.handle(Tick(), NOW_S)
     return core
 
--- a/endivepick/core/tests/test_closed_flows.py
+++ b/endivepick/core/tests/test_closed_flows.py
@@ -4,13 +4,14 @@
 from unittest.mock import Mock
 
 from endivepick.core.actions import Count, SendToPeer
+from endivepick.core.flow_snapshot import snapshot_flow
 from endivepick.core.flow_table import (
     CLOCK_SKEW_MARGIN_S,
-    LOOK_EVERY_S,
+    EXPIRY_SCAN_PERIOD_S,
     FlowTable,
     Identity,
 )
-from endivepick.core.handover import HandOverGiver, HandOverTaker
+from endivepick.core.handover_source import HandOverDestination, HandOverSource
 from endivepick.core.messages import (
     Acknowledge,
     FlowClosed,
@@ -21,7 +22,6 @@
 from endivepick.core.peer_messages import HandOver, HandOverAccepted
 from endivepick.core.relay import Relay
 from endivepick.core.router import PacketRouter
-from endivepick.core.snapshot import snapshot_flow
 from endivepick.core.tests._fixture import (
     CALLER,
     NOW_S,
@@ -44,7 +44,7 @@
         self.dead: set[int] = set()
         self.successors: dict[int, Identity] = {}
 
-    def ready_names(self) -> tuple[str, ...]:
+    def eligible_names(self) -> tuple[str, ...]:
         return (self.me.name,)
 
     def zone_of(self, name: str) -> str:
@@ -56,7 +56,7 @@
     def is_incarnation_dead(self, name: str, incarnation: int) -> bool:
         return incarnation in self.dead
 
-    def successor_of(self, incarnation: int, service: str) -> Identity | None:
+    def find_successor(self, incarnation: int, service: str) -> Identity | None:
         return self.successors.get(incarnation)
 
     def incarnation_of(self, name: str) -> int:
@@ -75,7 +75,7 @@
         self.router = PacketRouter(
             self.me, self.codec, self.table, self.owner, self.relay, Mock()
         )
-        self.taker = HandOverTaker(self.settings, self.table, self.executor)
+        self.taker = HandOverDestination(self.settings, self.table, self.executor)
 
     def route(self, sealed, packet, now_s=NOW_S):
         """Route a packet under a token."""
@@ -93,7 +93,7 @@
 
     def expire(self, now_s):
         for flow in self.table.expire(now_s):
-            self.executor.flow_removed(flow, now_s)
+            self.executor.unregister_flow(flow, now_s)
 
     def flows_at_targets(self):
         snapshot = self.executor.dispatchers[SERVICE].snapshot()
@@ -106,7 +106,7 @@
         return packets(actions, Reissued)[0].token
 
     def giver(self, successor):
-        return HandOverGiver(
+        return HandOverSource(
             self.settings,
             self.table,
             self.executor,
@@ -223,7 +223,9 @@
     def hand_over(self):
         give = self.giver.giver(self.taker.me)
         [message] = _messages(give.tick(NOW_S), HandOver)
-        _, actions = self.taker.taker.take(self.giver.me, message, False, NOW_S)
+        _, actions = self.taker.taker.receive_transfer(
+            self.giver.me, message, False, NOW_S
+        )
         [accepted] = _messages(actions, HandOverAccepted)
         give.accepted(self.taker.me, accepted.transfer_id)
         return message
@@ -255,7 +257,9 @@
     def test_closed_flow_that_an_earlier_build_still_sends_is_left_out(self):
         flow = next(flow for flow in self.giver.table if flow.closed)
         message = HandOver(1, self.taker.me.incarnation, [snapshot_flow(flow, NOW_S)])
-        flows, actions = self.taker.taker.take(self.giver.me, message, False, NOW_S)
+        flows, actions = self.taker.taker.receive_transfer(
+            self.giver.me, message, False, NOW_S
+        )
         self.assertEqual(flows, [])
         self.assertEqual(len(_messages(actions, HandOverAccepted)), 1)
         self.assertEqual(self.taker.flows_at_targets(), 0)
@@ -305,7 +309,7 @@
         kept_s = self.node.settings.token_lifetime_s + CLOCK_SKEW_MARGIN_S
         self.node.expire(NOW_S + kept_s)
         self.assertEqual(len(self.node.table), 1)
-        self.node.expire(NOW_S + kept_s + LOOK_EVERY_S)
+        self.node.expire(NOW_S + kept_s + EXPIRY_SCAN_PERIOD_S)
         self.assertEqual(len(self.node.table), 0)
 
     def test_each_flow_is_looked_at_once_an_hour(self):
--- a/endivepick/core/tests/test_draining_notes.py
+++ b/endivepick/core/tests/test_draining_notes.py
@@ -25,7 +25,7 @@
     def owner_name(self, service):
         return self.owner
 
-    def is_mine(self, service):
+    def is_owned_here(self, service):
         return self.owner == "a"
 
 
--- a/endivepick/core/tests/test_handover.py
+++ b/endivepick/core/tests/test_handover.py
@@ -4,11 +4,11 @@
 from endivepick.core.dispatch import TargetHealth
 from endivepick.core.events import StreamData, StreamOpened
 from endivepick.core.flow_table import Identity
-from endivepick.core.handover import (
+from endivepick.core.handover_source import (
     FLOWS_PER_MESSAGE_MAX,
     OPEN_TRANSFERS_MAX,
-    HandOverGiver,
-    HandOverTaker,
+    HandOverDestination,
+    HandOverSource,
 )
 from endivepick.core.messages import (
     Acknowledge,
@@ -48,7 +48,7 @@
         self.taker = OwnerFixture("b", 1000)
         self.successor = self.taker.me
         self.dead = set()
-        self.give = HandOverGiver(
+        self.give = HandOverSource(
             self.giver.settings,
             self.giver.table,
             self.giver.executor,
@@ -56,7 +56,7 @@
             lambda service: self.successor,
             lambda identity: identity in self.dead,
         )
-        self.take = HandOverTaker(
+        self.receive_transfer = HandOverDestination(
             self.taker.settings, self.taker.table, self.taker.executor
         )
         self.token, _ = self.giver.open()
@@ -66,7 +66,9 @@
 
     def hand_over(self):
         [message] = sent(self.give.tick(NOW_S), HandOver)
-        _, actions = self.take.take(self.giver.me, message, False, NOW_S)
+        _, actions = self.receive_transfer.receive_transfer(
+            self.giver.me, message, False, NOW_S
+        )
         [accepted] = sent(actions, HandOverAccepted)
         self.give.accepted(self.taker.me, accepted.transfer_id)
         return message, actions
@@ -113,7 +115,9 @@
         self.assertEqual(starts(self.giver.request(waiting, 1)), [])
         self.give.tick(NOW_S)
         [transfer] = self.give._transfers.values()
-        _, actions = self.take.take(self.giver.me, transfer.message, False, NOW_S)
+        _, actions = self.receive_transfer.receive_transfer(
+            self.giver.me, transfer.message, False, NOW_S
+        )
         self.assertEqual(len(starts(actions)), 1)
 
     def test_stream_goes_on_after_its_last_event(self):
@@ -137,7 +141,7 @@
         executor = self.giver.executor
         executor.stream_opened(StreamOpened(start.request_id, 1, 200, []))
         executor.stream_data(StreamData(start.request_id, 1, b"id: 9\n\n", "9"), NOW_S)
-        self.taker.forget_probes()
+        self.taker.reset_dispatcher()
         _, actions = self.hand_over()
         self.assertEqual(starts(actions) + packets(actions, Refused), [])
         [resumed] = starts(self.taker.probe_targets())
@@ -159,7 +163,9 @@
     def test_repeated_hand_over_is_accepted_and_changes_nothing(self):
         message, _ = self.hand_over()
         self.taker.request(self.token, 1)
-        flows, actions = self.take.take(self.giver.me, message, False, NOW_S)
+        flows, actions = self.receive_transfer.receive_transfer(
+            self.giver.me, message, False, NOW_S
+        )
         self.assertEqual(flows, [])
         self.assertEqual(len(sent(actions, HandOverAccepted)), 1)
         self.assertEqual(starts(self.taker.request(self.token, 1)), [])
@@ -182,7 +188,9 @@
 
     def test_leaving_successor_refuses_and_another_takes(self):
         [message] = sent(self.give.tick(NOW_S), HandOver)
-        _, actions = self.take.take(self.giver.me, message, True, NOW_S)
+        _, actions = self.receive_transfer.receive_transfer(
+            self.giver.me, message, True, NOW_S
+        )
         self.assertEqual(len(sent(actions, HandOverRefused)), 1)
         self.successor = Identity("c", 3)
         again = self.give.refused(self.taker.me, message.transfer_id, NOW_S)
@@ -191,7 +199,9 @@
 
     def test_leaving_successor_that_took_it_before_still_accepts(self):
         message, _ = self.hand_over()
-        _, actions = self.take.take(self.giver.me, message, True, NOW_S)
+        _, actions = self.receive_transfer.receive_transfer(
+            self.giver.me, message, True, NOW_S
+        )
         self.assertEqual(len(sent(actions, HandOverAccepted)), 1)
         self.assertEqual(sent(actions, HandOverRefused), [])
 
@@ -204,7 +214,9 @@
     def test_transfer_meant_for_an_earlier_incarnation_is_ignored(self):
         self.successor = Identity(self.taker.me.name, 4711)
         [message] = sent(self.give.tick(NOW_S), HandOver)
-        flows, actions = self.take.take(self.giver.me, message, False, NOW_S)
+        flows, actions = self.receive_transfer.receive_transfer(
+            self.giver.me, message, False, NOW_S
+        )
         self.assertEqual((flows, actions), ([], []))
         self.assertEqual(len(self.taker.table), 0)
 
@@ -224,7 +236,7 @@
         self.assertEqual(len(sent(self.give.tick(NOW_S), HandOver)), 1)
 
     def test_one_successor_for_all_flows_of_a_service(self):
-        self.give.takes_flows = lambda identity: identity == self.taker.me
+        self.give.is_valid_successor = lambda identity: identity == self.taker.me
         self.hand_over()
         self.successor = Identity("c", 3)
         self.open_flow()
@@ -256,9 +268,13 @@
         self.assertGreater(answer.size_bytes, 10_000_000)
 
     def take_piece(self, piece, now_s):
-        message, actions = self.take.take_piece(self.giver.me, piece, False, now_s)
+        message, actions = self.receive_transfer.take_piece(
+            self.giver.me, piece, False, now_s
+        )
         if message is not None:
-            actions += self.take.take(self.giver.me, message, False, now_s)[1]
+            actions += self.receive_transfer.receive_transfer(
+                self.giver.me, message, False, now_s
+            )[1]
         return actions
 
     def test_hand_over_without_an_answer_goes_over_a_third_instance(self):
@@ -273,17 +289,19 @@
         self.giver.request(self.token, 1)
         part = request_part(1)
         self.giver.send(other, type(part)(b"", 1, 0, 1, True, 10_000, part.data))
-        outcomes = packets(self.give.cut(), Outcome)
+        outcomes = packets(self.give.abort_running(), Outcome)
         self.assertEqual([one.binding for one in outcomes], [self.token.binding])
         [message] = sent(self.give.tick(NOW_S), HandOver)
-        _, actions = self.take.take(self.giver.me, message, False, NOW_S)
+        _, actions = self.receive_transfer.receive_transfer(
+            self.giver.me, message, False, NOW_S
+        )
         [start] = starts(actions)
         self.assertEqual(start.request_id[0], other.binding)
 
     def test_nothing_is_cut_without_a_successor(self):
         self.giver.request(self.token, 1)
         self.successor = None
-        self.assertEqual(self.give.cut(), [])
+        self.assertEqual(self.give.abort_running(), [])
 
     def test_flows_without_a_successor_wait_for_one_that_joins(self):
         self.successor = None
--- a/endivepick/core/tests/test_key_rotator.py
+++ b/endivepick/core/tests/test_key_rotator.py
@@ -1,7 +1,7 @@
 import unittest
 
 from endivepick.core.actions import CallPlatform
-from endivepick.core.catalog import HeldKeys
+from endivepick.core.catalog import ActiveKeyring
 from endivepick.core.key_rotator import KeyRotator, KeySettings
 from endivepick.core.keyring import (
     add_pending,
@@ -48,7 +48,7 @@
     def setUp(self):
         self.now_s = 1000.0
         self.version = 7
-        self.keys = HeldKeys()
+        self.keys = ActiveKeyring()
         self.sources = FixedSources()
         self.rotation = self.rotation_in("east")
         self.hold(first_keyring(secret(1), 0.0))
--- a/endivepick/core/tests/test_keyring.py
+++ b/endivepick/core/tests/test_keyring.py
@@ -63,7 +63,7 @@
         self.assertTrue(kept.verify(key_id, b"x", mac))
         gone = retire_old(twice, ROTATION, 161.0 + LIFETIME_S)
         self.assertEqual(sorted(gone.keys), [2, 3])
-        self.assertFalse(gone.holds(key_id))
+        self.assertFalse(gone.has_key(key_id))
         self.assertFalse(gone.verify(key_id, b"x", mac))
 
     def test_racing_rotations_add_one_key(self):
--- a/endivepick/core/tests/test_member_news.py
+++ b/endivepick/core/tests/test_member_updates.py
@@ -3,22 +3,22 @@
 
 import msgspec
 
-from endivepick.bench._fleet import TWO_YEARS
-from endivepick.bench._node import DrivenNode
+from endivepick.bench._fleet import PLANNED_FLEET
+from endivepick.bench._simulated_node import SimulatedNode
 from endivepick.core.configuration import MEMBERS_WAIT_S, Configuration
 from endivepick.membership.peer_messages import Phase, Ping
 
 
 class TestMemberNews(unittest.TestCase):
     def setUp(self):
-        self.node = DrivenNode(TWO_YEARS.scaled(800))
+        self.node = SimulatedNode(PLANNED_FLEET.scaled(800))
         self.node.join()
         self.node.run(1.0)
 
     def leave(self, number):
-        update = self.node.update_of(number)
+        update = self.node.get_member_update(number)
         news = msgspec.structs.replace(update, phase=Phase.LEAVING)
-        self.node.tell(Ping(1, 1, 0, [news], []))
+        self.node.deliver_message(Ping(1, 1, 0, [news], []))
 
     def test_first_counts_at_once_and_more_are_taken_together(self):
         looks = []
--- a/endivepick/core/tests/test_owners.py
+++ b/endivepick/core/tests/test_owners.py
@@ -3,8 +3,8 @@
 from unittest.mock import patch
 
 from endivepick.core import rendezvous
-from endivepick.core.owners import ServiceOwners
 from endivepick.core.rendezvous import owner
+from endivepick.core.service_owners import ServiceOwners
 
 SERVICES = [f"service-{number}" for number in range(50)]
 
@@ -13,7 +13,7 @@
     def __init__(self):
         self.names = ()
 
-    def ready_names(self):
+    def eligible_names(self):
         return self.names
 
     def zone_of(self, name):
@@ -55,13 +55,15 @@
         chance = random.Random(2)
         present, mine = set(), set(SERVICES)
         for service in SERVICES:
-            self.owners.is_mine(service)
+            self.owners.is_owned_here(service)
         for step in range(600):
             present ^= {f"entry-{chance.randrange(9)}"}
             self.live.names = tuple(sorted(present))
             # What is not named as unsettled has not become its own.
-            looked_at = self.owners.take_unsettled() | mine
-            mine = {service for service in looked_at if self.owners.is_mine(service)}
+            looked_at = self.owners.pop_ownership_candidates() | mine
+            mine = {
+                service for service in looked_at if self.owners.is_owned_here(service)
+            }
             self.assertEqual(mine, self.expected_mine())
             if step % 3 == 0:
                 # With winners cached for some services, too.
@@ -69,7 +71,9 @@
             moved = chance.choice(SERVICES)
             self.zones[moved] = frozenset({f"zone-{chance.randrange(4)}"})
             self.owners.forget(moved)
-            mine = mine - {moved} | ({moved} if self.owners.is_mine(moved) else set())
+            mine = mine - {moved} | (
+                {moved} if self.owners.is_owned_here(moved) else set()
+            )
 
     def expected_mine(self):
         return {s for s in SERVICES if self.expected(s) in ("entry-1", None)}
@@ -89,7 +93,7 @@
         self.live.names = tuple(f"entry-{number}" for number in range(3000))
         with patch.object(rendezvous, "_weight", side_effect=rendezvous._weight) as w:
             for service in SERVICES:
-                self.owners.is_mine(service)
+                self.owners.is_owned_here(service)
         self.assertLess(w.call_count, 30 * len(SERVICES))
 
     def test_follows_a_record_that_moves_to_other_zones(self):
--- a/endivepick/core/tests/test_probe_times.py
+++ b/endivepick/core/tests/test_probe_times.py
@@ -36,13 +36,13 @@
 class SoleOwner:
     """Owner choice of an instance that owns every service."""
 
-    def take_unsettled(self):
+    def pop_ownership_candidates(self):
         return set()
 
     def owner_name(self, service):
         return "a"
 
-    def is_mine(self, service):
+    def is_owned_here(self, service):
         return True
 
 
--- a/endivepick/core/tests/test_roles.py
+++ b/endivepick/core/tests/test_roles.py
@@ -12,7 +12,7 @@
 from endivepick.core.dispatch.tests.support import intent
 from endivepick.core.executor import RequestExecutor
 from endivepick.core.flow_table import FlowTable, Identity
-from endivepick.core.member_actions import MemberActions
+from endivepick.core.membership_translator import MembershipActionTranslator
 from endivepick.core.peer_messages import InFlightReport
 from endivepick.core.roles import RoleSettings, ServiceRoles
 from endivepick.core.settings import FlowSettings
@@ -30,14 +30,14 @@
         self.unsettled = set()
         self.asked = 0
 
-    def take_unsettled(self):
+    def pop_ownership_candidates(self):
         unsettled, self.unsettled = self.unsettled, set()
         return unsettled
 
     def owner_name(self, service):
         return "a" if service in self.mine else "b"
 
-    def is_mine(self, service):
+    def is_owned_here(self, service):
         self.asked += 1
         return service in self.mine
 
@@ -114,7 +114,7 @@
     def lost(self, new):
         old = InstanceView("b", "z1", 7, "127.0.0.1:1", PeerState.ALIVE)
         lost = []
-        members = MemberActions(lambda _: [], lost.append, lambda _: [])
+        members = MembershipActionTranslator(lambda _: [], lost.append, lambda _: [])
         members.translate([PeerChanged(old, new and replace(old, **new))], 1.0)
         return lost
 
--- a/endivepick/core/tests/test_router.py
+++ b/endivepick/core/tests/test_router.py
@@ -16,7 +16,7 @@
         self.suspects: set[str] = set()
         self.successors: dict[int, Identity] = {}
 
-    def ready_names(self) -> tuple[str, ...]:
+    def eligible_names(self) -> tuple[str, ...]:
         return ("b", "c")
 
     def zone_of(self, name: str) -> str:
@@ -28,7 +28,7 @@
     def is_incarnation_dead(self, name: str, incarnation: int) -> bool:
         return Identity(name, incarnation) in self.dead
 
-    def successor_of(self, incarnation: int, service: str) -> Identity | None:
+    def find_successor(self, incarnation: int, service: str) -> Identity | None:
         return self.successors.get(incarnation)
 
     def incarnation_of(self, name: str) -> int:
--- a/endivepick/core/tests/test_stop_wish.py
+++ b/endivepick/core/tests/test_stop_request_filter.py
@@ -1,6 +1,6 @@
 import unittest
 
-from endivepick.core.stop_wish import StopWish
+from endivepick.core.stop_request_filter import StopWish
 from endivepick.records.cache import Change
 from endivepick.records.objects import INSTANCE_KIND, StoredObject
 
--- a/endivepick/core/tests/test_window.py
+++ b/endivepick/core/tests/test_window.py
@@ -3,7 +3,7 @@
 from hypothesis import given, seed, settings
 from hypothesis import strategies as st
 
-from endivepick.core.window import ReplayWindow, SeqState
+from endivepick.core.replay_window import ReplayWindow, SeqState
 
 SIZE = 16
 steps = st.lists(st.tuples(st.booleans(), st.integers(0, 40)), max_size=60)
--- a/endivepick/core/tests/test_zone_status.py
+++ b/endivepick/core/tests/test_zone_status.py
@@ -9,7 +9,7 @@
     ReadObject,
     WriteObject,
 )
-from endivepick.core.zone_status import ZoneStatus
+from endivepick.core.zone_status import ZoneStatusReporter
 from endivepick.records.objects import StoredObject
 from endivepick.records.peer_messages import (
     InstanceStatus,
@@ -18,7 +18,7 @@
 )
 from endivepick.records.roles import hash_names
 from endivepick.records.settings import StatusSettings
-from endivepick.records.status import ShownRows, StatusView
+from endivepick.records.status import RowSelection, StatusView
 from endivepick.records.status_groups import StatusGroup
 
 MEMBERS = ("a", "b")
@@ -33,17 +33,17 @@
         self.group = None
         self.part = InstanceStatus("ready", 1.0, (2,), ())
 
-    def own_part(self):
+    def build_own_status(self):
         return self.part
 
     def group_view(self):
         view = self.view()
-        return replace(view, shown=ShownRows(MEMBERS, group=2))
+        return replace(view, shown=RowSelection(MEMBERS, group=2))
 
     def view(self):
         report = SubtreeReport(5, 2, hash_names(MEMBERS))
         groups = self.group.groups if self.group else 0
-        shown = ShownRows((), (), groups) if groups else ShownRows()
+        shown = RowSelection((), (), groups) if groups else RowSelection()
         return StatusView([], report, MEMBERS, {}, shown)
 
 
@@ -53,7 +53,7 @@
 
     def status(self, writer):
         self.sources = FixedSources(writer)
-        return ZoneStatus(SETTINGS, "a", "north", self.sources)
+        return ZoneStatusReporter(SETTINGS, "a", "north", self.sources)
 
     def tick(self, status, after_s=0.05):
         self.now_s += after_s
@@ -102,7 +102,7 @@
     def test_writer_reads_and_writes_with_all_parts(self):
         status = self.status("a")
         self.assertEqual(self.call(status), ReadObject("status", "north"))
-        status.note("b", InstanceStatus("leaving", 2.0, (2,), ()), self.now_s)
+        status.record_part("b", InstanceStatus("leaving", 2.0, (2,), ()), self.now_s)
         status.answered(ObjectRead(None), 0.0, self.now_s)
         call = self.call(status)
         self.assertIsInstance(call, WriteObject)
@@ -146,7 +146,7 @@
 
     def test_writer_of_zone_and_group_makes_one_call_at_a_time(self):
         status = self.grouped("a")
-        status.note("b", InstanceStatus("ready", 2.0, (2,), ()), self.now_s)
+        status.record_part("b", InstanceStatus("ready", 2.0, (2,), ()), self.now_s)
         names, written = [], {}
         for _ in range(4):
             call = self.call(status)
--- a/endivepick/core/token.py
+++ b/endivepick/core/token.py
@@ -61,7 +61,7 @@
     def verify(self, key_id: int, data: bytes, mac: bytes) -> bool:
         """Tell whether the code is right."""
 
-    def holds(self, key_id: int) -> bool:
+    def has_key(self, key_id: int) -> bool:
         """Tell whether the key is known here."""
 
 
@@ -101,7 +101,7 @@
         if not payload:
             raise TokenInvalidError("malformed", "Echo the token unchanged.")
         key_id = int.from_bytes(sealed[:KEY_ID_SIZE_BYTES], "big")
-        if not self.keys.holds(key_id):
+        if not self.keys.has_key(key_id):
             raise TokenInvalidError(UNKNOWN_KEY, "Send the packet again after a while.")
         if not self.keys.verify(key_id, payload, sealed[-MAC_SIZE_BYTES:]):
             raise TokenInvalidError("forged", "Echo the token unchanged.")
--- a/endivepick/core/zone_status.py
+++ b/endivepick/core/zone_status.py
@@ -31,9 +31,9 @@
 )
 from endivepick.records.status_groups import StatusGroup
 
-__all__ = ["StatusSources", "ZoneStatus"]
+__all__ = ["StatusSources", "ZoneStatusReporter"]
 
-PARTS_PER_EXPIRY = 3
+STATUS_SENDS_PER_EXPIRY = 3
 """How often a part is sent while it would not expire."""
 
 
@@ -48,7 +48,7 @@
     def group(self) -> StatusGroup | None:
         """Group of this instance; None in a zone that needs no groups."""
 
-    def own_part(self) -> InstanceStatus:
+    def build_own_status(self) -> InstanceStatus:
         """Return what this instance tells about itself and its targets."""
 
     def view(self) -> StatusView:
@@ -58,7 +58,7 @@
         """Return what this instance knows about its group."""
 
 
-class ZoneStatus:
+class ZoneStatusReporter:
     """Sends this instance's part to the writer, or writes for the zone.
 
     Parameters
@@ -88,12 +88,12 @@
         self._sent_at_s = float("-inf")
         self._next_look_s = float("-inf")
 
-    def note(self, sender: str, part: InstanceStatus, now_s: float) -> None:
+    def record_part(self, sender: str, part: InstanceStatus, now_s: float) -> None:
         """Take the part of another instance."""
         # Roles may change before the part is sent again: both writers keep it.
-        self._zone_writer.note(sender, part, now_s)
+        self._zone_writer.record_part(sender, part, now_s)
         if self._group_writer is not None:
-            self._group_writer.note(sender, part, now_s)
+            self._group_writer.record_part(sender, part, now_s)
 
     def tick(self, random_share: float, now_s: float) -> list[Action]:
         """Do what is due.
@@ -107,7 +107,7 @@
         """
         writer = self._sources.status_writer
         if self._writing and writer != self._name:
-            self._zone_writer.resign()
+            self._zone_writer.invalidate()
         self._writing = writer == self._name
         if writer is None:
             return []
@@ -138,13 +138,13 @@
         writer = group.writer if group else zone_writer
         if writer is None:
             return []
-        part = self._sources.own_part()
+        part = self._sources.build_own_status()
         if writer == self._name:
-            self.note(writer, part, now_s)
+            self.record_part(writer, part, now_s)
             return []
         news = (writer, _without_load(part))
         slowdown = group.slowdown if group else 1.0
-        repeat_s = self._settings.part_expiry_s * slowdown / PARTS_PER_EXPIRY
+        repeat_s = self._settings.part_expiry_s * slowdown / STATUS_SENDS_PER_EXPIRY
         if news == self._sent and now_s - self._sent_at_s < repeat_s:
             return []
         self._sent = news
@@ -185,10 +185,10 @@
         self._busy = False
         match answer:
             case ObjectRead(stored=stored):
-                self._calling.was_read(stored)
+                self._calling.on_read(stored)
             case ObjectWritten(stored=stored):
                 self._backoff = self._backoff.succeeded()
-                self._calling.was_written(stored)
+                self._calling.on_written(stored)
                 ids = {"record": stored.name, "version": stored.version}
                 return [Log("status", "status_written", "status written", ids)]
             case CallFailed(reason=reason):
--- a/endivepick/daemon/core_loop.py
+++ b/endivepick/daemon/core_loop.py
@@ -21,7 +21,7 @@
 )
 from endivepick.core.instance import InstanceCore
 from endivepick.core.peer_messages import HandOver, RelayedPacket
-from endivepick.daemon.performer import Performer
+from endivepick.daemon.action_executor import Performer
 
 __all__ = ["CoreLoop", "SteadyClock"]
 
--- a/endivepick/daemon/fabric.py
+++ b/endivepick/daemon/fabric.py
@@ -8,9 +8,9 @@
 from gevent import socket as gevent_socket
 
 from endivepick.addresses import parse_address
-from endivepick.core.codec import encode_packet
 from endivepick.core.events import CallerDatagram
 from endivepick.core.messages import CallerAddress, InstancePacket
+from endivepick.core.packet_codec import encode_packet
 from endivepick.daemon.logs import PartLog
 from endivepick.settings.model import DaemonSettings
 
--- a/endivepick/daemon/metrics.py
+++ b/endivepick/daemon/metrics.py
@@ -179,7 +179,7 @@
             self._counters[name].add({key: label} if label else _NO_LABELS, amount)
         self._counted.clear()
 
-    def set_roles(self, gauges: RoleGauges) -> None:
+    def set_role_gauges(self, gauges: RoleGauges) -> None:
         """Replace all gauges."""
         for name, gauge in self._held.items():
             gauge.set(_NO_LABELS, getattr(gauges, name))
--- a/endivepick/daemon/peers.py
+++ b/endivepick/daemon/peers.py
@@ -20,7 +20,7 @@
 
 from endivepick.addresses import parse_address
 from endivepick.core.events import PeerMessage
-from endivepick.core.wire import (
+from endivepick.core.peer_envelope import (
     UNKNOWN_KIND,
     AnyPeerMessage,
     Envelope,
@@ -32,7 +32,7 @@
 from endivepick.settings.model import DaemonSettings
 from endivepick.timeline.clock import HybridClock
 
-__all__ = ["PeerTask", "PeerTraffic", "curve_keys", "peer_task"]
+__all__ = ["PeerTask", "PeerTraffic", "derive_curve_keys", "peer_task"]
 
 ZAP_ENDPOINT = "inproc://zeromq.zap.01"
 SEND_QUEUE_MESSAGES = 4096
@@ -96,7 +96,7 @@
         return self.dropped[reason]
 
 
-def curve_keys(secret: bytes) -> tuple[bytes, bytes]:
+def derive_curve_keys(secret: bytes) -> tuple[bytes, bytes]:
     """Derive the public and secret CURVE keys of the installation.
 
     Parameters
@@ -145,7 +145,7 @@
         self._incarnation = incarnation
         self._clock = clock
         self._deliver = deliver
-        self._keys = curve_keys(settings.secrets.peer_secret)
+        self._keys = derive_curve_keys(settings.secrets.peer_secret)
         self._host, port = parse_address(settings.listen.peer_address)
         self._context = zmq.Context()
         self._zap = self._open_zap()
--- a/endivepick/daemon/probes.py
+++ b/endivepick/daemon/probes.py
@@ -22,7 +22,7 @@
     TargetHealth,
 )
 from endivepick.core.events import Event, Probed
-from endivepick.daemon._kept_http import AnswerError, KeptHttp
+from endivepick.daemon._persistent_http import AnswerError, KeptHttp
 from endivepick.settings.model import DaemonSettings
 
 __all__ = ["ProbeTasks", "probe_tasks"]
--- a/endivepick/daemon/run.py
+++ b/endivepick/daemon/run.py
@@ -13,16 +13,16 @@
 from endivepick.core.events import Event, StopRequested
 from endivepick.core.instance import CoreSettings, InstanceCore
 from endivepick.core.roles import RoleSettings
+from endivepick.daemon.action_executor import Performer, PerformerTasks
 from endivepick.daemon.core_loop import CoreLoop, SteadyClock
 from endivepick.daemon.fabric import fabric_task
 from endivepick.daemon.http import http_task
 from endivepick.daemon.logs import PartLog, process_log
 from endivepick.daemon.metrics import DaemonMetrics
 from endivepick.daemon.peers import PeerTask, peer_task
-from endivepick.daemon.performer import Performer, PerformerTasks
 from endivepick.daemon.platform import platform_task
 from endivepick.daemon.probes import probe_tasks
-from endivepick.daemon.status import instance_status, role_gauges
+from endivepick.daemon.status import build_instance_status, compute_role_gauges
 from endivepick.daemon.targets import target_tasks
 from endivepick.settings.model import DaemonSettings
 from endivepick.timeline.clock import HybridClock
@@ -89,7 +89,9 @@
         probes = stack.enter_context(probe_tasks(settings, deliver))
         http = stack.enter_context(
             http_task(
-                settings.listen, metrics, lambda: instance_status(core, clock.now_s())
+                settings.listen,
+                metrics,
+                lambda: build_instance_status(core, clock.now_s()),
             )
         )
         platform = stack.enter_context(
@@ -109,7 +111,7 @@
 
 
 def _collect(metrics: DaemonMetrics, core: InstanceCore, peers: PeerTask) -> None:
-    metrics.set_roles(role_gauges(core))
+    metrics.set_role_gauges(compute_role_gauges(core))
     metrics.set_traffic(peers.traffic)
 
 
--- a/endivepick/daemon/status.py
+++ b/endivepick/daemon/status.py
@@ -2,14 +2,19 @@
 
 from dataclasses import dataclass
 
-from endivepick.core.catalog import HeldKeys
+from endivepick.core.catalog import ActiveKeyring
 from endivepick.core.dispatch import DispatchSnapshot
 from endivepick.core.instance import InstanceCore
 from endivepick.daemon.metrics import RoleGauges
 from endivepick.membership import InstanceView, PeerState
 from endivepick.records.peer_messages import RefusedRecord
 
-__all__ = ["InstanceStatus", "KeyringStatus", "instance_status", "role_gauges"]
+__all__ = [
+    "InstanceStatus",
+    "KeyringStatus",
+    "build_instance_status",
+    "compute_role_gauges",
+]
 
 
 @dataclass(frozen=True)
@@ -71,7 +76,7 @@
     services: list[DispatchSnapshot]
 
 
-def instance_status(core: InstanceCore, now_s: float) -> InstanceStatus:
+def build_instance_status(core: InstanceCore, now_s: float) -> InstanceStatus:
     """Take a snapshot."""
     dispatchers = core.executor.dispatchers
     return InstanceStatus(
@@ -82,19 +87,19 @@
         flows=len(core.table),
         records=dict(core.catalog.versions()),
         keyring=_keyring_status(core.catalog.keys),
-        refused=core.catalog.book.refused,
+        refused=core.catalog.service_records.refused,
         peers=list(core.membership.view().values()),
         services=[dispatcher.snapshot() for dispatcher in dispatchers.values()],
     )
 
 
-def _keyring_status(keys: HeldKeys) -> KeyringStatus:
+def _keyring_status(keys: ActiveKeyring) -> KeyringStatus:
     if keys.keyring is None:
         return KeyringStatus(0, 0, [])
     return KeyringStatus(keys.version, keys.keyring.current, sorted(keys.keyring.keys))
 
 
-def role_gauges(core: InstanceCore) -> RoleGauges:
+def compute_role_gauges(core: InstanceCore) -> RoleGauges:
     """Count what the instance holds, and what it relayed since the last call."""
     snapshots = [one.snapshot() for one in core.executor.dispatchers.values()]
     peers: dict[PeerState, int] = {}
--- a/endivepick/daemon/tests/test_http.py
+++ b/endivepick/daemon/tests/test_http.py
@@ -45,8 +45,10 @@
         self.metrics.count("packets_dropped", "too_long")
         self.metrics.count("packets_relayed")
         self.metrics.count("unforeseen", "x")
-        self.metrics.set_roles(RoleGauges(flows_held=7, peers={PeerState.DEAD: 1}))
-        self.metrics.set_roles(RoleGauges(record_versions={"notes": 4}))
+        self.metrics.set_role_gauges(
+            RoleGauges(flows_held=7, peers={PeerState.DEAD: 1})
+        )
+        self.metrics.set_role_gauges(RoleGauges(record_versions={"notes": 4}))
         text = self.call("/metrics").data.decode()
         for line in (
             'endivepick_time_to_answer_seconds_bucket{le="0.05",service="notes"} 1',
@@ -67,7 +69,7 @@
     def test_gauges_are_collected_when_they_are_read(self):
         held = iter((3, 5))
         self.metrics.collect_with(
-            lambda: self.metrics.set_roles(RoleGauges(flows_held=next(held)))
+            lambda: self.metrics.set_role_gauges(RoleGauges(flows_held=next(held)))
         )
         for count in (3, 5):
             text = self.call("/metrics").data.decode()
--- a/endivepick/daemon/tests/test_peers.py
+++ b/endivepick/daemon/tests/test_peers.py
@@ -11,8 +11,8 @@
 from gevent.server import StreamServer
 
 from endivepick.addresses import parse_address
+from endivepick.core.peer_envelope import UNKNOWN_KIND
 from endivepick.core.peer_messages import HandOverAccepted
-from endivepick.core.wire import UNKNOWN_KIND
 from endivepick.daemon import peers
 from endivepick.daemon.metrics import DaemonMetrics
 from endivepick.daemon.peers import peer_task
--- a/endivepick/forwarder/decision_log.py
+++ b/endivepick/forwarder/decision_log.py
@@ -12,9 +12,9 @@
     BeliefChange,
     Configuration,
     ConfigurationChange,
+    DecisionRecord,
     DropReason,
     FaultConfirmed,
-    Note,
     ProbeResult,
     Reset,
 )
@@ -40,7 +40,7 @@
         self.log = log
         self.metrics = metrics
 
-    def note(self, note: Note) -> None:
+    def note(self, note: DecisionRecord) -> None:
         """Write a decision about a flow."""
         if note.name == "flow_placed":
             self.metrics.count("flows_placed", note.reason)
--- a/endivepick/forwarder/early.py
+++ b/endivepick/forwarder/early.py
@@ -25,11 +25,11 @@
 
 __all__ = [
     "RECEIVE_BUFFER_BYTES",
-    "ask_early",
+    "send_early_requests",
     "bind_early",
     "connect_early",
     "new_datagram_socket",
-    "take_early_signals",
+    "install_early_signal_handlers",
 ]
 
 RECEIVE_BUFFER_BYTES = 1 << 20
@@ -93,7 +93,7 @@
     return connections
 
 
-def ask_early(
+def send_early_requests(
     connections: list[socket], paths: Mapping[_Kind, str]
 ) -> dict[_Kind, socket]:
     """Send a request on each connection that is up by now; never waits.
@@ -133,7 +133,7 @@
     return host, int(port)
 
 
-def take_early_signals() -> None:
+def install_early_signal_handlers() -> None:
     """Let no signal end the process abruptly before its own handlers are in place.
 
     A process that is asked to stop while it loads has no flow to look after and ends
--- a/endivepick/forwarder/forwarder.py
+++ b/endivepick/forwarder/forwarder.py
@@ -13,25 +13,25 @@
 import gevent
 
 from endivepick.clock import steady_now_s
-from endivepick.forwarder.breaker import CircuitBreaker
+from endivepick.forwarder.circuit_breaker import CircuitBreaker
 from endivepick.forwarder.datagrams import DatagramSocket
 from endivepick.forwarder.decision_log import DecisionLog
-from endivepick.forwarder.feed import StoreFeed
 from endivepick.forwarder.http import http_server
 from endivepick.forwarder.logs import BoundedLog
 from endivepick.forwarder.metrics import ForwarderMetrics
-from endivepick.forwarder.news import NewsIntake
+from endivepick.forwarder.news_handler import NewsIntake
 from endivepick.forwarder.packet_path import PacketPath, PathRequests
 from endivepick.forwarder.pages import Pages
 from endivepick.forwarder.peers import PeerFeed
 from endivepick.forwarder.ports import FeedKind, PacketCodec, StoreDialect
 from endivepick.forwarder.settings import ForwarderSettings
+from endivepick.forwarder.store_feed import StoreFeed
 from endivepick.forwarder.tasks import spawn_supervised
 from endivepick.forwarding import ForwardingCore, ForwardingSettings
 from endivepick.forwarding.pauses import PAUSE_S
 
 if TYPE_CHECKING:
-    from endivepick.forwarder.zone import ZoneMember
+    from endivepick.forwarder.zone_member import ZoneMember
 
 __all__ = ["Forwarder"]
 
@@ -188,7 +188,7 @@
 
     def _run_zone(self) -> None:
         """Load what no packet needs once packets are forwarded, then run it."""
-        from endivepick.forwarder.zone import ZoneMember
+        from endivepick.forwarder.zone_member import ZoneMember
 
         self._zone = ZoneMember(
             self.settings,
@@ -218,17 +218,17 @@
             self.core.on_wall_clock(time.time() - now_s)
             registry = self._feeds[FeedKind.REGISTRY]
             if registry.lost:
-                self.core.on_unread(now_s)
+                self.core.on_registry_unavailable(now_s)
             self.core.tick(now_s, registry.heard_s)
             self._path.perform()
             if self._zone is not None:
                 self._zone.tell_seen()
-            self.decisions.metrics.fold()
+            self.decisions.metrics.aggregate()
             self.decisions.log.flush()
 
     def _on_pause(self, paused_s: float, now_s: float) -> None:
         self.decisions.paused(paused_s)
-        self.core.on_unread(now_s)
+        self.core.on_registry_unavailable(now_s)
         for feed in self._feeds.values():
             feed.list_again()
 
--- a/endivepick/forwarder/news.py
+++ b/endivepick/forwarder/news_handler.py
@@ -4,9 +4,9 @@
 
 from endivepick.clock import steady_now_s
 from endivepick.forwarder.decision_log import DecisionLog
-from endivepick.forwarder.feed import FeedChanges, FeedList
 from endivepick.forwarder.peers import PeerSnapshot
 from endivepick.forwarder.ports import FeedKind, ItemRemoved, UnreadableItem
+from endivepick.forwarder.store_feed import FeedChanges, FeedList
 from endivepick.forwarding import (
     Configuration,
     ConfigurationChange,
@@ -65,7 +65,7 @@
             case _:
                 self._on_items(news, now_s)
         if news.kind is FeedKind.REGISTRY:
-            self._core.on_registry_seen(news.revision)
+            self._core.on_registry_revision(news.revision)
         self._after()
 
     def on_zone_news(
--- a/endivepick/forwarder/packet_path.py
+++ b/endivepick/forwarder/packet_path.py
@@ -15,12 +15,12 @@
 from endivepick.forwarder.probes import probe_target
 from endivepick.forwarding import (
     BeliefChange,
+    DecisionRecord,
     Drop,
     FaultConfirmed,
     Forward,
     ForwardingCore,
     Hold,
-    Note,
     ProbeOutcome,
     ProbeResult,
     ProbeTarget,
@@ -107,7 +107,7 @@
             address,
             self._on_packet,
             self._decisions.packet_failed,
-            self._metrics.batch,
+            self._metrics.record_batch,
             steady_now_s,
             early,
         ) as datagrams:
@@ -119,7 +119,7 @@
         effects, self._core.effects[:] = list(self._core.effects), []
         for effect in effects:
             match effect:
-                case Note():
+                case DecisionRecord():
                     self._decisions.note(effect)
                 case BeliefChange():
                     self._decisions.belief_change(effect)
--- a/endivepick/forwarder/pages.py
+++ b/endivepick/forwarder/pages.py
@@ -10,17 +10,17 @@
 from endivepick.clock import steady_now_s
 from endivepick.forwarder import peers
 from endivepick.forwarder.decision_log import DecisionLog
-from endivepick.forwarder.feed import StoreFeed
 from endivepick.forwarder.http import Response, json_response
 from endivepick.forwarder.metrics import render_page
 from endivepick.forwarder.peers import PeerFeed
 from endivepick.forwarder.ports import FeedKind
 from endivepick.forwarder.settings import ForwarderSettings
 from endivepick.forwarder.status import status_of
+from endivepick.forwarder.store_feed import StoreFeed
 from endivepick.forwarding import ForwardingCore
 
 if TYPE_CHECKING:
-    from endivepick.forwarder.zone import ZoneMember
+    from endivepick.forwarder.zone_member import ZoneMember
 
 __all__ = ["Pages"]
 
--- a/endivepick/forwarder/peers.py
+++ b/endivepick/forwarder/peers.py
@@ -19,11 +19,11 @@
 from endivepick.addresses import parse_address
 from endivepick.clock import steady_now_s
 from endivepick.errors import EndivepickError
-from endivepick.forwarder.feed import StoreFeed, heard_before_s
 from endivepick.forwarder.http import Response, json_response, query_fields
 from endivepick.forwarder.logs import BoundedLog
-from endivepick.forwarder.peer_book import MAX_PEERS, Neighbours, PeerBook
+from endivepick.forwarder.peer_directory import MAX_PEERS, Neighbours, PeerBook
 from endivepick.forwarder.settings import ForwarderSettings
+from endivepick.forwarder.store_feed import StoreFeed, heard_before_s
 from endivepick.forwarding import Configuration, ForwardingCore, Target, TargetState
 from endivepick.store import store_connection
 
@@ -41,7 +41,7 @@
 SNAPSHOT_PATH = "/peers/snapshot"
 HELLO_PATH = "/peers/hello"
 NEWS_PATH = "/peers/news"
-"""What a feeder answers, see `endivepick.forwarder.zone`."""
+"""What a feeder answers, see `endivepick.forwarder.zone_member`."""
 SEEN_PATH = "/peers/seen"
 """What an instance that is fed has seen of targets, for its feeder."""
 HINT_PATH = "/peers/hint/"
--- a/endivepick/forwarder/feed.py
+++ b/endivepick/forwarder/store_feed.py
@@ -14,7 +14,7 @@
     PlatformUnavailableError,
     WatchExpiredError,
 )
-from endivepick.forwarder.breaker import CircuitBreaker
+from endivepick.forwarder.circuit_breaker import CircuitBreaker
 from endivepick.forwarder.decision_log import DecisionLog
 from endivepick.forwarder.freshness import ANSWER_SLACK_S, freshness_of
 from endivepick.forwarder.logs import rounded
--- a/endivepick/forwarder/tests/test_breaker.py
+++ b/endivepick/forwarder/tests/test_breaker.py
@@ -6,12 +6,12 @@
 from gevent.server import StreamServer
 
 from endivepick.errors import PlatformUnavailableError
-from endivepick.forwarder.breaker import CircuitBreaker
+from endivepick.forwarder.circuit_breaker import CircuitBreaker
 from endivepick.forwarder.decision_log import DecisionLog
-from endivepick.forwarder.feed import StoreFeed
 from endivepick.forwarder.logs import BoundedLog
 from endivepick.forwarder.metrics import ForwarderMetrics
 from endivepick.forwarder.ports import FeedKind
+from endivepick.forwarder.store_feed import StoreFeed
 from endivepick.forwarder.tests.empty_store import Dialect
 from endivepick.forwarder.tests.test_settings import decode
 
--- a/endivepick/forwarder/tests/test_decision_log.py
+++ b/endivepick/forwarder/tests/test_decision_log.py
@@ -5,7 +5,7 @@
 from endivepick.forwarder.metrics import ForwarderMetrics
 from endivepick.forwarder.tests.test_logs import Reader
 from endivepick.forwarding import FaultConfirmed
-from endivepick.forwarding.confirmation import ConfirmedFault
+from endivepick.forwarding.fault_confirmation import ConfirmedFault
 
 
 class TestFaultConfirmed(unittest.TestCase):
--- a/endivepick/forwarder/tests/test_early.py
+++ b/endivepick/forwarder/tests/test_early.py
@@ -9,7 +9,7 @@
 
 from endivepick.errors import PlatformUnavailableError
 from endivepick.forwarder.datagrams import datagram_socket
-from endivepick.forwarder.early import ask_early, bind_early, connect_early
+from endivepick.forwarder.early import bind_early, connect_early, send_early_requests
 from endivepick.store import store_connection
 
 
@@ -115,7 +115,7 @@
 
     def test_the_answers_that_are_under_way_are_taken(self):
         begun = connect_early(self.path, 2)
-        asked = ask_early(begun, {"a": "/a", "b": "/b"})
+        asked = send_early_requests(begun, {"a": "/a", "b": "/b"})
         connection, path = self.accept(b"aaaa")
         self.assertEqual(path, b"/a")
         self.assertEqual(self.accept(b"bbbb")[1], b"/b")
@@ -131,7 +131,7 @@
     def test_a_store_that_refuses_is_left_to_the_program(self):
         self.listener.close()
         begun = connect_early(self.path, 2)
-        self.assertEqual(ask_early(begun, {"a": "/a", "b": "/b"}), {})
+        self.assertEqual(send_early_requests(begun, {"a": "/a", "b": "/b"}), {})
 
     def test_bad_settings_are_left_to_the_check(self):
         Path(self.path).write_text("{")
@@ -139,7 +139,7 @@
         self.assertEqual(connect_early("/nowhere", 2), [])
 
     def test_an_answer_that_is_lost_is_an_error_like_any_other(self):
-        asked = ask_early(connect_early(self.path, 1), {"a": "/a"})
+        asked = send_early_requests(connect_early(self.path, 1), {"a": "/a"})
         connection, _ = self.listener.accept()
         connection.close()
         lost = self.assertRaises(PlatformUnavailableError)
--- a/endivepick/forwarder/tests/test_feed.py
+++ b/endivepick/forwarder/tests/test_feed.py
@@ -4,12 +4,12 @@
 import msgspec
 from gevent.server import StreamServer
 
-from endivepick.forwarder.breaker import CircuitBreaker
+from endivepick.forwarder.circuit_breaker import CircuitBreaker
 from endivepick.forwarder.decision_log import DecisionLog
-from endivepick.forwarder.feed import FeedChanges, StoreFeed
 from endivepick.forwarder.logs import BoundedLog
 from endivepick.forwarder.metrics import ForwarderMetrics
 from endivepick.forwarder.ports import ChangeBatch, FeedKind
+from endivepick.forwarder.store_feed import FeedChanges, StoreFeed
 from endivepick.forwarder.tests.empty_store import Dialect
 from endivepick.forwarder.tests.test_settings import decode
 
--- a/endivepick/forwarder/tests/test_feeders.py
+++ b/endivepick/forwarder/tests/test_feeders.py
@@ -1,7 +1,7 @@
 import random
 import unittest
 
-from endivepick.forwarder.feeders import (
+from endivepick.forwarder.feeder_election import (
     CLAIM_SHARE,
     Feed,
     FollowFeeder,
@@ -10,7 +10,7 @@
     next_step,
 )
 from endivepick.forwarder.ports import FeederClaim
-from endivepick.forwarder.zone import MOST_PLACES
+from endivepick.forwarder.zone_member import MOST_PLACES
 
 OWN = "10.0.0.1:1"
 PLACES = ["a.0", "a.1", "a.2"]
--- a/endivepick/forwarder/tests/test_feeding.py
+++ b/endivepick/forwarder/tests/test_feeding.py
@@ -6,14 +6,13 @@
 import msgspec
 
 from endivepick.clock import steady_now_s
-from endivepick.forwarder import feeding
-from endivepick.forwarder.feeding import ZoneFeeder
 from endivepick.forwarder.http import Response, http_server
 from endivepick.forwarder.peers import SEEN_PATH
 from endivepick.forwarder.ports import FeedKind
 from endivepick.forwarder.settings import decode_settings
 from endivepick.forwarder.tests.test_settings import GOOD
 from endivepick.forwarder.tests.zone_case import NOTHING, TIMEOUT_S, ZoneCase
+from endivepick.forwarder.zone_feeder import ZoneFeeder
 from endivepick.forwarder.zone_messages import (
     FeederAhead,
     FeederFull,
@@ -205,7 +204,7 @@
             asked.append((path, ZoneQuestion.read(query)))
             return Response(200)
 
-        self.core.fitness.take_told(self.report(5.0), steady_now_s())
+        self.core.fitness.receive_zone_report(self.report(5.0), steady_now_s())
         self.core.registry.get("i-1").requests.failed = 5.0
         self.core.registry.get("i-1").requests.at_s = steady_now_s()
         with http_server("127.0.0.1:0", answer) as address:
@@ -243,7 +242,7 @@
         self.feed()
         for failed in (-5.0, 1e300):
             self.assertEqual(self.ask(failed).targets, [])
-        self.core.fitness.take_told(self.report(-1.0, -5.0), steady_now_s())
+        self.core.fitness.receive_zone_report(self.report(-1.0, -5.0), steady_now_s())
         self.core.tick(steady_now_s())
 
     def test_an_answer_of_the_build_before_tells_nothing_seen(self):
--- a/endivepick/forwarder/tests/test_news.py
+++ b/endivepick/forwarder/tests/test_news.py
@@ -5,12 +5,12 @@
 from msgspec.structs import replace
 
 from endivepick.forwarder.decision_log import DecisionLog
-from endivepick.forwarder.feed import FeedChanges, FeedList
 from endivepick.forwarder.logs import BoundedLog
 from endivepick.forwarder.metrics import ForwarderMetrics
-from endivepick.forwarder.news import NewsIntake
+from endivepick.forwarder.news_handler import NewsIntake
 from endivepick.forwarder.peers import PeerSnapshot
 from endivepick.forwarder.ports import FeedKind, UnreadableItem
+from endivepick.forwarder.store_feed import FeedChanges, FeedList
 from endivepick.forwarding import (
     RegistryNews,
     RemovedTarget,
--- a/endivepick/forwarder/tests/test_peers.py
+++ b/endivepick/forwarder/tests/test_peers.py
@@ -9,7 +9,7 @@
 from endivepick.clock import steady_now_s
 from endivepick.forwarder.http import Response, http_server
 from endivepick.forwarder.logs import BoundedLog
-from endivepick.forwarder.peer_book import MAX_PEERS, Neighbours, PeerBook
+from endivepick.forwarder.peer_directory import MAX_PEERS, Neighbours, PeerBook
 from endivepick.forwarder.peers import (
     HELLO_PATH,
     MAX_HINTS,
--- a/endivepick/forwarder/tests/test_zone.py
+++ b/endivepick/forwarder/tests/test_zone.py
@@ -6,7 +6,6 @@
 import msgspec
 
 from endivepick.clock import steady_now_s
-from endivepick.forwarder import zone
 from endivepick.forwarder.freshness import ANSWER_SLACK_S
 from endivepick.forwarder.http import Response, http_server
 from endivepick.forwarder.ports import FeederClaim, FeedKind
@@ -17,7 +16,7 @@
     ZoneNews,
 )
 from endivepick.forwarding import RegistryNews, TargetState
-from endivepick.forwarding.changes import change_between
+from endivepick.forwarding.configuration_changes import compute_change
 from endivepick.forwarding.tests.support import (
     make_configuration,
     make_target,
@@ -127,7 +126,7 @@
     def test_a_change_that_is_told_needs_no_store(self):
         known = self.core.routes.configuration
         newer = make_configuration(revision=7, version=9, ports=(443,))
-        told = self.news(config=7, change=change_between(known, newer))
+        told = self.news(config=7, change=compute_change(known, newer))
         self.follow(self.news(), told)
         self.assertEqual(self.done(FeedKind.CONFIGURATION), ["suspend", "resume 7"])
         self.assertEqual(self.core.routes.configuration, newer)
@@ -135,7 +134,7 @@
     def test_one_that_starts_from_another_version_is_read_from_the_store(self):
         older = make_configuration(revision=0, version=1)
         newer = make_configuration(revision=7, version=9)
-        told = self.news(config=7, change=change_between(older, newer))
+        told = self.news(config=7, change=compute_change(older, newer))
         self.follow(self.news(), told)
         expected = ["suspend", "list", "resume 1"]
         self.assertEqual(self.done(FeedKind.CONFIGURATION), expected)
--- a/endivepick/forwarder/tests/zone_case.py
+++ b/endivepick/forwarder/tests/zone_case.py
@@ -7,12 +7,12 @@
 from endivepick.forwarder.decision_log import DecisionLog
 from endivepick.forwarder.logs import BoundedLog
 from endivepick.forwarder.metrics import ForwarderMetrics
-from endivepick.forwarder.news import NewsIntake
-from endivepick.forwarder.peer_book import Neighbours
+from endivepick.forwarder.news_handler import NewsIntake
+from endivepick.forwarder.peer_directory import Neighbours
 from endivepick.forwarder.ports import FeedKind
 from endivepick.forwarder.settings import decode_settings
 from endivepick.forwarder.tests.test_settings import GOOD
-from endivepick.forwarder.zone import ZoneMember
+from endivepick.forwarder.zone_member import ZoneMember
 from endivepick.forwarding import RegistryNews
 from endivepick.forwarding.tests.support import (
     make_core,
--- a/endivepick/forwarder/feeding.py
+++ b/endivepick/forwarder/zone_feeder.py
@@ -6,14 +6,14 @@
 from gevent.event import Event
 
 from endivepick.clock import steady_now_s
-from endivepick.forwarder.feed import StoreFeed, heard_before_s
-from endivepick.forwarder.feeders import Askers
+from endivepick.forwarder.feeder_election import Askers
 from endivepick.forwarder.freshness import POLL_WAIT_S, freshness_of
 from endivepick.forwarder.http import Response, json_response
 from endivepick.forwarder.logs import BoundedLog
-from endivepick.forwarder.peer_book import Neighbours
+from endivepick.forwarder.peer_directory import Neighbours
 from endivepick.forwarder.ports import FeedKind
 from endivepick.forwarder.settings import ForwarderSettings
+from endivepick.forwarder.store_feed import StoreFeed, heard_before_s
 from endivepick.forwarder.zone_messages import (
     FeederAhead,
     FeederFull,
@@ -26,8 +26,8 @@
     ForwardingCore,
     merge_reports,
 )
-from endivepick.forwarding.confirmation import TOLD_S
-from endivepick.forwarding.service_usual import UsualCounts, merge_usual
+from endivepick.forwarding.fault_confirmation import REPORT_VALID_S
+from endivepick.forwarding.service_baselines import UsualCounts, merge_baselines
 
 __all__ = ["ZoneFeeder"]
 
@@ -173,12 +173,14 @@
     def _seen_together(self) -> FitnessReport:
         """Add up what instances of the zone see; a silent one tells nothing."""
         now_s = steady_now_s()
-        oldest_s = now_s - TOLD_S
+        oldest_s = now_s - REPORT_VALID_S
         self._seen = {a: seen for a, seen in self._seen.items() if seen[0] >= oldest_s}
         reports = [self._core.seen(now_s), *(seen for _, seen in self._seen.values())]
         if now_s - self._usual_s >= USUAL_EVERY_S:
             self._usual_s = now_s
-            self._usual = merge_usual(each for seen in reports for each in seen.usual)
+            self._usual = merge_baselines(
+                each for seen in reports for each in seen.usual
+            )
         together = merge_reports(reports, self._usual)
         self._core.on_seen(together, now_s)
         return together
--- a/endivepick/forwarder/zone.py
+++ b/endivepick/forwarder/zone_member.py
@@ -16,15 +16,20 @@
 
 from endivepick.clock import steady_now_s
 from endivepick.errors import EndivepickError, PlatformAnswerError
-from endivepick.forwarder.feed import StoreFeed
-from endivepick.forwarder.feeders import Feed, FollowFeeder, WriteClaim, next_step
-from endivepick.forwarder.feeding import ZoneFeeder
+from endivepick.forwarder.feeder_election import (
+    Feed,
+    FollowFeeder,
+    WriteClaim,
+    next_step,
+)
 from endivepick.forwarder.freshness import ANSWER_SLACK_S, POLL_WAIT_S, freshness_of
 from endivepick.forwarder.logs import BoundedLog, rounded
-from endivepick.forwarder.peer_book import Neighbours
+from endivepick.forwarder.peer_directory import Neighbours
 from endivepick.forwarder.peers import HELLO_PATH, NEWS_PATH, SEEN_PATH
 from endivepick.forwarder.ports import FeederClaim, FeedKind, StoreDialect
 from endivepick.forwarder.settings import ForwarderSettings
+from endivepick.forwarder.store_feed import StoreFeed
+from endivepick.forwarder.zone_feeder import ZoneFeeder
 from endivepick.forwarder.zone_messages import (
     FeederAhead,
     FeederFull,
--- a/endivepick/forwarding/__init__.py
+++ b/endivepick/forwarding/__init__.py
@@ -1,13 +1,13 @@
 """Forwarding of flows whose packets carry a cookie of their target."""
 
 from endivepick.forwarding.actions import (
+    DecisionRecord,
     Drop,
     DropReason,
     Effect,
     FaultConfirmed,
     Forward,
     Hold,
-    Note,
     ProbeOutcome,
     ProbeResult,
     ProbeTarget,
@@ -24,8 +24,10 @@
     TargetBelief,
     TargetState,
 )
-from endivepick.forwarding.changes import ConfigurationChange, apply_change
-from endivepick.forwarding.checks import check_target, number_of_name
+from endivepick.forwarding.configuration_changes import (
+    ConfigurationChange,
+    apply_change,
+)
 from endivepick.forwarding.fitness_reports import FitnessReport, merge_reports
 from endivepick.forwarding.forwarder import ForwardingCore
 from endivepick.forwarding.model import (
@@ -40,6 +42,7 @@
 )
 from endivepick.forwarding.registry_news import RegistryNews, RemovedTarget
 from endivepick.forwarding.settings import ForwardingSettings
+from endivepick.forwarding.target_checks import check_target, parse_target_number
 
 __all__ = [
     "BeliefChange",
@@ -56,7 +59,7 @@
     "ForwardingCore",
     "ForwardingSettings",
     "Hold",
-    "Note",
+    "DecisionRecord",
     "Packet",
     "ProbeOutcome",
     "ProbeResult",
@@ -79,5 +82,5 @@
     "apply_change",
     "check_target",
     "merge_reports",
-    "number_of_name",
+    "parse_target_number",
 ]
--- a/endivepick/forwarding/actions.py
+++ b/endivepick/forwarding/actions.py
@@ -5,7 +5,7 @@
 from msgspec import Struct
 
 from endivepick.forwarding.belief import BeliefChange, TargetBelief
-from endivepick.forwarding.confirmation import ConfirmedFault
+from endivepick.forwarding.fault_confirmation import ConfirmedFault
 from endivepick.forwarding.model import FlowKey, Target
 
 __all__ = [
@@ -15,7 +15,7 @@
     "FaultConfirmed",
     "Forward",
     "Hold",
-    "Note",
+    "DecisionRecord",
     "ProbeOutcome",
     "ProbeResult",
     "ProbeTarget",
@@ -123,7 +123,7 @@
     verdict: Verdict
 
 
-class Note(Struct, frozen=True):
+class DecisionRecord(Struct, frozen=True):
     """A decision about a flow, for the log.
 
     Attributes
@@ -180,7 +180,13 @@
 
 
 Effect = (
-    ProbeTarget | ReadRegistry | Release | Reset | Note | BeliefChange | FaultConfirmed
+    ProbeTarget
+    | ReadRegistry
+    | Release
+    | Reset
+    | DecisionRecord
+    | BeliefChange
+    | FaultConfirmed
 )
 
 
--- a/endivepick/forwarding/belief.py
+++ b/endivepick/forwarding/belief.py
@@ -235,7 +235,7 @@
         return self.target.name
 
     @property
-    def doubt(self) -> str:
+    def degraded_reason(self) -> str:
         """What speaks against sending packets there, "" if nothing does."""
         if self.state is not TargetState.READY:
             return self.state.value
@@ -246,7 +246,7 @@
         return ""
 
     @property
-    def doubt_since_s(self) -> float:
+    def degraded_since_s(self) -> float:
         """When the belief behind the doubt began, in seconds."""
         if self.state is not TargetState.READY:
             return self.state_since_s
--- a/endivepick/forwarding/changes.py
+++ b/endivepick/forwarding/configuration_changes.py
@@ -14,7 +14,7 @@
 
 from endivepick.forwarding.model import Configuration, Route
 
-__all__ = ["ChangeHistory", "ConfigurationChange", "apply_change", "change_between"]
+__all__ = ["ChangeHistory", "ConfigurationChange", "apply_change", "compute_change"]
 
 REMEMBERED_CHANGES = 16
 """Changes that can be told; at two a second these are what an instance misses while
@@ -61,14 +61,14 @@
     route_count: int
 
 
-def change_between(before: Configuration, after: Configuration) -> ConfigurationChange:
+def compute_change(before: Configuration, after: Configuration) -> ConfigurationChange:
     """Return what leads from one version to another.
 
     Examples
     --------
     >>> before = Configuration(1, 5, (), {"notes": "/health"})
     >>> after = Configuration(2, 9, (), {"notes": "/ok"}, idle_timeout_s=30.0)
-    >>> change = change_between(before, after)
+    >>> change = compute_change(before, after)
     >>> change.health_paths, change.removed_services
     ({'notes': '/ok'}, ())
     >>> apply_change(before, change) == after
@@ -127,7 +127,7 @@
 
     def note(self, before: Configuration, after: Configuration) -> None:
         """Remember what leads from one version to the next."""
-        self._changes.append(change_between(before, after))
+        self._changes.append(compute_change(before, after))
 
     def since(self, revision: int) -> ConfigurationChange | None:
         """Return what leads from a version to the newest.
--- a/endivepick/forwarding/evidence.py
+++ b/endivepick/forwarding/failure_detector.py
@@ -10,8 +10,8 @@
 from collections.abc import Sequence
 
 from endivepick.forwarding.actions import (
+    DecisionRecord,
     Effect,
-    Note,
     ProbeOutcome,
     ProbeTarget,
     Reset,
@@ -24,7 +24,7 @@
     TargetRestart,
     TargetState,
 )
-from endivepick.forwarding.confirmation import TOLD_S
+from endivepick.forwarding.fault_confirmation import REPORT_VALID_S
 from endivepick.forwarding.fitness_reports import SilentTarget
 from endivepick.forwarding.flows import FlowTable
 from endivepick.forwarding.model import FlowKey, RouteKind, Target
@@ -32,7 +32,7 @@
 from endivepick.forwarding.routes import RouteTable
 from endivepick.forwarding.settings import ForwardingSettings
 
-__all__ = ["EvidenceJudge"]
+__all__ = ["FailureDetector"]
 
 LONGEST_REFUSED_GAP_S = 2.0
 """Longest time between probes of a target that refuses them.  A partition that resets
@@ -53,7 +53,7 @@
 }
 
 
-class EvidenceJudge:
+class FailureDetector:
     """Turns signs into suspicion, and probes into verdicts.
 
     Parameters
@@ -107,7 +107,9 @@
         event, reason = ReachabilityEvent.CALLERS_REPEAT, "callers repeat"
         age_s = now_s - since_s
         return [
-            Note("flow_repeats", flow, belief.name, "no progress", age_s=age_s),
+            DecisionRecord(
+                "flow_repeats", flow, belief.name, "no progress", age_s=age_s
+            ),
             *self._registry.reach(belief, event, reason, now_s),
             *probe,
         ]
@@ -141,7 +143,9 @@
             return []
         age_s = now_s - since_s
         return [
-            Note("opening_unanswered", flow, belief.name, "probed", age_s=age_s),
+            DecisionRecord(
+                "opening_unanswered", flow, belief.name, "probed", age_s=age_s
+            ),
             *probe,
         ]
 
@@ -263,7 +267,7 @@
             return True
         return not self._registry.candidates(belief.target.service).own
 
-    def fell_silent(self, now_s: float) -> list[SilentTarget]:
+    def find_silent_targets(self, now_s: float) -> list[SilentTarget]:
         """Return targets of the zone that have just been found silent here.
 
         Those of other zones are left out: in a partition they all are.
@@ -275,10 +279,12 @@
             for belief in self._registry.unsettled
             if belief.reachability is Reachability.SILENT
             and belief.target.zone == self._settings.zone
-            and now_s - belief.reachability_since_s <= TOLD_S
+            and now_s - belief.reachability_since_s <= REPORT_VALID_S
         ]
 
-    def told_silent(self, silent: Sequence[SilentTarget], now_s: float) -> list[Effect]:
+    def verify_silent_targets(
+        self, silent: Sequence[SilentTarget], now_s: float
+    ) -> list[Effect]:
         """Take in which targets others of the zone have just found silent.
 
         Load pattern: many targets lose power at once, and each has flows at a dozen
@@ -372,7 +378,7 @@
 
     def _control_of(self, belief: TargetBelief, now_s: float) -> Target | None:
         """Return a target that surely lives, to compare a silent one with."""
-        control = self._flows.progressed_beside(belief)
+        control = self._flows.other_progressing_target(belief)
         if control is None or now_s - control.progress_s > CONTROL_PROGRESS_S:
             return None
         if control.reachability is not Reachability.REACHABLE:
--- a/endivepick/forwarding/confirmation.py
+++ b/endivepick/forwarding/fault_confirmation.py
@@ -17,7 +17,7 @@
 __all__ = [
     "SETTLED_S",
     "SURE_CALLERS",
-    "TOLD_S",
+    "REPORT_VALID_S",
     "ConfirmedFault",
     "ZoneEvidence",
     "confirmed_fault",
@@ -30,7 +30,7 @@
 three seconds after a target has recovered at the latest."""
 FRESH_WORD_S = 1.2
 """The same for what the zone has told, a little longer than a question is held."""
-TOLD_S = 2.0
+REPORT_VALID_S = 2.0
 """What instances have told counts for so long: one that stands still tells nothing."""
 SETTLED_S = 5.0
 """How long a target has to be ready before its flows are reset: all instances open
@@ -138,5 +138,5 @@
 
 def _is_sure_alone(counts: RequestCounts, evidence: ZoneEvidence, now_s: float) -> bool:
     """Whether what is seen here is enough where no other instance is heard."""
-    heard = evidence.told_before_s <= TOLD_S and evidence.heard_instances > 1
+    heard = evidence.told_before_s <= REPORT_VALID_S and evidence.heard_instances > 1
     return not heard and evidence.callers >= SURE_CALLERS and is_fresh(counts, now_s)
--- a/endivepick/forwarding/fitness_reports.py
+++ b/endivepick/forwarding/fitness_reports.py
@@ -5,11 +5,15 @@
 from msgspec import Struct, field
 
 from endivepick.forwarding.request_sums import RequestSums
-from endivepick.forwarding.service_usual import MOST_USUAL, UsualCounts, merge_usual
+from endivepick.forwarding.service_baselines import (
+    MOST_USUAL,
+    UsualCounts,
+    merge_baselines,
+)
 
 __all__ = [
     "LEAST_TOLD",
-    "MOST_TOLD",
+    "MAX_REPORTED_TARGETS",
     "RESET_FAILED",
     "FitnessReport",
     "ServiceCounts",
@@ -19,7 +23,7 @@
     "usable_report",
 ]
 
-MOST_TOLD = 16
+MAX_REPORTED_TARGETS = 16
 """Targets that a report names."""
 MOST_OF_ONE = 20.0
 """Requests of a target that one instance's word counts for at the most."""
@@ -147,7 +151,7 @@
         return not (self.targets or self.usual or self.silent)
 
     @property
-    def urgent(self) -> bool:
+    def is_urgent(self) -> bool:
         """Whether it tells of a target that others should know of soon."""
         return bool(self.targets or self.silent)
 
@@ -170,7 +174,7 @@
     services: dict[str, ServiceCounts] = {}
     silent: dict[SilentTarget, None] = {}
     for report in told_by_all:
-        silent |= dict.fromkeys(report.silent[:MOST_TOLD])
+        silent |= dict.fromkeys(report.silent[:MAX_REPORTED_TARGETS])
         for told in _usable_targets(report):
             key = (told.name, told.born_ms)
             known = targets.get(key)
@@ -182,16 +186,16 @@
                 service if counts is None else counts.added(service)
             )
     if usual is None:
-        usual = merge_usual(each for report in told_by_all for each in report.usual)
+        usual = merge_baselines(each for report in told_by_all for each in report.usual)
     # One that all asked about and nobody doubts would be asked about for ever.
     doubted = [told for told in targets.values() if told.bad >= LEAST_TOLD]
     worst = sorted(doubted, key=lambda told: -told.bad)
     return FitnessReport(
-        worst[:MOST_TOLD],
+        worst[:MAX_REPORTED_TARGETS],
         list(services.values()),
         len(told_by_all),
         usual,
-        list(silent)[:MOST_TOLD],
+        list(silent)[:MAX_REPORTED_TARGETS],
     )
 
 
@@ -203,12 +207,14 @@
         _usable_services(report),
         max(1, report.instances),
         usual[:MOST_USUAL],
-        report.silent[:MOST_TOLD],
+        report.silent[:MAX_REPORTED_TARGETS],
     )
 
 
 def _usable_targets(report: FitnessReport) -> list[TargetCounts]:
-    return [told for told in report.targets if _is_possible(told)][:MOST_TOLD]
+    return [told for told in report.targets if _is_possible(told)][
+        :MAX_REPORTED_TARGETS
+    ]
 
 
 def _usable_services(report: FitnessReport) -> list[ServiceCounts]:
--- a/endivepick/forwarding/flows.py
+++ b/endivepick/forwarding/flows.py
@@ -119,7 +119,7 @@
             return iter(())
         return iter([f for f in self._flows.values() if f.belief is belief])
 
-    def progressed_beside(self, belief: TargetBelief) -> TargetBelief | None:
+    def other_progressing_target(self, belief: TargetBelief) -> TargetBelief | None:
         """Return another target than this one that made progress last."""
         others = (other for other in reversed(self._progressed) if other is not belief)
         return next(others, None)
@@ -150,7 +150,7 @@
         self._flows.move_to_end(packet.flow)
         flow.seen_s = now_s
         if flow.belief is not belief:
-            self._move(flow, belief)
+            self._reassign(flow, belief)
         if packet.opening:
             return FlowSign.NOTHING
         return self._compare(flow, packet, now_s)
@@ -194,7 +194,7 @@
         if len(self._flows) > self._settings.observed_flows:
             self.end(next(iter(self._flows)))
 
-    def _move(self, flow: ObservedFlow, belief: TargetBelief) -> None:
+    def _reassign(self, flow: ObservedFlow, belief: TargetBelief) -> None:
         busy_since_s = flow.busy_since_s
         self._set_idle(flow)
         flow.belief.flows -= 1
--- a/endivepick/forwarding/forwarder.py
+++ b/endivepick/forwarding/forwarder.py
@@ -9,12 +9,12 @@
 from msgspec.structs import replace
 
 from endivepick.forwarding.actions import (
+    DecisionRecord,
     Drop,
     DropReason,
     Effect,
     Forward,
     Hold,
-    Note,
     ProbeResult,
     ReadRegistry,
     Release,
@@ -28,11 +28,10 @@
     TargetBelief,
     TargetState,
 )
-from endivepick.forwarding.evidence import EvidenceJudge
-from endivepick.forwarding.fitness import FitnessJudge
-from endivepick.forwarding.fitness_reports import MOST_TOLD, FitnessReport
+from endivepick.forwarding.failure_detector import FailureDetector
+from endivepick.forwarding.fitness_reports import MAX_REPORTED_TARGETS, FitnessReport
 from endivepick.forwarding.flows import SEQUENCE_NUMBERS, FlowSign, FlowTable
-from endivepick.forwarding.held import HeldPacket, HeldPackets, held_note
+from endivepick.forwarding.held_packets import HeldPacket, HeldPackets, held_note
 from endivepick.forwarding.model import (
     Configuration,
     FlowKey,
@@ -42,12 +41,13 @@
     Target,
 )
 from endivepick.forwarding.openings import Opening, OpeningMemory
+from endivepick.forwarding.outlier_detector import OutlierDetector
 from endivepick.forwarding.placement import choose_target
 from endivepick.forwarding.registry import TargetRegistry
 from endivepick.forwarding.registry_news import RegistryNews
 from endivepick.forwarding.routes import RouteTable, service_of
 from endivepick.forwarding.settings import ForwardingSettings, without_disabled
-from endivepick.forwarding.unknown import UnknownCookies
+from endivepick.forwarding.unknown_cookies import UnknownCookies
 
 __all__ = ["ForwardingCore"]
 
@@ -75,8 +75,10 @@
         """What has to be carried out; the caller takes it out."""
         self._random_share = random_share
         self._openings = OpeningMemory(settings)
-        self._judge = EvidenceJudge(settings, self.registry, self.flows, self.routes)
-        self.fitness = FitnessJudge(settings, self.registry, self.flows)
+        self._failure_detector = FailureDetector(
+            settings, self.registry, self.flows, self.routes
+        )
+        self.fitness = OutlierDetector(settings, self.registry, self.flows)
         self._unknown = UnknownCookies(settings.lapse_grace_s)
         self._held = HeldPackets(settings)
         self._asked_s = float("-inf")
@@ -131,7 +133,7 @@
 
     def on_configuration(self, configuration: Configuration, now_s: float) -> bool:
         """Take in a configuration; returns whether it is newly in force."""
-        in_force = self.routes.take_in(configuration, now_s)
+        in_force = self.routes.apply_configuration(configuration, now_s)
         self._retry_held(now_s)
         return in_force
 
@@ -150,20 +152,20 @@
         """
         if asked_s is not None:
             self._unknown.listed(asked_s)
-        changes = self.registry.take_list(targets, revision, now_s, unreadable)
+        changes = self.registry.apply_list(targets, revision, now_s, unreadable)
         self._after_changes(changes, now_s)
 
-    def on_registry_seen(self, revision: int) -> None:
+    def on_registry_revision(self, revision: int) -> None:
         """Take in that the registry has told all that changed up to a revision."""
         self.registry.seen(revision)
 
     def on_registry_news(self, news: RegistryNews, now_s: float) -> None:
         """Take in what another instance knows beyond this one's revision."""
-        self._after_changes(self.registry.take_news(news, now_s), now_s)
+        self._after_changes(self.registry.apply_news(news, now_s), now_s)
 
     def on_target(self, target: Target, now_s: float) -> None:
         """Take in one entry of the registry."""
-        self._after_changes(self.registry.take_entry(target, now_s), now_s)
+        self._after_changes(self.registry.apply_entry(target, now_s), now_s)
 
     def on_target_unreadable(self, name: str, revision: int, now_s: float) -> None:
         """Take in that an entry cannot be read, as written at a revision."""
@@ -172,7 +174,7 @@
 
     def on_target_removed(self, name: str, revision: int, now_s: float) -> None:
         """Take in that an entry vanished at a revision of the store."""
-        changes = self.registry.take_removal(name, revision, now_s)
+        changes = self.registry.apply_removal(name, revision, now_s)
         self._after_changes(changes, now_s)
 
     def on_probe(self, result: ProbeResult, now_s: float) -> None:
@@ -186,7 +188,7 @@
         changes = self.registry.take_start(belief, result.shown_born_ms, now_s)
         self._after_changes(changes, now_s)
         belief = self.registry.get(result.target) or belief
-        self.effects += self._judge.on_probe(belief, result.outcome, now_s)
+        self.effects += self._failure_detector.on_probe(belief, result.outcome, now_s)
 
     def on_wall_clock(self, ahead_s: float) -> None:
         """Take in how far the time of day is ahead of this process's time.
@@ -200,23 +202,32 @@
         """Take in a peer's word that a target does not answer."""
         belief = self.registry.get(target)
         if belief is not None:
-            self.effects += self._judge.hinted(belief, now_s)
+            self.effects += self._failure_detector.verify_hint(belief, now_s)
 
     def seen(self, now_s: float) -> FitnessReport:
         """Return what was seen of targets here, for the instances of the zone."""
         report = self.fitness.report(now_s)
-        return replace(report, silent=self._judge.fell_silent(now_s)[:MOST_TOLD])
+        return replace(
+            report,
+            silent=self._failure_detector.find_silent_targets(now_s)[
+                :MAX_REPORTED_TARGETS
+            ],
+        )
 
-    def doubts(self, now_s: float) -> bool:
+    def has_suspects(self, now_s: float) -> bool:
         """Whether something speaks against a target, or one has just fallen silent."""
-        return self.fitness.doubts or bool(self._judge.fell_silent(now_s))
+        return self.fitness.has_suspects or bool(
+            self._failure_detector.find_silent_targets(now_s)
+        )
 
-    def on_seen(self, report: FitnessReport, now_s: float) -> None:
+    def on_zone_report(self, report: FitnessReport, now_s: float) -> None:
         """Take in what the instances of the zone have seen of targets together."""
-        self.fitness.take_told(report, now_s)
-        self.effects += self._judge.told_silent(report.silent, now_s)
+        self.fitness.receive_zone_report(report, now_s)
+        self.effects += self._failure_detector.verify_silent_targets(
+            report.silent, now_s
+        )
 
-    def on_unread(self, now_s: float) -> None:
+    def on_registry_unavailable(self, now_s: float) -> None:
         """Take in that the registry could not be read until now.
 
         This instance stood still, or the store does not answer it.
@@ -241,7 +252,7 @@
         self._after_changes(self.registry.expire(now_s, heard_s), now_s)
         if self.registry.unconfirmed(now_s, heard_s):
             self._ask_registry(now_s)
-        self.effects += self._judge.retry_probes(now_s)
+        self.effects += self._failure_detector.retry_probes(now_s)
         self.effects += self.fitness.tick(now_s)
 
     def _on_opening(self, packet: Packet, route: Route | None, now_s: float) -> Verdict:
@@ -263,7 +274,7 @@
         self._openings.note(packet.flow, belief.name, now_s)
         self.flows.observe(packet, belief, route.kind, now_s)
         self.effects.append(
-            Note(
+            DecisionRecord(
                 "flow_placed",
                 packet.flow,
                 belief.name,
@@ -280,14 +291,16 @@
     def _suspect_first(self, opening: Opening, flow: FlowKey, now_s: float) -> None:
         belief = self.registry.get(opening.targets[-1])
         if belief is not None:
-            self.effects += self._judge.suspect(belief, flow, opening.last_s, now_s)
+            self.effects += self._failure_detector.suspect(
+                belief, flow, opening.last_s, now_s
+            )
 
     def _look_after_openings(self, now_s: float) -> None:
         """Doubt targets whose openings are followed by nothing."""
         for key, opening in self._openings.without_copy(now_s):
             flow = self.flows.get(key)
             if flow is not None and not flow.opened:
-                self.effects += self._judge.unanswered(
+                self.effects += self._failure_detector.on_opening_unanswered(
                     flow.belief, key, opening.last_s, now_s
                 )
 
@@ -311,9 +324,9 @@
         self._note_doubt(packet.flow, belief, now_s)
         match sign:
             case FlowSign.PROGRESS:
-                self.effects += self._judge.progress(belief, now_s)
+                self.effects += self._failure_detector.progress(belief, now_s)
             case FlowSign.REPETITION if busy_since_s is not None:
-                self.effects += self._judge.suspect(
+                self.effects += self._failure_detector.suspect(
                     belief, packet.flow, busy_since_s, now_s
                 )
             case _:
@@ -348,18 +361,20 @@
             waited_s = now_s - busy_since_s
             self.fitness.requests.answered(flow, waited_s, size_bytes, now_s)
         if flow.busy_since_s is not None and flow.busy_since_s != busy_since_s:
-            self.fitness.requests.began(flow, now_s)
+            self.fitness.requests.record_request(flow, now_s)
 
     def _note_doubt(self, key: FlowKey, belief: TargetBelief, now_s: float) -> None:
         """Note once of each flow that its packets go on to a target in doubt."""
-        doubt = belief.doubt
+        degraded_reason = belief.degraded_reason
         flow = self.flows.get(key)
-        if flow is None or flow.noted_doubt == doubt:
+        if flow is None or flow.noted_doubt == degraded_reason:
             return
-        flow.noted_doubt = doubt
-        if doubt:
-            age_s = now_s - belief.doubt_since_s
-            note = Note("flow_goes_on", key, belief.name, doubt, age_s=age_s)
+        flow.noted_doubt = degraded_reason
+        if degraded_reason:
+            age_s = now_s - belief.degraded_since_s
+            note = DecisionRecord(
+                "flow_goes_on", key, belief.name, degraded_reason, age_s=age_s
+            )
             self.effects.append(note)
 
     def _reset_reason(
@@ -367,7 +382,7 @@
     ) -> ResetReason | None:
         if packet.closing or belief.reachability is Reachability.REACHABLE:
             return None
-        return self._judge.reset_reason(belief, kind)
+        return self._failure_detector.reset_reason(belief, kind)
 
     def _reset(
         self, packet: Packet, reason: ResetReason, target: str, now_s: float
@@ -375,7 +390,7 @@
         sequence = 0 if packet.opening else packet.acknowledged
         age_s = now_s - self.routes.since_s
         self.effects.append(
-            Note(
+            DecisionRecord(
                 "flow_reset",
                 packet.flow,
                 target,
@@ -423,7 +438,9 @@
         restarts, self.registry.restarts = self.registry.restarts, []
         for restart in restarts:
             began_s = self._earliest_start_s(restart.after.target, now_s)
-            self.effects += self._judge.restarted(restart, began_s)
+            self.effects += self._failure_detector.reset_former_incarnation(
+                restart, began_s
+            )
 
     def _earliest_start_s(self, target: Target, now_s: float) -> float:
         """Return a time before which a target cannot have started, in seconds."""
@@ -442,11 +459,17 @@
                 continue
             match belief.state:
                 case TargetState.LAPSED:
-                    self.effects += self._judge.vanished(belief, now_s)
+                    self.effects += self._failure_detector.on_entry_removed(
+                        belief, now_s
+                    )
                 case TargetState.UNREADABLE:
-                    self.effects += self._judge.vanished(belief, now_s)
+                    self.effects += self._failure_detector.on_entry_removed(
+                        belief, now_s
+                    )
                 case TargetState.GONE if belief.flows:
-                    self.effects += self._judge.vanished(belief, now_s)
-                    self.effects += self._judge.resets(belief)
+                    self.effects += self._failure_detector.on_entry_removed(
+                        belief, now_s
+                    )
+                    self.effects += self._failure_detector.reset_flows(belief)
                 case _:
                     pass
--- a/endivepick/forwarding/held.py
+++ b/endivepick/forwarding/held_packets.py
@@ -9,7 +9,7 @@
 
 from msgspec import Struct
 
-from endivepick.forwarding.actions import Note
+from endivepick.forwarding.actions import DecisionRecord
 from endivepick.forwarding.model import Packet
 from endivepick.forwarding.settings import ForwardingSettings
 
@@ -59,7 +59,7 @@
         waiting, self._waiting = self._waiting, deque()
         return waiting
 
-    def expire(self, now_s: float) -> list[Note]:
+    def expire(self, now_s: float) -> list[DecisionRecord]:
         """Drop what has waited too long."""
         notes = []
         limit_s = now_s - self._settings.held_s
@@ -71,7 +71,7 @@
         return notes
 
 
-def held_note(name: str, packet: Packet, reason: str, age_s: float) -> Note:
+def held_note(name: str, packet: Packet, reason: str, age_s: float) -> DecisionRecord:
     """Return a note on a packet that waits, or that waited in vain."""
     cookie = f"cookie {packet.cookie:08x}"
-    return Note(name, packet.flow, "", f"{reason}, {cookie}", age_s=age_s)
+    return DecisionRecord(name, packet.flow, "", f"{reason}, {cookie}", age_s=age_s)
--- a/endivepick/forwarding/fitness.py
+++ b/endivepick/forwarding/outlier_detector.py
@@ -26,7 +26,7 @@
     TargetState,
 )
 from endivepick.forwarding.comparison import LEAST_SHARE, TargetSums
-from endivepick.forwarding.confirmation import (
+from endivepick.forwarding.fault_confirmation import (
     ConfirmedFault,
     confirmed_fault,
     is_fresh,
@@ -34,7 +34,7 @@
 )
 from endivepick.forwarding.fitness_reports import (
     LEAST_TOLD,
-    MOST_TOLD,
+    MAX_REPORTED_TARGETS,
     FitnessReport,
     TargetCounts,
 )
@@ -46,7 +46,7 @@
 from endivepick.forwarding.settings import ForwardingSettings
 from endivepick.forwarding.zone_report import ZoneReport
 
-__all__ = ["FitnessJudge"]
+__all__ = ["OutlierDetector"]
 
 ENOUGH_EVIDENCE = 7.0
 """Logarithm of how much likelier the counts are for a bad target than for one like the
@@ -68,7 +68,7 @@
 """Good answers, faded, that end the trial; without, it ends after the longest time."""
 
 
-class FitnessJudge:
+class OutlierDetector:
     """Condemns targets by what becomes of their requests.
 
     Parameters
@@ -145,7 +145,7 @@
                 fresh=int(is_fresh(belief.requests, now_s)),
                 late=round(belief.requests.late, 1),
             )
-            for belief in doubted[:MOST_TOLD]
+            for belief in doubted[:MAX_REPORTED_TARGETS]
         ]
         services = dict.fromkeys(belief.target.service for belief in doubted)
         return FitnessReport(
@@ -154,7 +154,7 @@
             usual=self.requests.tell_usual(),
         )
 
-    def take_told(self, report: FitnessReport, now_s: float) -> None:
+    def receive_zone_report(self, report: FitnessReport, now_s: float) -> None:
         """Take in what the instances of the zone have seen together."""
         self._zone.take(report, now_s)
         for told in self._zone.targets:
