--- a/endivepick/forwarding/registry.py
+++ b/endivepick/forwarding/registry.py
@@ -67,7 +67,7 @@
         """Whether a whole list was read."""
         self.revision = 0
         """Revision of the store up to which entries are known."""
-        self.told_from = 0
+        self.oldest_delta_revision = 0
         """Oldest revision since which changes can be told; a list hides older ones."""
 
     def __iter__(self) -> Iterator[TargetBelief]:
@@ -119,7 +119,7 @@
         """Whether a cookie is that of an entry that is there and cannot be read."""
         return cookie in self._never_read
 
-    def take_list(
+    def apply_list(
         self,
         targets: Iterable[Target],
         revision: int,
@@ -146,43 +146,43 @@
         listed = list(targets)
         self.known = True
         # What came and went since the last word is not in the list, nor known here.
-        self.told_from = revision
+        self.oldest_delta_revision = revision
         self.revision = revision
         self._never_read.clear()
-        changes = [c for target in listed for c in self._take(target, now_s)]
+        changes = [c for target in listed for c in self._apply_entry(target, now_s)]
         names = {target.name for target in listed}
         for name in unreadable:
             names.add(name)
             changes += self.take_unreadable(name, revision, now_s)
         for name in list(self._beliefs):
             if name not in names:
-                changes += self.take_removal(name, revision, now_s)
+                changes += self.apply_removal(name, revision, now_s)
         return changes
 
-    def seen(self, revision: int) -> None:
+    def advance_revision(self, revision: int) -> None:
         """Take in that nothing but what is known changed up to a revision."""
         if self.known:
             self.revision = max(self.revision, revision)
 
-    def take_news(self, news: RegistryNews, now_s: float) -> list[BeliefChange]:
+    def apply_news(self, news: RegistryNews, now_s: float) -> list[BeliefChange]:
         """Take in what another instance knows beyond this one's revision."""
         if news.revision <= self.revision:
             return []
         if news.whole:
             unreadable = [each.name for each in news.removed if each.unreadable]
-            return self.take_list(news.targets, news.revision, now_s, unreadable)
+            return self.apply_list(news.targets, news.revision, now_s, unreadable)
         changes: list[BeliefChange] = []
         for target in news.targets:
-            changes += self._take(target, now_s)
+            changes += self._apply_entry(target, now_s)
         for each in news.removed:
-            taken_in = self.take_unreadable if each.unreadable else self.take_removal
+            taken_in = self.take_unreadable if each.unreadable else self.apply_removal
             changes += taken_in(each.name, each.revision, now_s)
         self.revision = max(self.revision, news.revision)
         return changes
 
     def news_since(self, revision: int) -> RegistryNews:
         """Return what changed since a revision, or all if that is too long ago."""
-        whole = revision < self.told_from
+        whole = revision < self.oldest_delta_revision
         newer = [b for b in self if whole or b.revision > revision]
         present = (TargetState.READY, TargetState.DRAINING)
         targets = [b.target for b in newer if b.state in present]
@@ -193,7 +193,7 @@
         ]
         return RegistryNews(targets, removed, whole, self.revision)
 
-    def take_entry(self, target: Target, now_s: float) -> list[BeliefChange]:
+    def apply_entry(self, target: Target, now_s: float) -> list[BeliefChange]:
         """Take in one change, unless a newer one is known; the oldest comes first.
 
         Of an entry that was written before the revision that is known here, and is
@@ -202,9 +202,9 @@
         if target.name not in self._beliefs and target.revision <= self.revision:
             return []
         self.revision = max(self.revision, target.revision)
-        return self._take(target, now_s)
+        return self._apply_entry(target, now_s)
 
-    def _take(self, target: Target, now_s: float) -> list[BeliefChange]:
+    def _apply_entry(self, target: Target, now_s: float) -> list[BeliefChange]:
         belief = self._beliefs.get(target.name)
         if belief is None:
             return [self._add(target, now_s)]
@@ -253,7 +253,7 @@
         event = TargetEvent.ENTRY_UNREADABLE
         return self._move(belief, event, "entry unreadable", now_s)
 
-    def take_removal(
+    def apply_removal(
         self, name: str, revision: int, now_s: float
     ) -> list[BeliefChange]:
         """Take in that an entry vanished, unless it was written again since."""
@@ -262,7 +262,7 @@
         self._never_read.pop(cookie_of(name), None)
         if belief is None:
             # It came and went unseen: nobody can be told of its removal alone.
-            self.told_from = max(self.told_from, revision)
+            self.oldest_delta_revision = max(self.oldest_delta_revision, revision)
             return []
         if revision < belief.revision:
             return []
@@ -323,7 +323,7 @@
             if belief.state is TargetState.LAPSED:
                 belief.state_since_s = now_s
 
-    def reach(
+    def record_reachability(
         self,
         belief: TargetBelief,
         event: ReachabilityEvent,
@@ -348,7 +348,7 @@
             changes += self._move(belief, TargetEvent.FOUND_DEAD, reason, now_s)
         return changes
 
-    def judge(
+    def record_fitness(
         self, belief: TargetBelief, event: FitnessEvent, reason: str, now_s: float
     ) -> list[BeliefChange]:
         """Note whether a target serves the requests that reach it."""
@@ -423,7 +423,7 @@
             self._unsettled[belief.name] = belief
 
     def _forget(self, belief: TargetBelief) -> None:
-        self.told_from = max(self.told_from, belief.revision)
+        self.oldest_delta_revision = max(self.oldest_delta_revision, belief.revision)
         self._remove(belief)
 
     def _remove(self, belief: TargetBelief) -> None:
--- a/endivepick/forwarding/request_counter.py
+++ b/endivepick/forwarding/request_counter.py
@@ -2,14 +2,14 @@
 
 from collections.abc import Callable
 
-from endivepick.forwarding.awaited import AwaitedAnswers
+from endivepick.forwarding.answer_deadlines import AwaitedAnswers
 from endivepick.forwarding.belief import TargetBelief
-from endivepick.forwarding.confirmation import SURE_CALLERS
+from endivepick.forwarding.fault_confirmation import SURE_CALLERS
 from endivepick.forwarding.flows import FlowTable, ObservedFlow
 from endivepick.forwarding.pauses import PauseWatch
+from endivepick.forwarding.request_baseline import UsualRequests
+from endivepick.forwarding.service_baselines import ServiceUsual, UsualCounts
 from endivepick.forwarding.service_counts import faded
-from endivepick.forwarding.service_usual import ServiceUsual, UsualCounts
-from endivepick.forwarding.usual import UsualRequests
 from endivepick.forwarding.zone_report import ZoneReport
 
 __all__ = ["RequestCounter"]
@@ -45,7 +45,7 @@
         self.doubted: dict[str, TargetBelief] = {}
         """Targets that something speaks against, by name."""
 
-    def began(self, flow: ObservedFlow, now_s: float) -> None:
+    def record_request(self, flow: ObservedFlow, now_s: float) -> None:
         """Take in that a request has begun on a flow."""
         flow.overdue = False
         if self._pauses.backlog(now_s):
--- a/endivepick/forwarding/routes.py
+++ b/endivepick/forwarding/routes.py
@@ -1,6 +1,9 @@
 """Routes of the configuration in force; versions never go back."""
 
-from endivepick.forwarding.changes import ChangeHistory, ConfigurationChange
+from endivepick.forwarding.configuration_changes import (
+    ChangeHistory,
+    ConfigurationChange,
+)
 from endivepick.forwarding.model import Configuration, FlowKey, Route
 
 __all__ = ["RouteTable", "service_of"]
@@ -16,9 +19,9 @@
     Examples
     --------
     >>> table = RouteTable()
-    >>> table.take_in(Configuration(version=7, revision=3, routes=()), now_s=1.0)
+    >>> table.apply_configuration(Configuration(version=7, revision=3, routes=()), now_s=1.0)
     True
-    >>> table.take_in(Configuration(version=6, revision=2, routes=()), now_s=2.0)
+    >>> table.apply_configuration(Configuration(version=6, revision=2, routes=()), now_s=2.0)
     False
     """
 
@@ -39,7 +42,7 @@
         """Revision of the store that it was written at, 0 without one."""
         return 0 if self.configuration is None else self.configuration.revision
 
-    def take_in(self, configuration: Configuration, now_s: float) -> bool:
+    def apply_configuration(self, configuration: Configuration, now_s: float) -> bool:
         """Put a configuration in force unless it is older than the present one.
 
         Parameters
--- a/endivepick/forwarding/service_usual.py
+++ b/endivepick/forwarding/service_baselines.py
@@ -10,9 +10,9 @@
 from msgspec import Struct
 
 from endivepick.forwarding.model import RouteKind
-from endivepick.forwarding.usual import Bucket, UsualRequests
+from endivepick.forwarding.request_baseline import Bucket, UsualRequests
 
-__all__ = ["MOST_USUAL", "ServiceUsual", "UsualCounts", "merge_usual"]
+__all__ = ["MOST_USUAL", "ServiceUsual", "UsualCounts", "merge_baselines"]
 
 MOST_USUAL = 16
 """Kinds of requests that a report tells of."""
@@ -53,7 +53,7 @@
         )
 
 
-def merge_usual(told: Iterable[UsualCounts]) -> list[UsualCounts]:
+def merge_baselines(told: Iterable[UsualCounts]) -> list[UsualCounts]:
     """Add up what several instances tell; impossible words are left out."""
     merged = ServiceUsual()
     for counts in told:
--- a/endivepick/forwarding/checks.py
+++ b/endivepick/forwarding/target_checks.py
@@ -5,10 +5,10 @@
 entry that was taken unchecked could not be put before a packet, or drew all flows.
 """
 
-from endivepick.addresses import host_number
+from endivepick.addresses import ipv4_to_int
 from endivepick.forwarding.model import Target
 
-__all__ = ["check_target", "number_of_name"]
+__all__ = ["check_target", "parse_target_number"]
 
 LONGEST_NAME = 128
 """Characters; names are written into paths and log lines."""
@@ -27,7 +27,7 @@
 _HEX_DIGITS = frozenset("0123456789abcdefABCDEF")
 
 
-def number_of_name(name: str) -> int:
+def parse_target_number(name: str) -> int:
     """Return the 64-bit number that packets name a target by: its name's hex digits.
 
     Raises
@@ -37,7 +37,7 @@
 
     Examples
     --------
-    >>> hex(number_of_name("i-7f3a91c2"))
+    >>> hex(parse_target_number("i-7f3a91c2"))
     '0x7f3a91c2'
     """
     prefix, _, digits = name.partition("-")
@@ -70,11 +70,11 @@
     """
     if len(target.name) > LONGEST_NAME or not _NAME_CHARACTERS.issuperset(target.name):
         raise ValueError(f"use a name of {LONGEST_NAME} letters, digits, '-', '_', '.'")
-    if target.number != number_of_name(target.name):
+    if target.number != parse_target_number(target.name):
         raise ValueError("use the number that the name ends with")
     if not target.service or not target.zone:
         raise ValueError("name a service and a zone")
-    if host_number(target.host) not in _HOSTS or target.port not in _PORTS:
+    if ipv4_to_int(target.host) not in _HOSTS or target.port not in _PORTS:
         raise ValueError("use the address of one machine and a port from 1 to 65535")
     if not 1 <= target.slots <= MOST_SLOTS:
         raise ValueError(f"use 1 to {MOST_SLOTS} slots")
--- a/endivepick/forwarding/tests/test_changes.py
+++ b/endivepick/forwarding/tests/test_changes.py
@@ -5,12 +5,12 @@
 from hypothesis import strategies as st
 
 from endivepick.forwarding import Configuration, Route, RouteKind, ServiceShare
-from endivepick.forwarding.changes import (
+from endivepick.forwarding.configuration_changes import (
     REMEMBERED_CHANGES,
     TOLD_ROUTES,
     ChangeHistory,
     apply_change,
-    change_between,
+    compute_change,
 )
 from endivepick.forwarding.routes import RouteTable
 
@@ -62,13 +62,13 @@
 
     def test_it_does_not_fit_another_version(self):
         first, second, third = versions([{}, {"r-1": "notes"}, {"r-2": "notes"}])
-        change = change_between(second, third)
+        change = compute_change(second, third)
         self.assertIsNone(apply_change(first, change))
         self.assertEqual(apply_change(second, change), third)
 
     def test_one_that_leads_to_another_number_of_routes_is_refused(self):
         first, second = versions([{"r-1": "notes"}, {"r-1": "notes", "r-2": "notes"}])
-        change = msgspec.structs.replace(change_between(first, second), route_count=3)
+        change = msgspec.structs.replace(compute_change(first, second), route_count=3)
         self.assertIsNone(apply_change(first, change))
 
 
@@ -108,7 +108,7 @@
         for version in range(10):
             routes[version] = route(f"r-{version}", "packs", port=version)
             configuration = Configuration(version, 50 + version, tuple(routes))
-            table.take_in(configuration, float(version))
+            table.apply_configuration(configuration, float(version))
         whole = len(msgspec.json.encode(configuration))
         one = len(msgspec.json.encode(table.change_since(58)))
         all_ten = len(msgspec.json.encode(table.change_since(50)))
--- a/endivepick/forwarding/tests/test_checks.py
+++ b/endivepick/forwarding/tests/test_checks.py
@@ -2,7 +2,7 @@
 
 from msgspec.structs import replace
 
-from endivepick.forwarding import check_target, number_of_name
+from endivepick.forwarding import check_target, parse_target_number
 from endivepick.forwarding.tests.support import make_target
 
 GOOD = make_target("i-7f3a91c2")
@@ -50,10 +50,10 @@
                 check_target(replace(GOOD, **fields))
 
     def test_a_name_has_a_number_that_packets_carry(self):
-        self.assertEqual(number_of_name("i-ffffffffffffffff"), (1 << 64) - 1)
-        self.assertEqual(number_of_name("i-00ab"), 0xAB)
+        self.assertEqual(parse_target_number("i-ffffffffffffffff"), (1 << 64) - 1)
+        self.assertEqual(parse_target_number("i-00ab"), 0xAB)
         for name in ("i-0", "i-", "i", "-5", "i--5", "i-1_0", "i-+5", "i- 5", "i-x"):
             with self.subTest(name), self.assertRaises(ValueError):
-                number_of_name(name)
+                parse_target_number(name)
         with self.assertRaises(ValueError):
-            number_of_name("i-" + "f" * 17)
+            parse_target_number("i-" + "f" * 17)
--- a/endivepick/forwarding/tests/test_erring_targets.py
+++ b/endivepick/forwarding/tests/test_erring_targets.py
@@ -10,7 +10,7 @@
     Fitness,
     Reset,
 )
-from endivepick.forwarding.confirmation import ConfirmedFault
+from endivepick.forwarding.fault_confirmation import ConfirmedFault
 from endivepick.forwarding.tests.support import make_target
 from endivepick.forwarding.tests.test_fitness import (
     ANSWER_BYTES,
--- a/endivepick/forwarding/tests/test_evidence.py
+++ b/endivepick/forwarding/tests/test_evidence.py
@@ -94,7 +94,7 @@
         idle, _ = self.established(3, port=ONCE_PORT)
         for key in (busy, idle):
             observed = self.core.flows.get(key)
-            self.core.flows._move(observed, belief)
+            self.core.flows._reassign(observed, belief)
         self.ask(busy, belief, 2.0)
         self.ask(flow, belief, 2.0)
         self.ask(flow, belief, 2.0 + REPEAT_S)
@@ -107,7 +107,7 @@
         flow, belief = self.established(1)
         young = flow_key(9)
         self.core.on_packet(opening(young), b"", 2.0)
-        self.core.flows._move(self.core.flows.get(young), belief)
+        self.core.flows._reassign(self.core.flows.get(young), belief)
         self.ask(flow, belief, 2.0)
         self.ask(flow, belief, 2.0 + REPEAT_S)
         answer_probes(self.core, SILENT, 2.4)
@@ -117,7 +117,7 @@
         # A partition that resets connections looks like a process that has ended.
         flow, belief = self.established(1)
         other, _ = self.established(2)
-        self.core.flows._move(self.core.flows.get(other), belief)
+        self.core.flows._reassign(self.core.flows.get(other), belief)
         self.ask(flow, belief, 2.0)
         self.ask(flow, belief, 2.0 + REPEAT_S)
         answer_probes(self.core, REFUSED, 2.3)
--- a/endivepick/forwarding/tests/test_fitness.py
+++ b/endivepick/forwarding/tests/test_fitness.py
@@ -16,12 +16,13 @@
     merge_reports,
 )
 from endivepick.forwarding.comparison import evidence_against
-from endivepick.forwarding.fitness import LONGEST_REST_S, REST_S
 from endivepick.forwarding.fitness_reports import (
     MOST_OF_ONE,
     ServiceCounts,
     TargetCounts,
 )
+from endivepick.forwarding.outlier_detector import LONGEST_REST_S, REST_S
+from endivepick.forwarding.request_baseline import REMEMBERED, UsualValues
 from endivepick.forwarding.tests.support import (
     IDEMPOTENT_PORT,
     ONCE_PORT,
@@ -33,7 +34,6 @@
     opening,
     take,
 )
-from endivepick.forwarding.usual import REMEMBERED, UsualValues
 
 WORK_S = 0.025
 ANSWER_BYTES = 900
@@ -138,7 +138,7 @@
             reports = [core.fitness.report(self.now_s) for core in self.cores]
             together = merge_reports(reports)
             for core in self.cores:
-                core.fitness.take_told(together, self.now_s)
+                core.fitness.receive_zone_report(together, self.now_s)
         for core in self.cores:
             core.tick(self.now_s)
             resets = take(core, Reset)
@@ -457,7 +457,7 @@
         for _ in range(20):
             zone.now_s += TICK_S
             merged = merge_reports([self.told(failed=10_000.0)])
-            core.fitness.take_told(merged, zone.now_s)
+            core.fitness.receive_zone_report(merged, zone.now_s)
             core.tick(zone.now_s)
         self.assertEqual(take(core, Reset), [])
 
@@ -472,7 +472,7 @@
         ]
         for _ in range(20):
             zone.now_s += TICK_S
-            core.fitness.take_told(merge_reports(reports), zone.now_s)
+            core.fitness.receive_zone_report(merge_reports(reports), zone.now_s)
             core.tick(zone.now_s)
             resets += take(core, Reset)
         self.assertEqual(zone.condemned(), {"i-3"})
@@ -482,7 +482,7 @@
         zone = Zone()
         zone.run(5.0, 80.0)
         core = zone.cores[0]
-        core.fitness.take_told(self.told(failed=20.0, born_ms=7), zone.now_s)
+        core.fitness.receive_zone_report(self.told(failed=20.0, born_ms=7), zone.now_s)
         core.tick(zone.now_s)
         self.assertEqual(zone.condemned(), set())
 
@@ -490,7 +490,7 @@
         zone = Zone()
         zone.run(5.0, 80.0)
         core = zone.cores[0]
-        core.fitness.take_told(self.told(failed=20.0), zone.now_s - 5.0)
+        core.fitness.receive_zone_report(self.told(failed=20.0), zone.now_s - 5.0)
         core.tick(zone.now_s)
         self.assertEqual(zone.condemned(), set())
 
--- a/endivepick/forwarding/tests/test_forwarder.py
+++ b/endivepick/forwarding/tests/test_forwarder.py
@@ -1,13 +1,13 @@
 import unittest
 
 from endivepick.forwarding import (
+    DecisionRecord,
     Drop,
     DropReason,
     Forward,
     ForwardingCore,
     ForwardingSettings,
     Hold,
-    Note,
     Packet,
     ReadRegistry,
     Release,
@@ -46,7 +46,7 @@
 
     def test_openings_are_served_while_the_store_is_known_to_be_lost(self):
         for tenths in range(10, 200):
-            self.core.on_unread(tenths / 10)
+            self.core.on_registry_unavailable(tenths / 10)
             self.core.tick(tenths / 10, heard_s=1.0)
         self.assertIsInstance(self.verdict(20.0), Forward)
 
@@ -102,7 +102,7 @@
         self.assertIsInstance(self.verdict(3.7), Reset)
 
     def test_while_the_store_was_lost_nothing_was_settled(self):
-        self.core.on_unread(9.0)
+        self.core.on_registry_unavailable(9.0)
         self.assertIsInstance(self.verdict(9.0), Hold)
         self.read(asked_s=9.1)
         self.assertIsInstance(self.verdict(9.2), Hold)
@@ -162,7 +162,7 @@
     def test_a_placement_says_what_decided(self):
         self.core.effects.clear()
         belief = open_flow(self.core, flow_key(), 2.0)
-        (note,) = take(self.core, Note)
+        (note,) = take(self.core, DecisionRecord)
         self.assertEqual(note.name, "flow_placed")
         self.assertEqual(note.target, belief.name)
         self.assertEqual((note.candidates, note.version), (3, 7))
@@ -213,7 +213,7 @@
         for at_s, sequence in ((2.5, 401), (2.6, 701)):
             packet = data(flow_key(), self.cookie, sequence, sequence + 900)
             self.core.on_packet(packet, b"", at_s)
-        (note,) = take(self.core, Note)
+        (note,) = take(self.core, DecisionRecord)
         self.assertEqual((note.name, note.reason), ("flow_goes_on", "draining"))
         self.assertEqual(note.age_s, 0.5)
 
@@ -245,7 +245,7 @@
         self.core.on_packet(self.packet, b"x", 1.0)
         self.core.effects.clear()
         self.core.tick(2.0)
-        (note,) = take(self.core, Note)
+        (note,) = take(self.core, DecisionRecord)
         self.assertEqual((note.name, note.age_s), ("packet_dropped", 1.0))
 
     def test_a_flood_of_forged_cookies_is_bounded(self):
--- a/endivepick/forwarding/tests/test_registry.py
+++ b/endivepick/forwarding/tests/test_registry.py
@@ -19,7 +19,7 @@
         )
         self.registry = TargetRegistry(settings)
         self.targets = [make_target(f"i-{n}", revision=n) for n in range(1, 7)]
-        self.registry.take_list(self.targets, 6, 0.0)
+        self.registry.apply_list(self.targets, 6, 0.0)
 
     def state(self, name):
         return self.registry.get(name).state
@@ -35,50 +35,56 @@
     def test_candidates_follow_what_is_believed_of_each(self):
         self.assertEqual(len(self.sorted_for_zone()[0]), 6)
         far = make_target("i-1", "b", revision=40, slots=5)
-        self.registry.take_entry(far, 10.0)
+        self.registry.apply_entry(far, 10.0)
         left = [f"i-{n}" for n in range(2, 7)]
         self.assertEqual(self.sorted_for_zone(), (left, ["i-1"], 15))
         belief = self.registry.get("i-2")
-        self.registry.reach(belief, ReachabilityEvent.PROBE_SILENT, "", 11.0)
+        self.registry.record_reachability(
+            belief, ReachabilityEvent.PROBE_SILENT, "", 11.0
+        )
         self.assertEqual(self.sorted_for_zone(), (left[1:], ["i-1"], 13))
         self.assertEqual(len(self.candidates()), 6)
-        self.registry.reach(belief, ReachabilityEvent.PROBE_ALIVE, "", 12.0)
+        self.registry.record_reachability(
+            belief, ReachabilityEvent.PROBE_ALIVE, "", 12.0
+        )
         self.assertEqual(self.sorted_for_zone(), (left, ["i-1"], 15))
 
     def test_an_entry_takes_little_on_its_way_between_instances(self):
         target = make_target("i-7f3a91c2", "fukuoka-hall", revision=5312, created=5300)
-        self.registry.take_entry(target, 1.0)
+        self.registry.apply_entry(target, 1.0)
         news = self.registry.news_since(5311)
         told = msgspec.json.encode(news)
         self.assertLess(len(told), 160)
         self.assertEqual(msgspec.json.decode(told, type=type(news)), news)
 
     def test_time_without_changes_makes_what_is_known_newer(self):
-        self.registry.seen(90)
-        self.registry.seen(40)
-        self.assertEqual((self.registry.revision, self.registry.told_from), (90, 6))
+        self.registry.advance_revision(90)
+        self.registry.advance_revision(40)
+        self.assertEqual(
+            (self.registry.revision, self.registry.oldest_delta_revision), (90, 6)
+        )
         old = make_target("i-9", revision=80)
-        self.assertEqual(self.registry.take_entry(old, 1.0), [])
+        self.assertEqual(self.registry.apply_entry(old, 1.0), [])
         fresh = TargetRegistry(ForwardingSettings(zone="a"))
-        fresh.seen(90)
+        fresh.advance_revision(90)
         self.assertEqual(fresh.revision, 0)
 
     def test_a_short_list_after_an_outage_does_not_take_the_targets_away(self):
-        self.registry.take_list(self.targets[:1], 40, 10.0)
+        self.registry.apply_list(self.targets[:1], 40, 10.0)
         self.registry.expire(10.0 + GRACE_S - 0.1)
         self.assertEqual(len(self.candidates()), 6)
         self.assertIs(self.state("i-3"), TargetState.LAPSED)
 
     def test_entries_that_return_within_the_grace_are_ready_again(self):
-        self.registry.take_list([], 40, 10.0)
+        self.registry.apply_list([], 40, 10.0)
         back = [make_target(t.name, revision=50) for t in self.targets]
-        self.registry.take_list(back, 60, 11.5)
+        self.registry.apply_list(back, 60, 11.5)
         self.registry.expire(10.0 + GRACE_S + 1)
         self.assertEqual(len(self.candidates()), 6)
         self.assertIs(self.state("i-3"), TargetState.READY)
 
     def test_entries_are_not_given_up_for_time_in_which_nothing_was_read(self):
-        self.registry.take_list(self.targets[:1], 40, 10.0)
+        self.registry.apply_list(self.targets[:1], 40, 10.0)
         self.registry.restart_grace(14.0)
         self.registry.expire(14.0)
         self.assertEqual(len(self.candidates()), 6)
@@ -86,7 +92,7 @@
         self.assertEqual(self.candidates(), ["i-1"])
 
     def test_entries_are_not_given_up_while_the_store_says_nothing(self):
-        self.registry.take_list([], 40, 10.0)
+        self.registry.apply_list([], 40, 10.0)
         over_s = 10.0 + GRACE_S
         self.registry.expire(over_s, heard_s=10.0)
         self.assertEqual(len(self.candidates()), 6)
@@ -96,7 +102,7 @@
         self.assertEqual(self.candidates(), [])
 
     def test_an_entry_that_stays_away_is_gone_after_the_grace(self):
-        self.registry.take_list(self.targets[:1], 40, 10.0)
+        self.registry.apply_list(self.targets[:1], 40, 10.0)
         changes = self.registry.expire(10.0 + GRACE_S)
         self.assertEqual(self.candidates(), ["i-1"])
         self.assertEqual({change.after for change in changes}, {"gone"})
@@ -104,35 +110,35 @@
 
     def test_a_draining_target_takes_no_flows_and_is_gone_when_it_left(self):
         draining = make_target("i-2", phase=TargetPhase.DRAINING, revision=20)
-        self.registry.take_entry(draining, 5.0)
+        self.registry.apply_entry(draining, 5.0)
         self.assertNotIn("i-2", self.candidates())
-        self.registry.take_removal("i-2", 25, 8.0)
+        self.registry.apply_removal("i-2", 25, 8.0)
         self.assertIs(self.state("i-2"), TargetState.GONE)
 
     def test_old_news_after_a_removal_change_nothing(self):
-        self.registry.take_list([], 40, 5.0)
+        self.registry.apply_list([], 40, 5.0)
         self.registry.expire(5.0 + GRACE_S)
         draining = make_target("i-2", phase=TargetPhase.DRAINING, revision=30)
-        self.assertEqual(self.registry.take_entry(draining, 9.0), [])
+        self.assertEqual(self.registry.apply_entry(draining, 9.0), [])
         self.assertIs(self.state("i-2"), TargetState.GONE)
 
     def test_an_older_list_or_removal_changes_nothing(self):
-        self.registry.take_entry(make_target("i-2", revision=50), 5.0)
-        self.assertEqual(self.registry.take_list([], 49, 6.0), [])
-        self.assertEqual(self.registry.take_removal("i-2", 49, 6.0), [])
+        self.registry.apply_entry(make_target("i-2", revision=50), 5.0)
+        self.assertEqual(self.registry.apply_list([], 49, 6.0), [])
+        self.assertEqual(self.registry.apply_removal("i-2", 49, 6.0), [])
         self.assertEqual(len(self.candidates()), 6)
 
     def test_an_older_entry_changes_nothing(self):
         draining = make_target("i-2", phase=TargetPhase.DRAINING, revision=20)
-        self.registry.take_entry(draining, 5.0)
-        self.assertEqual(self.registry.take_entry(self.targets[1], 6.0), [])
+        self.registry.apply_entry(draining, 5.0)
+        self.assertEqual(self.registry.apply_entry(self.targets[1], 6.0), [])
         self.assertIs(self.state("i-2"), TargetState.DRAINING)
 
     def test_a_target_that_is_gone_still_resolves_for_the_life_of_its_flows(self):
         cookie = self.registry.get("i-2").cookie
         draining = make_target("i-2", phase=TargetPhase.DRAINING, revision=20)
-        self.registry.take_entry(draining, 5.0)
-        self.registry.take_removal("i-2", 25, 8.0)
+        self.registry.apply_entry(draining, 5.0)
+        self.registry.apply_removal("i-2", 25, 8.0)
         self.registry.expire(8.0 + MEMORY_S - 1)
         self.assertEqual(self.registry.of_cookie(cookie).name, "i-2")
         self.registry.expire(8.0 + MEMORY_S)
@@ -140,37 +146,37 @@
 
     def test_a_dead_target_whose_entry_vanished_is_gone_at_once(self):
         belief = self.registry.get("i-2")
-        self.registry.take_removal("i-2", 25, 5.0)
+        self.registry.apply_removal("i-2", 25, 5.0)
         dead = ReachabilityEvent.PROBE_REFUSED
-        self.registry.reach(belief, dead, "probe: refused", 5.1)
+        self.registry.record_reachability(belief, dead, "probe: refused", 5.1)
         self.assertIs(belief.state, TargetState.GONE)
 
     def test_candidates_follow_each_change(self):
         self.assertEqual(len(self.candidates()), 6)
-        self.registry.take_entry(make_target("i-9", revision=70), 1.0)
+        self.registry.apply_entry(make_target("i-9", revision=70), 1.0)
         self.assertEqual(len(self.candidates()), 7)
         draining = make_target("i-9", phase=TargetPhase.DRAINING, revision=71)
-        self.registry.take_entry(draining, 2.0)
+        self.registry.apply_entry(draining, 2.0)
         self.assertEqual(len(self.candidates()), 6)
 
     def test_a_tick_looks_only_at_targets_that_time_changes(self):
         self.assertEqual(self.registry.unsettled, [])
-        self.registry.take_removal("i-2", 25, 5.0)
+        self.registry.apply_removal("i-2", 25, 5.0)
         silent = self.registry.get("i-3")
         event = ReachabilityEvent.PROBE_SILENT
-        self.registry.reach(silent, event, "probe: silent", 5.0)
+        self.registry.record_reachability(silent, event, "probe: silent", 5.0)
         names = {belief.name for belief in self.registry.unsettled}
         self.assertEqual(names, {"i-2", "i-3"})
         event = ReachabilityEvent.PROGRESS
-        self.registry.reach(silent, event, "progress", 6.0)
+        self.registry.record_reachability(silent, event, "progress", 6.0)
         self.registry.expire(5.0 + GRACE_S)
         self.registry.expire(5.0 + GRACE_S + MEMORY_S)
         self.assertEqual(self.registry.unsettled, [])
 
     def test_a_target_that_was_gone_takes_flows_when_it_is_listed_again(self):
-        self.registry.take_removal("i-2", 25, 5.0)
+        self.registry.apply_removal("i-2", 25, 5.0)
         self.registry.expire(5.0 + GRACE_S)
-        self.registry.take_entry(make_target("i-2", revision=30), 9.0)
+        self.registry.apply_entry(make_target("i-2", revision=30), 9.0)
         self.assertIn("i-2", self.candidates())
 
 
@@ -182,11 +188,11 @@
         self.feeder, self.fed = TargetRegistry(settings), TargetRegistry(settings)
         self.targets = [make_target(f"i-{n}", revision=n) for n in range(1, 7)]
         for registry in (self.feeder, self.fed):
-            registry.take_list(self.targets, 6, 0.0)
+            registry.apply_list(self.targets, 6, 0.0)
 
     def pass_on(self, now_s):
         news = self.feeder.news_since(self.fed.revision)
-        self.fed.take_news(news, now_s)
+        self.fed.apply_news(news, now_s)
         return news
 
     def states(self, registry):
@@ -198,9 +204,9 @@
 
     def test_only_what_changed_is_told(self):
         draining = make_target("i-2", phase=TargetPhase.DRAINING, revision=20)
-        self.feeder.take_entry(draining, 1.0)
-        self.feeder.take_entry(make_target("i-7", revision=21, created=21), 1.0)
-        self.feeder.take_removal("i-3", 22, 1.0)
+        self.feeder.apply_entry(draining, 1.0)
+        self.feeder.apply_entry(make_target("i-7", revision=21, created=21), 1.0)
+        self.feeder.apply_removal("i-3", 22, 1.0)
         news = self.pass_on(1.1)
         self.assertEqual([t.name for t in news.targets], ["i-2", "i-7"])
         self.assertEqual([r.name for r in news.removed], ["i-3"])
@@ -209,32 +215,32 @@
 
     def test_a_draining_target_that_left_is_gone_there_as_well(self):
         draining = make_target("i-2", phase=TargetPhase.DRAINING, revision=20)
-        self.feeder.take_entry(draining, 1.0)
+        self.feeder.apply_entry(draining, 1.0)
         self.pass_on(1.1)
-        self.feeder.take_removal("i-2", 25, 2.0)
+        self.feeder.apply_removal("i-2", 25, 2.0)
         self.pass_on(2.1)
         self.assertIs(self.states(self.fed)["i-2"], TargetState.GONE)
 
     def test_a_lapsed_entry_keeps_its_grace_however_often_it_is_told(self):
-        self.feeder.take_removal("i-3", 20, 1.0)
+        self.feeder.apply_removal("i-3", 20, 1.0)
         self.pass_on(1.0)
         for number in range(1, 4):
-            self.feeder.take_entry(make_target("i-1", revision=20 + number), 2.0)
+            self.feeder.apply_entry(make_target("i-1", revision=20 + number), 2.0)
             self.pass_on(1.0 + number / 2)
         self.fed.expire(1.0 + GRACE_S)
         self.assertIs(self.states(self.fed)["i-3"], TargetState.GONE)
 
     def test_what_vanished_before_the_feeder_knew_the_list_is_not_missed(self):
-        self.fed.take_entry(make_target("i-9", revision=30), 1.0)
+        self.fed.apply_entry(make_target("i-9", revision=30), 1.0)
         late = TargetRegistry(ForwardingSettings(zone="a"))
-        late.take_list(self.targets, 40, 2.0)
+        late.apply_list(self.targets, 40, 2.0)
         news = late.news_since(self.fed.revision)
         self.assertTrue(news.whole)
-        self.fed.take_news(news, 2.0)
+        self.fed.apply_news(news, 2.0)
         self.assertIs(self.states(self.fed)["i-9"], TargetState.LAPSED)
 
     def test_what_the_feeder_has_forgotten_is_not_missed(self):
-        self.feeder.take_removal("i-3", 20, 1.0)
+        self.feeder.apply_removal("i-3", 20, 1.0)
         self.feeder.expire(1.0 + GRACE_S)
         self.feeder.expire(100.0)
         self.assertNotIn("i-3", self.states(self.feeder))
@@ -242,8 +248,8 @@
         self.assertIs(self.states(self.fed)["i-3"], TargetState.LAPSED)
 
     def test_news_of_a_feeder_that_is_behind_change_nothing(self):
-        self.fed.take_entry(make_target("i-2", revision=50), 1.0)
+        self.fed.apply_entry(make_target("i-2", revision=50), 1.0)
         before = self.states(self.fed)
-        self.fed.take_news(self.feeder.news_since(0), 2.0)
+        self.fed.apply_news(self.feeder.news_since(0), 2.0)
         self.assertEqual(self.states(self.fed), before)
         self.assertEqual(self.fed.revision, 50)
--- a/endivepick/forwarding/tests/test_restarts.py
+++ b/endivepick/forwarding/tests/test_restarts.py
@@ -259,27 +259,27 @@
         settings = ForwardingSettings(zone="a")
         self.feeder, self.fed = TargetRegistry(settings), TargetRegistry(settings)
         for registry in (self.feeder, self.fed):
-            registry.take_list([entry("i-2", revision=2)], 6, 0.0)
+            registry.apply_list([entry("i-2", revision=2)], 6, 0.0)
 
     def told(self):
         return self.feeder.news_since(self.fed.revision)
 
     def test_those_who_are_fed_know_the_new_incarnation(self):
-        self.feeder.take_entry(entry("i-2", 19.0, revision=20), 20.0)
-        self.fed.take_news(self.told(), 20.0)
+        self.feeder.apply_entry(entry("i-2", 19.0, revision=20), 20.0)
+        self.fed.apply_news(self.told(), 20.0)
         self.assertEqual(self.fed.get("i-2").target.born_ms, born_ms(19.0))
         self.assertEqual(len(self.fed.restarts), 1)
 
     def test_a_feeder_of_the_build_before_tells_no_start(self):
-        self.feeder.take_entry(entry("i-2", 19.0, revision=20), 20.0)
+        self.feeder.apply_entry(entry("i-2", 19.0, revision=20), 20.0)
         news = msgspec.to_builtins(self.told())
         news["targets"] = [fields[:-1] for fields in news["targets"]]
         told = msgspec.convert(news, type(self.told()))
         self.assertEqual(told.targets[0].born_ms, 0)
-        self.fed.take_news(told, 20.0)
+        self.fed.apply_news(told, 20.0)
         self.assertEqual(self.fed.restarts, [])
         # The store tells it, at the same revision.
-        self.fed.take_list([entry("i-2", 19.0, revision=20)], 20, 21.0)
+        self.fed.apply_list([entry("i-2", 19.0, revision=20)], 20, 21.0)
         self.assertEqual(len(self.fed.restarts), 1)
 
     def test_an_instance_of_the_build_before_reads_what_is_told(self):
--- a/endivepick/forwarding/tests/test_routes.py
+++ b/endivepick/forwarding/tests/test_routes.py
@@ -10,21 +10,23 @@
 class TestRouteTable(unittest.TestCase):
     def test_a_route_is_found_by_address_and_port(self):
         table = RouteTable()
-        table.take_in(make_configuration(), 0.0)
+        table.apply_configuration(make_configuration(), 0.0)
         self.assertEqual(table.find(flow_key(port=443)).name, "r443")
         self.assertIsNone(table.find(flow_key(port=444)))
 
     def test_versions_never_go_back(self):
         table = RouteTable()
-        self.assertTrue(table.take_in(make_configuration(revision=9, ports=()), 0.0))
-        self.assertFalse(table.take_in(make_configuration(revision=8), 1.0))
-        self.assertFalse(table.take_in(make_configuration(revision=9), 1.0))
+        self.assertTrue(
+            table.apply_configuration(make_configuration(revision=9, ports=()), 0.0)
+        )
+        self.assertFalse(table.apply_configuration(make_configuration(revision=8), 1.0))
+        self.assertFalse(table.apply_configuration(make_configuration(revision=9), 1.0))
         self.assertIsNone(table.find(flow_key()))
 
     def test_a_removed_route_is_no_longer_found(self):
         table = RouteTable()
-        table.take_in(make_configuration(revision=1), 0.0)
-        table.take_in(make_configuration(revision=2, ports=(8080,)), 1.0)
+        table.apply_configuration(make_configuration(revision=1), 0.0)
+        table.apply_configuration(make_configuration(revision=2, ports=(8080,)), 1.0)
         self.assertIsNone(table.find(flow_key(port=443)))
         self.assertIsNotNone(table.find(flow_key(port=8080)))
 
--- a/endivepick/forwarding/tests/test_service_usual.py
+++ b/endivepick/forwarding/tests/test_service_usual.py
@@ -6,14 +6,14 @@
 
 from endivepick.forwarding import FitnessReport, RouteKind, merge_reports
 from endivepick.forwarding.fitness_reports import usable_report
-from endivepick.forwarding.service_usual import (
+from endivepick.forwarding.request_baseline import REMEMBERED, Bucket
+from endivepick.forwarding.service_baselines import (
     MOST_USUAL,
     ServiceUsual,
     UsualCounts,
-    merge_usual,
+    merge_baselines,
 )
 from endivepick.forwarding.tests.test_fitness import ERROR_BYTES, WORK_S, Zone
-from endivepick.forwarding.usual import REMEMBERED, Bucket
 
 KIND = RouteKind.IDEMPOTENT
 
@@ -90,7 +90,7 @@
 class TestWords(unittest.TestCase):
     def test_what_instances_have_seen_adds_up(self):
         words = [counts for _ in range(10) for counts in seen(4).tell()]
-        (merged,) = merge_usual(words)
+        (merged,) = merge_baselines(words)
         self.assertEqual(sum(bucket.values for bucket in merged.waits), 40)
         together = ServiceUsual()
         together.replace([merged])
@@ -106,7 +106,7 @@
     def test_one_word_counts_for_what_an_instance_remembers(self):
         (counts,) = seen(1).tell()
         loud = UsualCounts("notes", KIND, [Bucket(40, 2**20)], [Bucket(3, 2**20)])
-        (merged,) = merge_usual([counts, loud])
+        (merged,) = merge_baselines([counts, loud])
         most = max(bucket.values for bucket in merged.waits)
         self.assertLessEqual(most, REMEMBERED)
 
--- a/endivepick/forwarding/tests/test_silence.py
+++ b/endivepick/forwarding/tests/test_silence.py
@@ -9,8 +9,8 @@
     Reset,
     merge_reports,
 )
-from endivepick.forwarding.evidence import CONTROL_PROGRESS_S
-from endivepick.forwarding.fitness_reports import MOST_TOLD, SilentTarget
+from endivepick.forwarding.failure_detector import CONTROL_PROGRESS_S
+from endivepick.forwarding.fitness_reports import MAX_REPORTED_TARGETS, SilentTarget
 from endivepick.forwarding.mechanisms import Mechanisms
 from endivepick.forwarding.tests.support import (
     ALIVE,
@@ -64,7 +64,7 @@
         first = self.make()
         name = self.silent_at(first).name
         core, flow, _ = self.with_flows_at(name)
-        core.on_seen(merge_reports([first.seen(3.1)]), 3.1)
+        core.on_zone_report(merge_reports([first.seen(3.1)]), 3.1)
         self.assertEqual(answer_probes(core, SILENT, 3.4), [name])
         self.assertIn(flow, [reset.flow for reset in take(core, Reset)])
 
@@ -74,7 +74,7 @@
         core, _, belief = self.with_flows_at(name)
         asked = []
         for n in range(20):
-            core.on_seen(first.seen(3.1), 3.1 + 0.7 * n)
+            core.on_zone_report(first.seen(3.1), 3.1 + 0.7 * n)
             asked += answer_probes(core, ALIVE, 3.2 + 0.7 * n)
         self.assertEqual(asked, [name])
         self.assertIs(belief.reachability, Reachability.REACHABLE)
@@ -85,22 +85,22 @@
         self.silent_at(first)
         core = self.make()
         core.effects.clear()
-        core.on_seen(first.seen(3.1), 3.1)
+        core.on_zone_report(first.seen(3.1), 3.1)
         self.assertEqual(take(core, ProbeTarget), [])
 
     def test_a_word_on_another_incarnation_counts_for_nothing(self):
         core, _, belief = self.with_flows_at("i-1")
         told = SilentTarget("i-1", belief.target.born_ms + 7)
-        core.on_seen(FitnessReport([], [], silent=[told]), 3.1)
+        core.on_zone_report(FitnessReport([], [], silent=[told]), 3.1)
         self.assertEqual(take(core, ProbeTarget), [])
 
     def test_it_is_told_while_it_is_new(self):
         core = self.make()
         self.silent_at(core)
-        self.assertTrue(core.doubts(3.5))
-        self.assertTrue(core.seen(3.5).urgent)
-        self.assertFalse(core.doubts(9.0))
-        self.assertFalse(core.seen(9.0).urgent)
+        self.assertTrue(core.has_suspects(3.5))
+        self.assertTrue(core.seen(3.5).is_urgent)
+        self.assertFalse(core.has_suspects(9.0))
+        self.assertFalse(core.seen(9.0).is_urgent)
 
     def test_targets_of_other_zones_are_not_told(self):
         # A zone that is cut off finds those of all others silent.
@@ -111,14 +111,14 @@
     def test_words_are_bounded(self):
         silent = [SilentTarget(f"i-{n}", 1) for n in range(1000)]
         merged = merge_reports([FitnessReport([], [], silent=silent)] * 3)
-        self.assertEqual(merged.silent, silent[:MOST_TOLD])
+        self.assertEqual(merged.silent, silent[:MAX_REPORTED_TARGETS])
 
     def test_it_can_be_switched_off(self):
         off = Mechanisms(tell_silence=False)
         first = self.make()
         name = self.silent_at(first).name
         core, _, _ = self.with_flows_at(name, mechanisms=off)
-        core.on_seen(first.seen(3.1), 3.1)
+        core.on_zone_report(first.seen(3.1), 3.1)
         self.assertEqual(take(core, ProbeTarget), [])
         told_by = self.make(mechanisms=off)
         self.silent_at(told_by)
--- a/endivepick/forwarding/tests/test_unreadable.py
+++ b/endivepick/forwarding/tests/test_unreadable.py
@@ -109,7 +109,7 @@
         self.feeder, self.fed = TargetRegistry(settings), TargetRegistry(settings)
         for registry in (self.feeder, self.fed):
             targets = [make_target(f"i-{n}", revision=n) for n in range(1, 4)]
-            registry.take_list(targets, 6, 0.0)
+            registry.apply_list(targets, 6, 0.0)
 
     def test_those_who_are_fed_believe_the_same(self):
         self.feeder.take_unreadable("i-2", 20, 1.0)
@@ -117,9 +117,9 @@
             news = self.feeder.news_since(-1 if whole else self.fed.revision)
             self.assertEqual(news.whole, whole)
             self.assertIn(RemovedTarget("i-2", 20, True), news.removed)
-            self.fed.take_news(news, 1.0)
+            self.fed.apply_news(news, 1.0)
             self.assertIs(self.fed.get("i-2").state, TargetState.UNREADABLE)
-            self.feeder.seen(30)
-        self.feeder.take_removal("i-2", 40, 2.0)
-        self.fed.take_news(self.feeder.news_since(self.fed.revision), 2.0)
+            self.feeder.advance_revision(30)
+        self.feeder.apply_removal("i-2", 40, 2.0)
+        self.fed.apply_news(self.feeder.news_since(self.fed.revision), 2.0)
         self.assertIs(self.fed.get("i-2").state, TargetState.GONE)
--- a/endivepick/forwarding/zone_report.py
+++ b/endivepick/forwarding/zone_report.py
@@ -2,7 +2,7 @@
 
 from endivepick.forwarding.belief import TargetBelief
 from endivepick.forwarding.comparison import ServiceSample, TargetSums
-from endivepick.forwarding.confirmation import TOLD_S, ZoneEvidence
+from endivepick.forwarding.fault_confirmation import REPORT_VALID_S, ZoneEvidence
 from endivepick.forwarding.fitness_reports import (
     FitnessReport,
     TargetCounts,
@@ -10,8 +10,8 @@
 )
 from endivepick.forwarding.model import RouteKind
 from endivepick.forwarding.registry import TargetRegistry
-from endivepick.forwarding.service_usual import ServiceUsual
-from endivepick.forwarding.usual import UsualRequests
+from endivepick.forwarding.request_baseline import UsualRequests
+from endivepick.forwarding.service_baselines import ServiceUsual
 
 __all__ = ["ZoneReport"]
 
@@ -53,7 +53,7 @@
 
     def of(self, belief: TargetBelief, now_s: float) -> TargetCounts | None:
         """Return what was reported of a target's incarnation, while it is valid."""
-        if now_s - self._taken_s > TOLD_S:
+        if now_s - self._taken_s > REPORT_VALID_S:
             return None
         for told in self._report.targets:
             if told.name == belief.name and told.born_ms == belief.target.born_ms:
--- a/endivepick/membership/_sync.py
+++ b/endivepick/membership/_anti_entropy.py
@@ -2,10 +2,10 @@
 
 from random import Random
 
-from endivepick.membership._departed import DepartedLog
+from endivepick.membership._handover_log import DepartedLog
 from endivepick.membership._member import BUCKET_COUNT, Member, bucket_of
+from endivepick.membership._member_table import MemberTable
 from endivepick.membership._outbox import Outbox
-from endivepick.membership._table import MemberTable
 from endivepick.membership.peer_messages import (
     UNASKED,
     HandedOver,
--- a/endivepick/membership/_questions.py
+++ b/endivepick/membership/_death_queries.py
@@ -1,7 +1,7 @@
 """Whether an incarnation that somebody asks about is dead."""
 
+from endivepick.membership._member_table import MemberTable
 from endivepick.membership._prober import Prober
-from endivepick.membership._table import MemberTable
 from endivepick.membership.settings import MembershipSettings
 
 _QUESTION_COUNT = 4096
--- a/endivepick/membership/_departed.py
+++ b/endivepick/membership/_handover_log.py
@@ -4,8 +4,8 @@
 
 from xxhash import xxh32_intdigest
 
+from endivepick.membership._gossip_queue import SpreadQueue
 from endivepick.membership._member import BUCKET_COUNT, bucket_of
-from endivepick.membership._spread import SpreadQueue
 from endivepick.membership.peer_messages import HandedOver
 from endivepick.membership.settings import MembershipSettings
 
@@ -85,7 +85,7 @@
         if len(self._entries) >= self._settings.departed_kept_count:
             self._remove(next(iter(self._entries)))
 
-    def successor_of(self, incarnation: int, service: str) -> tuple[str, int] | None:
+    def find_successor(self, incarnation: int, service: str) -> tuple[str, int] | None:
         """Return the last holder in the chain of hand-overs, or None.
 
         Two givers may have announced without knowing of each other, so the order
--- a/endivepick/membership/_table.py
+++ b/endivepick/membership/_member_table.py
@@ -4,13 +4,13 @@
 
 import msgspec
 
-from endivepick.membership._health import LocalHealth
-from endivepick.membership._losses import LossWatch
+from endivepick.membership._gossip_queue import SpreadQueue
+from endivepick.membership._local_health import LocalHealth
+from endivepick.membership._mass_loss import LossWatch
 from endivepick.membership._member import BUCKET_COUNT, Member, bucket_of
 from endivepick.membership._outbox import Outbox
-from endivepick.membership._own import OwnStatus
-from endivepick.membership._rings import WatchRings
-from endivepick.membership._spread import SpreadQueue
+from endivepick.membership._own_status import OwnStatus
+from endivepick.membership._probe_rings import WatchRings
 from endivepick.membership._suspicion import SuspicionTimers
 from endivepick.membership.actions import PeerChanged, Superseded
 from endivepick.membership.peer_messages import (
--- a/endivepick/membership/_prober.py
+++ b/endivepick/membership/_prober.py
@@ -4,11 +4,11 @@
 from dataclasses import dataclass
 from random import Random
 
-from endivepick.membership._answers import RecentAnswers
-from endivepick.membership._departed import DepartedLog
+from endivepick.membership._handover_log import DepartedLog
 from endivepick.membership._member import Member
+from endivepick.membership._member_table import MemberTable
 from endivepick.membership._outbox import Outbox
-from endivepick.membership._table import MemberTable
+from endivepick.membership._recent_answers import RecentAnswers
 from endivepick.membership.actions import PeerProbeAnsweredLate, PeerProbeFailed
 from endivepick.membership.peer_messages import (
     Ack,
--- a/endivepick/membership/_seeds.py
+++ b/endivepick/membership/_seed_contacts.py
@@ -2,8 +2,8 @@
 
 from random import Random
 
+from endivepick.membership._member_table import MemberTable
 from endivepick.membership._outbox import Outbox
-from endivepick.membership._table import MemberTable
 from endivepick.membership.peer_messages import SyncRequest
 from endivepick.membership.settings import MembershipSettings
 
--- a/endivepick/membership/_loop.py
+++ b/endivepick/membership/_simulated_fleet.py
@@ -66,7 +66,7 @@
             if name in self.nodes
         ]
         for name, node in self.nodes.items():
-            self.carry_out(name, node.on_list(self.now_s, entries, age_s))
+            self.carry_out(name, node.on_instance_list(self.now_s, entries, age_s))
 
     def carry_out(self, name: str, actions: list[Action]) -> None:
         """Record a node's actions and send its messages."""
--- a/endivepick/membership/_suspicion.py
+++ b/endivepick/membership/_suspicion.py
@@ -3,7 +3,7 @@
 from dataclasses import dataclass, field
 from math import ceil, log
 
-from endivepick.membership._losses import LossWatch
+from endivepick.membership._mass_loss import LossWatch
 from endivepick.membership._member import Member
 from endivepick.membership.settings import MembershipSettings
 
--- a/endivepick/membership/core.py
+++ b/endivepick/membership/core.py
@@ -2,14 +2,14 @@
 
 from collections.abc import Iterable, Mapping
 
-from endivepick.membership._departed import DepartedLog
+from endivepick.membership._anti_entropy import Synchroniser
+from endivepick.membership._death_queries import DeathQuestions
+from endivepick.membership._handover_log import DepartedLog
+from endivepick.membership._member_table import MemberTable
 from endivepick.membership._outbox import Outbox
-from endivepick.membership._own import OwnStatus
+from endivepick.membership._own_status import OwnStatus
 from endivepick.membership._prober import Prober
-from endivepick.membership._questions import DeathQuestions
-from endivepick.membership._seeds import Seeds
-from endivepick.membership._sync import Synchroniser
-from endivepick.membership._table import MemberTable
+from endivepick.membership._seed_contacts import Seeds
 from endivepick.membership.actions import Action, LeaveRequested
 from endivepick.membership.peer_messages import (
     UNASKED,
@@ -56,7 +56,7 @@
     >>> me = InstanceView("entry-1", "thamel", 11, "127.0.0.1:1", PeerState.ALIVE)
     >>> membership = Membership(MembershipSettings(), me, generation=1)
     >>> peers = [ListedInstance("entry-2", "thamel", "127.0.0.1:2")]
-    >>> changes = membership.on_list(0.0, peers)
+    >>> changes = membership.on_instance_list(0.0, peers)
     >>> [type(action).__name__ for action in membership.tick(0.0, 5)]
     ['Send', 'Send']
     >>> membership.live_names()
@@ -115,9 +115,9 @@
             return incarnation != self._own.incarnation
         return self._questions.is_dead(name, incarnation, self._now_s or 0.0)
 
-    def successor_of(self, incarnation: int, service: str) -> tuple[str, int] | None:
+    def find_successor(self, incarnation: int, service: str) -> tuple[str, int] | None:
         """Return name and incarnation that hold what an incarnation handed over."""
-        return self._departed.successor_of(incarnation, service)
+        return self._departed.find_successor(incarnation, service)
 
     # Events
 
@@ -148,7 +148,7 @@
             self._prune(now_s)
         return self._outbox.drain()
 
-    def on_list(
+    def on_instance_list(
         self, now_s: float, entries: Iterable[ListedInstance], age_s: float = 0.0
     ) -> list[Action]:
         """Take the platform's list of instances, which lags by ``age_s``."""
@@ -196,7 +196,7 @@
                 self._request_leave(message.incarnation == self._own.incarnation)
         return self._outbox.drain()
 
-    def direct_failure(self, now_s: float, name: str) -> list[Action]:
+    def on_send_failure(self, now_s: float, name: str) -> list[Action]:
         """Take evidence of a failed send: the peer is probed, and answered again."""
         self._enter(now_s)
         if name in self._table.members and name not in self._table.dead:
--- a/endivepick/membership/measure.py
+++ b/endivepick/membership/measure.py
@@ -15,8 +15,8 @@
 import fire
 import msgspec
 
-from endivepick.core.wire import Envelope, encode_envelope
-from endivepick.membership._loop import TICK_S, Loop
+from endivepick.core.peer_envelope import Envelope, encode_envelope
+from endivepick.membership._simulated_fleet import TICK_S, Loop
 from endivepick.membership.actions import Action, Send
 from endivepick.membership.core import Membership
 from endivepick.membership.measure_fleet import LINK_IDLE_S
@@ -85,7 +85,7 @@
     def fill(self) -> None:
         """Give the core its peers, as on join."""
         entries = [ListedInstance(u.name, u.zone, u.peer_address) for u in self.peers]
-        self.core.on_list(self.now_s, entries)
+        self.core.on_instance_list(self.now_s, entries)
         page = SyncPage(0, [], self.peers, [])
         self.core.on_message(self.now_s, self.names[0], 2, page)
 
--- a/endivepick/membership/measure_fleet.py
+++ b/endivepick/membership/measure_fleet.py
@@ -11,8 +11,8 @@
 import fire
 import msgspec
 
-from endivepick.core.wire import Envelope, encode_envelope
-from endivepick.membership._loop import Loop
+from endivepick.core.peer_envelope import Envelope, encode_envelope
+from endivepick.membership._simulated_fleet import Loop
 from endivepick.membership.actions import PeerChanged, Send
 from endivepick.membership.peer_messages import Ping, SyncPage
 from endivepick.membership.view import PeerState
--- a/endivepick/membership/tests/_fleet.py
+++ b/endivepick/membership/tests/_fleet.py
@@ -7,7 +7,7 @@
     PeerChanged,
     PeerState,
 )
-from endivepick.membership._loop import Loop
+from endivepick.membership._simulated_fleet import Loop
 from endivepick.membership.peer_messages import (
     Ack,
     HandedOver,
--- a/endivepick/membership/tests/test_answers.py
+++ b/endivepick/membership/tests/test_answers.py
@@ -1,6 +1,6 @@
 import unittest
 
-from endivepick.membership._answers import RecentAnswers
+from endivepick.membership._recent_answers import RecentAnswers
 
 
 class RecentAnswersTest(unittest.TestCase):
--- a/endivepick/membership/tests/test_detection.py
+++ b/endivepick/membership/tests/test_detection.py
@@ -14,7 +14,7 @@
     Send,
     core,
 )
-from endivepick.membership._loop import Loop
+from endivepick.membership._simulated_fleet import Loop
 from endivepick.membership.peer_messages import (
     Ack,
     Ping,
@@ -82,7 +82,7 @@
         loop.run(5)
         loop.kill("entry-4")
         node = loop.nodes["entry-0"]
-        loop.carry_out("entry-0", node.direct_failure(loop.now_s, "entry-4"))
+        loop.carry_out("entry-0", node.on_send_failure(loop.now_s, "entry-4"))
         loop.run(0.4)
         self.assertIs(node.view()["entry-4"].state, PeerState.SUSPECT)
 
@@ -96,7 +96,7 @@
             if first:
                 lost.add(receiver)
                 node = loop.nodes[sender]
-                loop.carry_out(sender, node.direct_failure(loop.now_s, receiver))
+                loop.carry_out(sender, node.on_send_failure(loop.now_s, receiver))
             return first
 
         before = count_of(loop, PeerChanged)
@@ -117,7 +117,7 @@
             def has_no_link(sender, receiver, up_s=link_is_up_s):
                 missing = sender == "entry-0" and loop.now_s < up_s
                 if missing:
-                    loop.carry_out(sender, node.direct_failure(loop.now_s, receiver))
+                    loop.carry_out(sender, node.on_send_failure(loop.now_s, receiver))
                 return missing
 
             loop.is_cut = has_no_link
@@ -181,7 +181,7 @@
             missing = loop.now_s < 0.6
             if missing:
                 node = loop.nodes[sender]
-                loop.carry_out(sender, node.direct_failure(loop.now_s, receiver))
+                loop.carry_out(sender, node.on_send_failure(loop.now_s, receiver))
             return missing
 
         loop.is_cut = has_no_link
--- a/endivepick/membership/tests/test_healing.py
+++ b/endivepick/membership/tests/test_healing.py
@@ -4,14 +4,14 @@
 from hypothesis import strategies as st
 
 from endivepick.core.chart import load_chart
-from endivepick.core.codec import decode_struct, encode_struct
+from endivepick.core.packet_codec import decode_struct, encode_struct
 from endivepick.membership import (
     ListedInstance,
     Membership,
     PeerState,
     Send,
 )
-from endivepick.membership._loop import Loop
+from endivepick.membership._simulated_fleet import Loop
 from endivepick.membership.peer_messages import (
     Ack,
     HandedOver,
@@ -62,10 +62,10 @@
         loop = Loop()
         node = loop.add("a", "thamel")
         ghost = ListedInstance("ghost", "thamel", "127.0.0.1:9")
-        loop.carry_out("a", node.on_list(0.0, [ghost]))
+        loop.carry_out("a", node.on_instance_list(0.0, [ghost]))
         self.assertIn("ghost", node.view())
         self.assertNotIn("ghost", node.live_names())
-        loop.carry_out("a", node.on_list(0.0, []))
+        loop.carry_out("a", node.on_instance_list(0.0, []))
         self.assertNotIn("ghost", node.view())
 
     @settings(derandomize=True, max_examples=200)
@@ -107,7 +107,7 @@
         node.on_message(loop.now_s, "entry-1", 1, SyncPage(0, [], [lost], [moved]))
         self.assertIs(node.view()["late"].state, PeerState.LEAVING)
         other = loop.nodes["entry-2"]
-        loop.run_until(lambda: other.successor_of(77, "notes") is not None, 40)
+        loop.run_until(lambda: other.find_successor(77, "notes") is not None, 40)
 
     def test_what_comes_in_pages_is_not_spread_again(self):
         loop = started(3)
--- a/endivepick/membership/tests/test_incarnations.py
+++ b/endivepick/membership/tests/test_incarnations.py
@@ -109,7 +109,7 @@
     def joining(self, incarnation):
         me = InstanceView("a", "z", incarnation, "", PeerState.ALIVE, ready=False)
         node = Membership(SETTINGS, me, generation=1)
-        node.on_list(0.0, [ListedInstance("b", "z", "127.0.0.1:1")])
+        node.on_instance_list(0.0, [ListedInstance("b", "z", "127.0.0.1:1")])
         return node
 
     def test_page_for_an_earlier_process_does_not_end_the_join(self):
--- a/endivepick/membership/tests/test_live_names.py
+++ b/endivepick/membership/tests/test_live_names.py
@@ -1,6 +1,6 @@
 import unittest
 
-from endivepick.membership._loop import Loop
+from endivepick.membership._simulated_fleet import Loop
 from endivepick.membership.view import PeerState
 
 SERVING = (PeerState.ALIVE, PeerState.SUSPECT)
--- a/endivepick/membership/tests/test_planned_stop.py
+++ b/endivepick/membership/tests/test_planned_stop.py
@@ -7,7 +7,7 @@
     PeerState,
     Send,
 )
-from endivepick.membership._loop import Loop
+from endivepick.membership._simulated_fleet import Loop
 from endivepick.membership.peer_messages import (
     LeaveWish,
 )
@@ -54,7 +54,7 @@
             for name, me in loop.me.items()
         ]
         for _ in range(2):
-            news = loop.nodes["entry-0"].on_list(loop.now_s, entries)
+            news = loop.nodes["entry-0"].on_instance_list(loop.now_s, entries)
             loop.carry_out("entry-0", news)
             loop.run(1)
         wishes = [
@@ -118,10 +118,10 @@
         first, last = loop.me["entry-0"], loop.me["entry-2"]
         for node in loop.nodes.values():
             self.assertEqual(
-                node.successor_of(first.incarnation, "notes"),
+                node.find_successor(first.incarnation, "notes"),
                 ("entry-2", last.incarnation),
             )
-            self.assertIsNone(node.successor_of(first.incarnation, "packs"))
+            self.assertIsNone(node.find_successor(first.incarnation, "packs"))
 
     def test_chain_of_givers_that_did_not_know_of_each_other(self):
         loop = started(3)
@@ -131,7 +131,7 @@
             loop.carry_out(giver, node.announce_hand_over("notes", taker, me[taker]))
         loop.run(5)
         for node in loop.nodes.values():
-            successor = node.successor_of(me["entry-0"], "notes")
+            successor = node.find_successor(me["entry-0"], "notes")
             self.assertEqual(successor, ("entry-2", me["entry-2"]))
 
     def test_farewell_tells_of_the_last_hand_over(self):
@@ -143,7 +143,7 @@
         loop.kill("entry-0")
         loop.run(3)
         for node in loop.nodes.values():
-            successor = node.successor_of(loop.me["entry-0"].incarnation, "notes")
+            successor = node.find_successor(loop.me["entry-0"].incarnation, "notes")
             self.assertEqual(successor, ("entry-1", taker.incarnation))
 
     def test_chain_that_comes_back_ends_at_its_last_holder(self):
@@ -153,7 +153,7 @@
         node = loop.nodes["entry-2"]
         me = loop.me["entry-0"]
         for name in ("entry-0", "entry-1"):
-            successor = node.successor_of(loop.me[name].incarnation, "notes")
+            successor = node.find_successor(loop.me[name].incarnation, "notes")
             self.assertEqual(successor, ("entry-0", me.incarnation))
 
     def test_hand_overs_are_forgotten_after_the_token_lifetime(self):
@@ -165,9 +165,9 @@
         loop.run(5)
         self.hand_over(loop, "a", "b")
         giver = loop.me["a"].incarnation
-        self.assertIsNotNone(loop.nodes["c"].successor_of(giver, "notes"))
+        self.assertIsNotNone(loop.nodes["c"].find_successor(giver, "notes"))
         loop.run(90)
-        self.assertIsNone(loop.nodes["c"].successor_of(giver, "notes"))
+        self.assertIsNone(loop.nodes["c"].find_successor(giver, "notes"))
 
 
 if __name__ == "__main__":
--- a/endivepick/membership/tests/test_rings.py
+++ b/endivepick/membership/tests/test_rings.py
@@ -2,7 +2,7 @@
 from collections import Counter
 
 from endivepick.membership import MembershipSettings, PeerState, Send
-from endivepick.membership._rings import WatchRings
+from endivepick.membership._probe_rings import WatchRings
 from endivepick.membership.measure_fleet import settled_fleet
 from endivepick.membership.peer_messages import Ping
 
--- a/endivepick/membership/tests/test_short_updates.py
+++ b/endivepick/membership/tests/test_short_updates.py
@@ -4,7 +4,7 @@
 import msgspec
 
 from endivepick.membership import MembershipSettings, PeerChanged, PeerState, Send
-from endivepick.membership._spread import SpreadQueue
+from endivepick.membership._gossip_queue import SpreadQueue
 from endivepick.membership.measure_fleet import settled_fleet
 from endivepick.membership.peer_messages import Ack, Liveness, Phase, Ping, ShortUpdate
 
--- a/endivepick/membership/view.py
+++ b/endivepick/membership/view.py
@@ -48,7 +48,7 @@
     ready: bool = True
 
     @property
-    def joining(self) -> bool:
+    def is_joining(self) -> bool:
         """Whether it was heard and will take roles once it is ready."""
         return bool(self.incarnation) and not self.ready and self.state in _PRESENT
 
--- a/endivepick/model/_caller.py
+++ b/endivepick/model/_caller.py
@@ -2,7 +2,6 @@
 
 from collections.abc import Iterator
 
-from endivepick.core.codec import encode_packet
 from endivepick.core.messages import (
     Acknowledge,
     AnswerPart,
@@ -13,6 +12,7 @@
     Reissued,
 )
 from endivepick.core.messages import Outcome as OutcomePacket
+from endivepick.core.packet_codec import encode_packet
 from endivepick.model._world import Bounds, Caller, Outcome, World, request
 
 __all__ = ["steps"]
--- a/endivepick/model/_change_mutants.py
+++ b/endivepick/model/_change_mutants.py
@@ -39,12 +39,12 @@
 class AcceptsOlderVersions(RouteTable):
     """A route table that accepts older versions."""
 
-    def take_in(self, configuration: Configuration, now_s: float) -> bool:
+    def apply_configuration(self, configuration: Configuration, now_s: float) -> bool:
         """Discard the version in force if it is newer."""
         before = self.configuration
         if before is not None and before.revision > configuration.revision:
             self.configuration = None
-        return super().take_in(configuration, now_s)
+        return super().apply_configuration(configuration, now_s)
 
 
 def _apply_to_any_version(
--- a/endivepick/model/_choices.py
+++ b/endivepick/model/_choices.py
@@ -85,7 +85,7 @@
         self.view = view
         self.was_consulted = False
 
-    def ready_names(self) -> tuple[str, ...]:
+    def eligible_names(self) -> tuple[str, ...]:
         """Return the name of the instance that opens flows."""
         return ((self.view.opener or self.me).name,)
 
@@ -103,7 +103,7 @@
         self.was_consulted = True
         return self.view.dead
 
-    def successor_of(self, incarnation: int, service: str) -> Identity | None:
+    def find_successor(self, incarnation: int, service: str) -> Identity | None:
         """Return the known successor, if any."""
         self.was_consulted = True
         return self.view.successor
--- a/endivepick/model/_config_node.py
+++ b/endivepick/model/_config_node.py
@@ -5,10 +5,10 @@
 from typing import Any
 
 from endivepick.model._freeze import freeze
-from endivepick.records._exchange import Exchange
-from endivepick.records._feeder import Feeder
+from endivepick.records._anti_entropy import AntiEntropyExchange
+from endivepick.records._feeder_selector import FeederSelector
 from endivepick.records._readiness import Readiness
-from endivepick.records._reports import Subscribers
+from endivepick.records._subscribers import Subscribers
 from endivepick.records.cache import RecordCache
 from endivepick.records.objects import SERVICE_KIND, StoredObject
 from endivepick.records.peer_messages import RecordsMessage
@@ -19,7 +19,7 @@
 NAME = "notes"
 NOW_S = 0.0
 SETTINGS = DisseminationSettings(ask_patience_s=1.0)
-_STATELESS_TYPES = (DisseminationSettings, Subscribers, Feeder)
+_STATELESS_TYPES = (DisseminationSettings, Subscribers, FeederSelector)
 
 
 @dataclass(frozen=True)
@@ -86,7 +86,9 @@
         self.cache = parts.cache(kinds=(SERVICE_KIND,), max_tombstones=0)
         self.readiness = parts.readiness(SETTINGS, name, incarnation)
         subscribers = Subscribers(SETTINGS)
-        self._exchange = Exchange(SETTINGS, self.cache, self.readiness, subscribers)
+        self._exchange = AntiEntropyExchange(
+            SETTINGS, self.cache, self.readiness, subscribers
+        )
 
     def frozen(self) -> Hashable:
         """Return a snapshot of everything that later behaviour depends on."""
@@ -102,7 +104,7 @@
 
     def handle(self, event: Event, peers: tuple[str, ...]) -> tuple[Any, ...]:
         """Handle one event and return the messages to the peer."""
-        self.readiness.ask(peers, (), NOW_S)
+        self.readiness.choose_peers_to_ask(peers, (), NOW_S)
         messages = self._dispatch_event(event)
         self.readiness.update(self.cache.revision, peers, NOW_S)
         return messages
@@ -112,7 +114,7 @@
             case Listed(revision=revision, objects=objects):
                 found = [build_stored_object(*one) for one in objects]
                 self.cache.offer_list(SERVICE_KIND, revision, found)
-                self.readiness.listed()
+                self.readiness.record_full_listing()
                 return ()
             case Watched(after=after, revision=revision, events=events):
                 for one in events:
@@ -122,4 +124,4 @@
             case SendDigest():
                 return (self._exchange.digest(reply=True),)
             case Received(sender=sender, message=message):
-                return self._exchange.take(sender, message, NOW_S).messages
+                return self._exchange.handle_message(sender, message, NOW_S).messages
--- a/endivepick/model/_description.py
+++ b/endivepick/model/_description.py
@@ -2,8 +2,8 @@
 
 from functools import cache
 
-from endivepick.core.codec import decode_caller_packet
 from endivepick.core.messages import Open
+from endivepick.core.packet_codec import decode_caller_packet
 from endivepick.core.token import FlowToken
 from endivepick.model._choices import View
 from endivepick.model._node import CODEC, NOW_S
--- a/endivepick/model/_events.py
+++ b/endivepick/model/_events.py
@@ -11,7 +11,6 @@
     SendToPeer,
     StartAttempt,
 )
-from endivepick.core.codec import encode_struct
 from endivepick.core.dispatch import FinishKind
 from endivepick.core.flow_table import Identity
 from endivepick.core.messages import (
@@ -21,6 +20,7 @@
     Refused,
     Reissued,
 )
+from endivepick.core.packet_codec import encode_struct
 from endivepick.model._choices import Placement, View
 
 __all__ = [
--- a/endivepick/model/_evidence_mutants.py
+++ b/endivepick/model/_evidence_mutants.py
@@ -15,14 +15,14 @@
     RouteKind,
     TargetBelief,
 )
-from endivepick.forwarding.evidence import EvidenceJudge
+from endivepick.forwarding.failure_detector import FailureDetector
 from endivepick.model.checker import Specification
 from endivepick.model.evidence import EvidenceBounds, evidence_specification
 
 __all__ = ["EVIDENCE_MUTATIONS", "EVIDENCE_SCENARIOS"]
 
 
-class TreatsSuspectAsDead(EvidenceJudge):
+class TreatsSuspectAsDead(FailureDetector):
     """A judge that treats a retransmission as the death of the target."""
 
     def suspect(
@@ -35,7 +35,7 @@
         return effects
 
 
-class TreatsSilenceAsDeath(EvidenceJudge):
+class TreatsSilenceAsDeath(FailureDetector):
     """A judge that treats silence as the death of the target."""
 
     def on_probe(
@@ -47,15 +47,15 @@
         return super().on_probe(belief, outcome, now_s)
 
 
-class TreatsRemovalAsDeath(EvidenceJudge):
+class TreatsRemovalAsDeath(FailureDetector):
     """A judge that treats the removal of an entry as the death of the target."""
 
-    def vanished(self, belief: TargetBelief, now_s: float) -> list[Effect]:
+    def on_entry_removed(self, belief: TargetBelief, now_s: float) -> list[Effect]:
         """Assume a refused probe."""
         return self.on_probe(belief, ProbeOutcome.REFUSED, now_s)
 
 
-class NeverReprobesDead(EvidenceJudge):
+class NeverReprobesDead(FailureDetector):
     """A judge that never probes a dead target again."""
 
     def retry_probes(self, now_s: float) -> list[Effect]:
@@ -67,7 +67,7 @@
         ]
 
 
-class NeverReprobesSilent(EvidenceJudge):
+class NeverReprobesSilent(FailureDetector):
     """A judge that never probes a silent target again."""
 
     def retry_probes(self, now_s: float) -> list[Effect]:
@@ -79,27 +79,27 @@
         ]
 
 
-class IgnoresRunningRequests(EvidenceJudge):
+class IgnoresRunningRequests(FailureDetector):
     """A judge that ignores requests in progress."""
 
-    def resets(self, belief: TargetBelief) -> list[Effect]:
+    def reset_flows(self, belief: TargetBelief) -> list[Effect]:
         """Treat all flows as idle."""
         for flow in self._flows.of_target(belief):
             flow.busy_since_s = None
-        return super().resets(belief)
+        return super().reset_flows(belief)
 
 
-class TreatsAllAsIdempotent(EvidenceJudge):
+class TreatsAllAsIdempotent(FailureDetector):
     """A judge that treats all requests as idempotent."""
 
-    def resets(self, belief: TargetBelief) -> list[Effect]:
+    def reset_flows(self, belief: TargetBelief) -> list[Effect]:
         """Replace the kind of all flows."""
         for flow in self._flows.of_target(belief):
             flow.kind = RouteKind.IDEMPOTENT
-        return super().resets(belief)
+        return super().reset_flows(belief)
 
 
-class AssumesAlternative(EvidenceJudge):
+class AssumesAlternative(FailureDetector):
     """A judge that assumes that another target is always available."""
 
     def has_alternative(self, belief: TargetBelief) -> bool:
@@ -107,23 +107,23 @@
         return True
 
 
-class KeepsFlowsOfDead(EvidenceJudge):
+class KeepsFlowsOfDead(FailureDetector):
     """A judge that keeps the flows of a dead target."""
 
-    def resets(self, belief: TargetBelief) -> list[Effect]:
+    def reset_flows(self, belief: TargetBelief) -> list[Effect]:
         """Reset no flows of a dead target."""
         if belief.reachability is Reachability.DEAD:
             return []
-        return super().resets(belief)
+        return super().reset_flows(belief)
 
 
-class ResetsDrainingTargets(EvidenceJudge):
+class ResetsDrainingTargets(FailureDetector):
     """A judge that treats a refusal by a draining target as its death."""
 
-    def resets(self, belief: TargetBelief) -> list[Effect]:
+    def reset_flows(self, belief: TargetBelief) -> list[Effect]:
         """Reset all flows of a target that refuses connections."""
         if belief.reachability is not Reachability.DEAD:
-            return super().resets(belief)
+            return super().reset_flows(belief)
         reason = ResetReason.TARGET_DEAD
         return [
             Reset(flow.key, flow.acknowledged, reason, belief.name)
@@ -131,7 +131,7 @@
         ]
 
 
-class ResetsAfterEveryProbe(EvidenceJudge):
+class ResetsAfterEveryProbe(FailureDetector):
     """A judge that resets the flows of a target after every probe."""
 
     def on_probe(
@@ -146,7 +146,7 @@
 
 
 def _probes_target_that_is(
-    judge: EvidenceJudge, effect: Effect, reachability: Reachability
+    judge: FailureDetector, effect: Effect, reachability: Reachability
 ) -> bool:
     match effect:
         case ProbeTarget(target):
@@ -160,9 +160,11 @@
     return lambda name: evidence_specification(name, bounds)
 
 
-def _with_judge(mutant: type[EvidenceJudge]) -> Callable[[ForwardingCore], None]:
+def _with_judge(mutant: type[FailureDetector]) -> Callable[[ForwardingCore], None]:
     def mutate(core: ForwardingCore) -> None:
-        core._judge = mutant(core.settings, core.registry, core.flows, core.routes)
+        core._failure_detector = mutant(
+            core.settings, core.registry, core.flows, core.routes
+        )
 
     return mutate
 
@@ -178,7 +180,7 @@
 
 _NO_ALTERNATIVE = EvidenceBounds(steps=1, with_alternative=False)
 _REMOVED = EvidenceBounds(steps=1, removal=True)
-_MUTANTS: dict[str, tuple[type[EvidenceJudge], EvidenceBounds]] = {
+_MUTANTS: dict[str, tuple[type[FailureDetector], EvidenceBounds]] = {
     "a suspected target is treated as dead": (TreatsSuspectAsDead, EvidenceBounds()),
     "a silent target is treated as dead": (TreatsSilenceAsDeath, EvidenceBounds()),
     "a removed target is treated as dead": (TreatsRemovalAsDeath, _REMOVED),
--- a/endivepick/model/_flow_effects.py
+++ b/endivepick/model/_flow_effects.py
@@ -116,7 +116,7 @@
             return world
         successions = {
             (node.me, successor)
-            for successor in node.giver.finished_services().values()
+            for successor in node.giver.handed_over_services().values()
         }
         if successions <= world.successions:
             return world
--- a/endivepick/model/_flow_mutants.py
+++ b/endivepick/model/_flow_mutants.py
@@ -8,14 +8,14 @@
 from endivepick.core.executor import RequestExecutor
 from endivepick.core.flow import OwnedFlow
 from endivepick.core.flow_table import FlowTable, Identity
-from endivepick.core.handover import HandOverGiver
-from endivepick.core.handover_taker import HandOverTaker
+from endivepick.core.handover_destination import HandOverDestination
+from endivepick.core.handover_source import HandOverSource
 from endivepick.core.messages import CallerAddress, Refused
 from endivepick.core.peer_messages import HandOver
-from endivepick.core.relay import Holder, Relay, Whereabouts
+from endivepick.core.relay import FlowLocation, Holder, Relay
+from endivepick.core.replay_window import ReplayWindow, WindowSnapshot
 from endivepick.core.router import PacketRouter
 from endivepick.core.token import FlowToken
-from endivepick.core.window import ReplayWindow, WindowSnapshot
 from endivepick.model._forgetful import EagerExpiryTable
 
 __all__ = [
@@ -39,7 +39,7 @@
 class RefusingRelay(Relay):
     """A relay that reports "not run" when it cannot reach the owner."""
 
-    def say_unreachable(
+    def reply_unreachable(
         self, token: FlowToken, holder: Identity, seq: int, caller: CallerAddress
     ) -> list[Action]:
         """Refuse the request on behalf of the owner."""
@@ -50,7 +50,7 @@
 class NameOnlyRelay(Relay):
     """A relay that identifies owners by name and ignores the incarnation."""
 
-    def locate(self, token: FlowToken) -> Whereabouts:
+    def locate(self, token: FlowToken) -> FlowLocation:
         """Treat every token with this instance's name as owned here."""
         if token.owner == self._me.name:
             return Holder(self._me)
@@ -114,7 +114,7 @@
 
 
 @dataclass(slots=True)
-class UnfreezingGiver(HandOverGiver):
+class UnfreezingGiver(HandOverSource):
     """A giver that once resumes flows whose hand-over is unanswered."""
 
     has_unfrozen: bool = False
@@ -123,7 +123,7 @@
         """Abandon the open transfers and run their requests."""
         frozen = [flow for flow in self.table if flow.frozen]
         if self.has_unfrozen or not frozen:
-            return HandOverGiver.tick(self, now_s)
+            return HandOverSource.tick(self, now_s)
         self.has_unfrozen = True
         self._transfers.clear()
         actions: list[Action] = []
@@ -140,10 +140,10 @@
         return actions
 
 
-class SecondSuccessorGiver(HandOverGiver):
+class SecondSuccessorGiver(HandOverSource):
     """A giver that sends to another successor if the first does not answer."""
 
-    def _send_again(self, now_s: float) -> list[Action]:
+    def _retransmit_unanswered(self, now_s: float) -> list[Action]:
         transfers = list(self._transfers.values())
         if len(transfers) != 1:
             return []
@@ -154,19 +154,19 @@
         return self._send(flows, successor, now_s)
 
 
-class CancellingGiver(HandOverGiver):
+class CancellingGiver(HandOverSource):
     """A giver that does not wait for requests in progress."""
 
-    def _give_service(self, service: str, now_s: float) -> list[Action]:
+    def _send_service_flows(self, service: str, now_s: float) -> list[Action]:
         actions: list[Action] = []
         for flow in self.table:
             for request in list(flow.requests.values()):
                 if request.in_progress:
                     actions += self.executor.cancel(flow, request, now_s)
-        return actions + super()._give_service(service, now_s)
+        return actions + super()._send_service_flows(service, now_s)
 
 
-class EmptyWindowTaker(HandOverTaker):
+class EmptyWindowTaker(HandOverDestination):
     """A taker that restores flows without their replay windows."""
 
     def _restore(self, message: HandOver, now_s: float) -> list[OwnedFlow]:
@@ -178,10 +178,10 @@
         return super()._restore(emptied, now_s)
 
 
-class DuplicateAcceptingTaker(HandOverTaker):
+class DuplicateAcceptingTaker(HandOverDestination):
     """A taker that accepts a duplicate of a hand-over again."""
 
-    def take(
+    def receive_transfer(
         self, sender: Identity, message: HandOver, leaving: bool, now_s: float
     ) -> tuple[list[OwnedFlow], list[Action]]:
         """Remove the flows held here and accept the duplicate."""
@@ -189,17 +189,17 @@
         for flow in message.flows:
             self.table._flows.pop(flow.binding, None)
             self.table._successors.pop(flow.binding, None)
-        return super().take(sender, message, leaving, now_s)
+        return super().receive_transfer(sender, message, leaving, now_s)
 
 
-class AnyIncarnationTaker(HandOverTaker):
+class AnyIncarnationTaker(HandOverDestination):
     """A taker that accepts flows sent to an earlier process of the same name."""
 
-    def take(
+    def receive_transfer(
         self, sender: Identity, message: HandOver, leaving: bool, now_s: float
     ) -> tuple[list[OwnedFlow], list[Action]]:
         """Accept any flows."""
         mine = msgspec.structs.replace(
             message, successor_incarnation=self.table.me.incarnation
         )
-        return super().take(sender, mine, leaving, now_s)
+        return super().receive_transfer(sender, mine, leaving, now_s)
--- a/endivepick/model/_forgetful.py
+++ b/endivepick/model/_forgetful.py
@@ -19,7 +19,7 @@
             flow
             for flow in self
             if not flow.frozen
-            and not any(one.at_dispatcher for one in flow.requests.values())
+            and not any(one.is_at_dispatcher for one in flow.requests.values())
         ]
         for flow in dropped:
             self._remove(flow.binding)
--- a/endivepick/model/_node.py
+++ b/endivepick/model/_node.py
@@ -12,18 +12,18 @@
     Action,
     SendToCaller,
 )
-from endivepick.core.codec import decode_caller_packet, decode_struct
 from endivepick.core.dispatch import FinishKind
 from endivepick.core.events import AttemptAnswered, AttemptFailed
 from endivepick.core.executor import RequestExecutor
+from endivepick.core.flow_owner import FlowOwner
 from endivepick.core.flow_table import FlowTable, Identity
-from endivepick.core.handover import HandOverGiver
-from endivepick.core.handover_taker import HandOverTaker
+from endivepick.core.handover_destination import HandOverDestination
+from endivepick.core.handover_source import HandOverSource
 from endivepick.core.keyring import first_keyring
 from endivepick.core.messages import (
     Opened,
 )
-from endivepick.core.owner import FlowOwner
+from endivepick.core.packet_codec import decode_caller_packet, decode_struct
 from endivepick.core.peer_messages import HandOver, HandOverAccepted, HandOverRefused
 from endivepick.core.relay import Relay
 from endivepick.core.router import PacketRouter
@@ -63,8 +63,8 @@
     executor: Callable[..., RequestExecutor] = RequestExecutor
     relay: Callable[..., Relay] = Relay
     router: Callable[..., PacketRouter] = PacketRouter
-    giver: Callable[..., HandOverGiver] = HandOverGiver
-    taker: Callable[..., HandOverTaker] = HandOverTaker
+    giver: Callable[..., HandOverSource] = HandOverSource
+    taker: Callable[..., HandOverDestination] = HandOverDestination
 
 
 @dataclass
@@ -167,7 +167,7 @@
             case PlaceQueued(request_id=request_id, placement=placement):
                 self.dispatcher.set_placement(placement)
                 decisions = self.dispatcher.place_queued(request_id)
-                return self._executor.carry_out(decisions, NOW_S)
+                return self._executor.apply_decisions(decisions, NOW_S)
             case BeginStop():
                 self.owner.begin_leaving(NOW_S, 0.0)
                 return []
@@ -181,7 +181,7 @@
                 return self._peer(event)
             case StopDeadline(successor=successor):
                 self._hand_over.successor = successor
-                return self.giver.cut()
+                return self.giver.abort_running()
             case ExpireFlows():
                 self.table.expire(AFTER_EXPIRY_S)
                 return []
@@ -203,7 +203,9 @@
         match message:
             case HandOver():
                 leaving = self.owner.leaving
-                flows, actions = self._taker.take(event.sender, message, leaving, NOW_S)
+                flows, actions = self._taker.receive_transfer(
+                    event.sender, message, leaving, NOW_S
+                )
                 reissued = [self.owner.reissue(flow, NOW_S) for flow in flows]
                 return reissued + actions
             case HandOverAccepted(transfer_id=transfer_id):
--- a/endivepick/model/_other_scenarios.py
+++ b/endivepick/model/_other_scenarios.py
@@ -68,9 +68,11 @@
 class AnyDigestReadiness(Readiness):
     """A readiness check that accepts any digest as the reply to its question."""
 
-    def heard(self, name: str, digest: ConfigDigest) -> None:
+    def record_digest(self, name: str, digest: ConfigDigest) -> None:
         """Ignore which question the digest replies to."""
-        super().heard(name, msgspec.structs.replace(digest, answered=self.question))
+        super().record_digest(
+            name, msgspec.structs.replace(digest, answered=self.question)
+        )
 
 
 class AllIdempotentDispatcher(ServiceDispatcher):
--- a/endivepick/model/_placement_node.py
+++ b/endivepick/model/_placement_node.py
@@ -4,7 +4,6 @@
 from dataclasses import dataclass
 
 from endivepick.core.actions import Action, RequestId
-from endivepick.core.codec import encode_struct
 from endivepick.core.dispatch import (
     DispatchSettings,
     FinishKind,
@@ -14,9 +13,10 @@
 )
 from endivepick.core.events import AttemptAnswered, AttemptFailed
 from endivepick.core.executor import RequestExecutor
+from endivepick.core.flow_owner import FlowOwner
 from endivepick.core.flow_table import FlowTable, Identity
 from endivepick.core.messages import RequestHead, RequestPart
-from endivepick.core.owner import FlowOwner
+from endivepick.core.packet_codec import encode_struct
 from endivepick.core.settings import FlowSettings
 from endivepick.core.token import TokenCodec
 from endivepick.model._freeze import freeze
@@ -122,7 +122,7 @@
             case Probed(target=target, service=service, incarnation=incarnation):
                 outcome = ProbeResult(TargetHealth.READY, service, incarnation)
                 decisions = self._dispatcher.on_probe(target, NOW_S, outcome)
-                return self._executor.carry_out(decisions, NOW_S)
+                return self._executor.apply_decisions(decisions, NOW_S)
             case Finished(kind=FinishKind.OK):
                 answer = AttemptAnswered(
                     event.request_id, event.attempt, 200, [], b"", 0.0
--- a/endivepick/model/_registry_mutants.py
+++ b/endivepick/model/_registry_mutants.py
@@ -58,7 +58,7 @@
 class KeepsHistoryAcrossLists(TargetRegistry):
     """A registry that assumes that a list shows all earlier changes."""
 
-    def take_list(
+    def apply_list(
         self,
         targets: Iterable[Target],
         revision: int,
@@ -66,22 +66,22 @@
         unreadable: Iterable[str] = (),
     ) -> list[BeliefChange]:
         """Ignore that entries may have been added and removed before the list."""
-        before = self.told_from
-        changes = super().take_list(targets, revision, now_s, unreadable)
-        self.told_from = before
+        before = self.oldest_delta_revision
+        changes = super().apply_list(targets, revision, now_s, unreadable)
+        self.oldest_delta_revision = before
         return changes
 
 
 class IgnoresUnseenEntries(TargetRegistry):
     """A registry that ignores entries added and removed between two responses."""
 
-    def take_removal(
+    def apply_removal(
         self, name: str, revision: int, now_s: float
     ) -> list[BeliefChange]:
         """Ignore the removal of an unknown entry."""
-        before = self.told_from
-        changes = super().take_removal(name, revision, now_s)
-        self.told_from = before
+        before = self.oldest_delta_revision
+        changes = super().apply_removal(name, revision, now_s)
+        self.oldest_delta_revision = before
         return changes
 
 
@@ -89,15 +89,15 @@
     """A registry that does not record that it removed targets."""
 
     def _forget(self, belief: TargetBelief) -> None:
-        before = self.told_from
+        before = self.oldest_delta_revision
         super()._forget(belief)
-        self.told_from = before
+        self.oldest_delta_revision = before
 
 
 class AcceptsStaleLists(TargetRegistry):
     """A registry that accepts stale lists."""
 
-    def take_list(
+    def apply_list(
         self,
         targets: Iterable[Target],
         revision: int,
@@ -106,38 +106,38 @@
     ) -> list[BeliefChange]:
         """Revert to the revision of the list."""
         self.revision = min(self.revision, revision)
-        return super().take_list(targets, revision, now_s, unreadable)
+        return super().apply_list(targets, revision, now_s, unreadable)
 
 
 class AcceptsStaleNews(TargetRegistry):
     """A registry that accepts stale answers of other instances."""
 
-    def take_news(self, news: RegistryNews, now_s: float) -> list[BeliefChange]:
+    def apply_news(self, news: RegistryNews, now_s: float) -> list[BeliefChange]:
         """Revert to a revision before that of the answer."""
         self.revision = min(self.revision, news.revision - 1)
-        return super().take_news(news, now_s)
+        return super().apply_news(news, now_s)
 
 
 class AcceptsStaleUnknownEntries(TargetRegistry):
     """A registry that treats any unknown entry as new, whatever its revision."""
 
-    def take_entry(self, target: Target, now_s: float) -> list[BeliefChange]:
+    def apply_entry(self, target: Target, now_s: float) -> list[BeliefChange]:
         """Compare only with the known entry."""
         self.revision = max(self.revision, target.revision)
-        return self._take(target, now_s)
+        return self._apply_entry(target, now_s)
 
 
 class AcceptsStaleRemovals(TargetRegistry):
     """A registry that accepts a removal older than the entry."""
 
-    def take_removal(
+    def apply_removal(
         self, name: str, revision: int, now_s: float
     ) -> list[BeliefChange]:
         """Discard the revision of the entry."""
         belief = self.get(name)
         if belief is not None:
             belief.revision = 0
-        return super().take_removal(name, revision, now_s)
+        return super().apply_removal(name, revision, now_s)
 
 
 class OmitsStartTimes(TargetRegistry):
@@ -153,18 +153,18 @@
 class IgnoresStartTimes(TargetRegistry):
     """A registry that identifies a target by its name and ignores its start time."""
 
-    def _take(self, target: Target, now_s: float) -> list[BeliefChange]:
-        return super()._take(replace(target, born_ms=0), now_s)
+    def _apply_entry(self, target: Target, now_s: float) -> list[BeliefChange]:
+        return super()._apply_entry(replace(target, born_ms=0), now_s)
 
 
 class AcceptsStaleEntries(TargetRegistry):
     """A registry that accepts stale writes of an entry."""
 
-    def _take(self, target: Target, now_s: float) -> list[BeliefChange]:
+    def _apply_entry(self, target: Target, now_s: float) -> list[BeliefChange]:
         belief = self.get(target.name)
         if belief is not None:
             belief.revision = 0
-        return super()._take(target, now_s)
+        return super()._apply_entry(target, now_s)
 
 
 def _registry(bounds: RegistryBounds) -> Callable[[str], Specification]:
--- a/endivepick/model/_restart_mutants.py
+++ b/endivepick/model/_restart_mutants.py
@@ -14,7 +14,7 @@
     Target,
 )
 from endivepick.forwarding.belief import TargetRestart
-from endivepick.forwarding.evidence import EvidenceJudge
+from endivepick.forwarding.failure_detector import FailureDetector
 from endivepick.model.checker import Specification
 from endivepick.model.restarts import RestartBounds, restart_specification
 
@@ -62,10 +62,12 @@
         return float("-inf")
 
 
-class ResetsAllFlowsJudge(EvidenceJudge):
+class ResetsAllFlowsJudge(FailureDetector):
     """A judge that resets all flows to the name of a restarted target."""
 
-    def restarted(self, restart: TargetRestart, began_s: float) -> list[Effect]:
+    def reset_former_incarnation(
+        self, restart: TargetRestart, began_s: float
+    ) -> list[Effect]:
         """Ignore when the flows were opened."""
         name, reason = restart.before.name, ResetReason.TARGET_RESTARTED
         return [
@@ -82,7 +84,7 @@
         judge = ResetsAllFlowsJudge(
             self.settings, self.registry, self.flows, self.routes
         )
-        self._judge = judge
+        self._failure_detector = judge
         super().on_target(target, now_s)
 
 
--- a/endivepick/model/_world.py
+++ b/endivepick/model/_world.py
@@ -5,9 +5,9 @@
 from typing import NamedTuple
 
 from endivepick.core.actions import RequestId
-from endivepick.core.codec import encode_packet, encode_struct
 from endivepick.core.flow_table import Identity
 from endivepick.core.messages import InstancePacket, RequestHead, RequestPart
+from endivepick.core.packet_codec import encode_packet, encode_struct
 from endivepick.model._choices import Placement
 from endivepick.model._events import ToPeer
 from endivepick.model._node import Parts
--- a/endivepick/model/key_rotation.py
+++ b/endivepick/model/key_rotation.py
@@ -310,7 +310,7 @@
 
 
 def _holds(snapshot: KeyringSnapshot, key_id: int) -> bool:
-    return _keyring(snapshot).holds(key_id)
+    return _keyring(snapshot).has_key(key_id)
 
 
 def _accept(world: KeyWorld, keyring: Keyring) -> KeyWorld:
--- a/endivepick/model/registry.py
+++ b/endivepick/model/registry.py
@@ -227,10 +227,10 @@
             name = self._bounds.history[change - 1].name
             entry = self._entry(change)
             if entry is None:
-                node.take_removal(name, change, 0.0)
+                node.apply_removal(name, change, 0.0)
             else:
-                node.take_entry(entry, 0.0)
-        node.seen(revision)
+                node.apply_entry(entry, 0.0)
+        node.advance_revision(revision)
 
     def matches_store(self, world: RegistryWorld) -> bool:
         """Tell whether each registry matches the store at its revision."""
@@ -261,11 +261,11 @@
 
 
 def _take_list(listed: list[Target], revision: int, node: TargetRegistry) -> None:
-    node.take_list(listed, revision, 0.0)
+    node.apply_list(listed, revision, 0.0)
 
 
 def _take_feeder_answer(answer: FeederAnswer, node: TargetRegistry) -> None:
     news = RegistryNews(
         list(answer.targets), list(answer.removed), answer.whole, answer.revision
     )
-    node.take_news(news, 0.0)
+    node.apply_news(news, 0.0)
--- a/endivepick/model/told_changes.py
+++ b/endivepick/model/told_changes.py
@@ -206,4 +206,4 @@
 
 
 def _accept_configuration(configuration: Configuration, node: RouteTable) -> None:
-    node.take_in(configuration, 0.0)
+    node.apply_configuration(configuration, 0.0)
--- a/endivepick/platform/_http.py
+++ b/endivepick/platform/_http.py
@@ -39,10 +39,10 @@
         limit_s = self._settings.call_timeout_s + wait_s
         # An answer that drips in must not hold the task for ever.
         limits = CallLimits(
-            begin_s=limit_s,
-            pause_s=limit_s,
+            first_byte_s=limit_s,
+            read_s=limit_s,
             connect_s=self._settings.connect_timeout_s,
-            whole_s=limit_s,
+            total_s=limit_s,
         )
         return self._pool.call(StoreCall(method, _path(path, query), data), limits)
 
--- a/endivepick/platform/answers.py
+++ b/endivepick/platform/answers.py
@@ -14,7 +14,7 @@
     "ObjectList",
     "WatchResult",
     "read_conflict",
-    "read_instances",
+    "decode_instances",
     "read_list",
     "read_object",
     "read_watch",
@@ -129,7 +129,7 @@
     return WatchResult(after, answer.revision, events)
 
 
-def read_instances(data: bytes) -> InstanceList:
+def decode_instances(data: bytes) -> InstanceList:
     """Read the instance list; PlatformAnswerError if it is malformed."""
     return _decode(data, InstanceList)
 
--- a/endivepick/platform/client.py
+++ b/endivepick/platform/client.py
@@ -18,8 +18,8 @@
     InstanceList,
     ObjectList,
     WatchResult,
+    decode_instances,
     read_conflict,
-    read_instances,
     read_list,
     read_object,
     read_watch,
@@ -86,7 +86,7 @@
 
     def instances(self) -> Result[InstanceList, ReadError]:
         """Read the lagging list of instances."""
-        return _read(self._http.call("GET", ["instances"]), read_instances)
+        return _read(self._http.call("GET", ["instances"]), decode_instances)
 
     def watch(
         self, kinds: Iterable[str], after: int, wait_s: float | None = None
--- a/endivepick/platform/tests/test_client.py
+++ b/endivepick/platform/tests/test_client.py
@@ -23,7 +23,7 @@
 from endivepick.platform.settings import PlatformSettings
 from endivepick.platform.watcher import Watcher, WatchFailed
 from endivepick.records.cache import RecordCache
-from standins.platformcontrol import PlatformHandle
+from standins.platform_handle import PlatformHandle
 from standins.process import ChildProcess, wait_until
 
 RACERS = 6
--- a/endivepick/platform/writes.py
+++ b/endivepick/platform/writes.py
@@ -17,7 +17,7 @@
 from endivepick.platform._http import HttpCaller
 from endivepick.platform.answers import WatchResult, read_conflict, read_object
 from endivepick.platform.settings import PlatformSettings
-from endivepick.records.difference import body_differences
+from endivepick.records.difference import compare_bodies
 from endivepick.records.objects import StoredObject
 from endivepick.store import (
     Answer,
@@ -190,7 +190,7 @@
 def _conflict(write: ConditionalWrite, current: StoredObject | None) -> WriteResult:
     if current is not None and write.made(current):
         return Success(current)
-    differences = body_differences(write.base, current.body if current else None)
+    differences = compare_bodies(write.base, current.body if current else None)
     changed = "; ".join(map(str, differences)) or "nothing but its version"
     now = f"version {current.version}" if current else "deleted"
     return Failure(
--- a/endivepick/records/__init__.py
+++ b/endivepick/records/__init__.py
@@ -1,7 +1,7 @@
 """Service records: schemas, validation, conversion and the monotonic cache."""
 
 from endivepick.records.cache import CACHED_KINDS, CacheDigest, Change, RecordCache
-from endivepick.records.difference import FieldDifference, body_differences
+from endivepick.records.difference import FieldDifference, compare_bodies
 from endivepick.records.model import Affinity, ServiceRecord, TargetRecord
 from endivepick.records.objects import (
     INSTANCE_KIND,
@@ -39,7 +39,7 @@
     "ServiceRecord",
     "StoredObject",
     "TargetRecord",
-    "body_differences",
+    "compare_bodies",
     "parse_service",
     "write_service",
 ]
--- a/endivepick/records/_exchange.py
+++ b/endivepick/records/_anti_entropy.py
@@ -4,10 +4,10 @@
 from typing import Any
 
 from endivepick.records._readiness import Readiness
-from endivepick.records._reports import Subscribers
+from endivepick.records._subscribers import Subscribers
 from endivepick.records._transfer import (
     Received,
-    Transfers,
+    TransferReceiver,
     build_delta,
     build_inventory,
 )
@@ -40,7 +40,7 @@
     changes: tuple[Change, ...] = ()
 
 
-class Exchange:
+class AntiEntropyExchange:
     """Keeps the cache equal to those of the peers that send messages.
 
     Parameters
@@ -66,7 +66,7 @@
         self._cache = cache
         self._readiness = readiness
         self._subscribers = subscribers
-        self._transfers = Transfers(cache)
+        self._transfers = TransferReceiver(cache)
 
     def forget(self, name: str) -> None:
         """Forget what was begun with a peer that is gone."""
@@ -104,7 +104,7 @@
             case ConfigDelta():
                 return _answers(self._transfers.take_delta(sender, message))
             case ConfigInventory():
-                return _answers(self._transfers.take_inventory(message))
+                return _answers(self._transfers.handle_inventory(message))
         return Answers()
 
     def _take_digest(
--- a/endivepick/records/_feeder.py
+++ b/endivepick/records/_feeder_selector.py
@@ -8,7 +8,7 @@
 """How long a silent feeder is passed over, in lengths of silence."""
 
 
-class Feeder:
+class FeederSelector:
     """The first choice that is not silent.
 
     Parameters
--- a/endivepick/records/_readiness.py
+++ b/endivepick/records/_readiness.py
@@ -42,11 +42,11 @@
         self._listed = False
         self.ready = False
 
-    def listed(self) -> None:
+    def record_full_listing(self) -> None:
         """Take note that the platform listed its whole configuration."""
         self._listed = True
 
-    def heard(self, name: str, digest: ConfigDigest) -> None:
+    def record_digest(self, name: str, digest: ConfigDigest) -> None:
         """Take note of a peer's digest."""
         if self.ready:
             return
@@ -62,7 +62,7 @@
         else:
             self._serving.discard(name)
 
-    def ask(
+    def choose_peers_to_ask(
         self, zone_peers: Iterable[str], others: Iterable[str], now_s: float
     ) -> list[str]:
         """Return the peers to ask now."""
--- a/endivepick/records/_status_body.py
+++ b/endivepick/records/_status_body.py
@@ -27,7 +27,7 @@
 
 
 @dataclass(frozen=True)
-class ShownRows:
+class RowSelection:
     """Which instances have a row in an object.
 
     Attributes
@@ -71,7 +71,7 @@
     report: SubtreeReport
     members: Collection[str]
     states: Mapping[str, str]
-    shown: ShownRows = ShownRows()
+    shown: RowSelection = RowSelection()
     all_refusals: bool = True
 
     @property
--- a/endivepick/records/_transfer.py
+++ b/endivepick/records/_transfer.py
@@ -113,7 +113,7 @@
     return ConfigInventory(digest.root, digest.revision, tuple(covered), tuple(keys))
 
 
-class Transfers:
+class TransferReceiver:
     """Takes deltas and inventories, and says what to ask next.
 
     Parameters
@@ -141,7 +141,7 @@
         self.forget(sender)
         return Received(changes, self._finish(delta, whole))
 
-    def take_inventory(self, inventory: ConfigInventory) -> Received:
+    def handle_inventory(self, inventory: ConfigInventory) -> Received:
         """Delete what a peer lacks although it would know it."""
         keys = [ObjectKey(kind, name) for kind, name in inventory.keys]
         changes = self._cache.offer_inventory(
--- a/endivepick/records/book.py
+++ b/endivepick/records/active_records.py
@@ -13,7 +13,7 @@
 from endivepick.records.schema import parse_service
 
 __all__ = [
-    "ServiceBook",
+    "ActiveRecords",
     "ServiceChange",
     "ServiceChanged",
     "ServiceRefused",
@@ -60,7 +60,7 @@
 ServiceChange = ServiceChanged | ServiceRemoved | ServiceRefused
 
 
-class ServiceBook:
+class ActiveRecords:
     """Turns accepted changes into records in force.
 
     A version that this program cannot read, because it is invalid or its schema
@@ -69,7 +69,7 @@
 
     Examples
     --------
-    >>> book = ServiceBook()
+    >>> book = ActiveRecords()
     >>> stored = StoredObject("service", "notes", 3, {"schema_version": 9})
     >>> [change.refused.in_force for change in book.apply([Change(None, stored)])]
     [0]
--- a/endivepick/records/cost.py
+++ b/endivepick/records/cost.py
@@ -14,10 +14,10 @@
 
 import msgspec
 
-from endivepick.core.codec import encode_struct
+from endivepick.core.packet_codec import encode_struct
 from endivepick.membership.view import InstanceView, PeerState
 from endivepick.records._status_body import (
-    ShownRows,
+    RowSelection,
     StatusNews,
     StatusView,
     merge_status,
@@ -32,11 +32,11 @@
     SubtreeReport,
     TargetStatus,
 )
-from endivepick.records.roles import ZoneRoles, hash_names, zone_roles
+from endivepick.records.roles import ZoneRoles, compute_zone_roles, hash_names
 from endivepick.records.settings import DisseminationSettings, StatusSettings
 from endivepick.records.status_groups import group_count
 
-__all__ = ["Fleet", "SpreadCost", "main", "spread_costs"]
+__all__ = ["Fleet", "DisseminationCost", "main", "estimate_dissemination_costs"]
 
 ENVELOPE_BYTES = 40
 """Sender, incarnation, clock and tag around a message (assumed)."""
@@ -72,7 +72,7 @@
 
 
 @dataclass(frozen=True)
-class SpreadCost:
+class DisseminationCost:
     """Cost of one way to spread records.
 
     Attributes
@@ -87,7 +87,7 @@
         Messages in a row from the platform to the last instance.
     """
 
-    way: str
+    strategy: str
     platform_calls_per_s: float
     leaf_bytes_per_s: float
     busiest_bytes_per_s: float
@@ -142,7 +142,9 @@
     return len(encode_struct(push)) + ENVELOPE_BYTES + TRANSPORT_BYTES
 
 
-def spread_costs(fleet: Fleet, settings: DisseminationSettings) -> list[SpreadCost]:
+def estimate_dissemination_costs(
+    fleet: Fleet, settings: DisseminationSettings
+) -> list[DisseminationCost]:
     """Work out the cost of each way for a fleet."""
     digest = digest_bytes() / settings.digest_interval_s
     push = push_bytes(fleet.targets) * fleet.changes_per_s
@@ -155,29 +157,31 @@
     all_fed = max(0, zone - watchers) / watchers
     some_calls = fleet.zones * watchers * watch
     return [
-        SpreadCost("every instance watches", fleet.instances * watch, push, push, 1),
-        SpreadCost(
+        DisseminationCost(
+            "every instance watches", fleet.instances * watch, push, push, 1
+        ),
+        DisseminationCost(
             "watchers feed their zone",
             some_calls,
             2 * digest + push,
             links * 2 * digest + all_fed * (2 * digest + push) + push,
             2,
         ),
-        SpreadCost(
+        DisseminationCost(
             "watchers feed tiers (chosen)",
             some_calls,
             2 * digest + push,
             links * 2 * digest + fan_out * (2 * digest + push) + push,
             2 + _tiers(zone, watchers, settings.fan_out),
         ),
-        SpreadCost(
+        DisseminationCost(
             "gossip of digests only",
             some_calls,
             4 * digest + 2 * push,
             4 * digest + 2 * push,
             ceil(log(fleet.instances, 2) + log(fleet.instances)),
         ),
-        SpreadCost(
+        DisseminationCost(
             "gossip of rumours",
             some_calls,
             4 * digest + 2 * rumours * push,
@@ -209,13 +213,13 @@
         name: InstanceStatus("ready", 1.7e9, (1, 2), _owned(name, owned, fleet.targets))
         for name in of_group
     }
-    shown = ShownRows((), names, groups) if groups else ShownRows()
+    shown = RowSelection((), names, groups) if groups else RowSelection()
     zone = StatusView(records, report, names, {}, shown)
     news = StatusNews({} if groups else parts)
     zone_bytes = len(msgspec.json.encode(merge_status("kagoshima", {}, zone, news)))
     if not groups:
         return 1, zone_bytes, 0
-    group = StatusView((), report, names, {}, ShownRows(of_group, group=1))
+    group = StatusView((), report, names, {}, RowSelection(of_group, group=1))
     body = merge_status("kagoshima", {}, group, StatusNews(parts))
     return 1 + groups, zone_bytes, len(msgspec.json.encode(body))
 
@@ -264,7 +268,7 @@
         for n in range(instances)
     ]
     start_s = time.perf_counter()
-    roles = zone_roles("zone-0", members, settings)
+    roles = compute_zone_roles("zone-0", members, settings)
     took_s = time.perf_counter() - start_s
     fed = [name for name in roles.ranked if name not in roles.watchers]
     feeders = Counter(roles.feeders(name, settings)[0] for name in fed)
@@ -276,7 +280,7 @@
 ) -> tuple[ZoneRoles, dict[str, str]]:
     """Return the roles of a zone, and whom each instance subscribes to."""
     members = [InstanceView(name, "zone", 1, "", PeerState.ALIVE) for name in names]
-    roles = zone_roles("zone", members, settings)
+    roles = compute_zone_roles("zone", members, settings)
     fed = [name for name in roles.ranked if name not in roles.watchers]
     return roles, {name: roles.feeders(name, settings)[0] for name in fed}
 
@@ -369,9 +373,9 @@
         print(f"{fleet.name}: {fleet.changes_per_s:.5f} changes/s")
         objects, zone, group = status_bytes(fleet)
         print(f"  status of a zone: {objects} objects, {zone} B and {group} B a group")
-        for cost in spread_costs(fleet, settings):
+        for cost in estimate_dissemination_costs(fleet, settings):
             print(
-                f"  {cost.way:30} {cost.platform_calls_per_s:9.2f} calls/s"
+                f"  {cost.strategy:30} {cost.platform_calls_per_s:9.2f} calls/s"
                 f" {cost.leaf_bytes_per_s:8.0f} B/s {cost.busiest_bytes_per_s:9.0f}"
                 f" B/s busiest {cost.hops:3} hops"
             )
--- a/endivepick/records/difference.py
+++ b/endivepick/records/difference.py
@@ -4,7 +4,7 @@
 from dataclasses import dataclass
 from typing import Any
 
-__all__ = ["FieldDifference", "body_differences"]
+__all__ = ["FieldDifference", "compare_bodies"]
 
 
 @dataclass(frozen=True)
@@ -28,7 +28,7 @@
         return f"{self.field}: {self.before!r} -> {self.after!r}"
 
 
-def body_differences(
+def compare_bodies(
     before: Mapping[str, Any] | None, after: Mapping[str, Any] | None
 ) -> tuple[FieldDifference, ...]:
     """Compare two bodies field by field.
@@ -47,7 +47,7 @@
     --------
     >>> before = {"targets": [{"name": "a", "slots": 2}], "write_id": "x"}
     >>> after = {"targets": [{"name": "a", "slots": 3}], "write_id": "y"}
-    >>> print(*body_differences(before, after))
+    >>> print(*compare_bodies(before, after))
     targets.a.slots: 2 -> 3
     """
     old = dict(_leaves("", before or {}))
--- a/endivepick/records/dissemination.py
+++ b/endivepick/records/dissemination.py
@@ -11,10 +11,10 @@
 from endivepick.core.events import PeerMessage
 from endivepick.membership.view import InstanceView, PeerState
 from endivepick.platform.answers import ObjectList, WatchResult
-from endivepick.records._exchange import Exchange
-from endivepick.records._feeder import Feeder
+from endivepick.records._anti_entropy import AntiEntropyExchange
+from endivepick.records._feeder_selector import FeederSelector
 from endivepick.records._readiness import Readiness
-from endivepick.records._reports import Subscribers, own_report
+from endivepick.records._subscribers import Subscribers, own_report
 from endivepick.records._transfer import (
     build_push,
 )
@@ -37,7 +37,7 @@
     RefusedRecord,
     SubtreeReport,
 )
-from endivepick.records.roles import ZoneRoles, watchers_elsewhere, zone_roles
+from endivepick.records.roles import ZoneRoles, compute_zone_roles, watchers_elsewhere
 from endivepick.records.settings import DisseminationSettings
 
 __all__ = ["Dissemination"]
@@ -72,12 +72,14 @@
         self._cache = cache
         self._readiness = Readiness(settings, name, incarnation)
         self._subscribers = Subscribers(settings)
-        self._exchange = Exchange(settings, cache, self._readiness, self._subscribers)
+        self._exchange = AntiEntropyExchange(
+            settings, cache, self._readiness, self._subscribers
+        )
         self._peers: dict[str, InstanceView] = {}
         self._own_state = PeerState.ALIVE
-        self._roles = zone_roles(zone, [self._view()], settings)
+        self._roles = compute_zone_roles(zone, [self._view()], settings)
         self._refused: tuple[RefusedRecord, ...] = ()
-        self._feeder = Feeder(settings)
+        self._feeder = FeederSelector(settings)
         self._feeders: list[str] | None = None
         self._watching = False
         self._platform_failed = False
@@ -161,8 +163,8 @@
             case MembersChanged(peers, own_state):
                 self._own_state = own_state
                 self._take_members(peers, now_s)
-            case ListReceived(listed):
-                return self._take_list(listed)
+            case ListReceived(record_full_listing):
+                return self._take_list(record_full_listing)
             case WatchReceived(result):
                 return self._take_watch(result)
             case PlatformFailed():
@@ -174,11 +176,15 @@
                 return self._take_message(event, now_s)
         return ()
 
-    def _take_list(self, listed: ObjectList) -> tuple[Change, ...]:
+    def _take_list(self, record_full_listing: ObjectList) -> tuple[Change, ...]:
         self._platform_failed = False
-        changes = self._cache.offer_list(listed.kind, listed.revision, listed.objects)
-        if listed.kind == self._cache.kinds[-1]:
-            self._readiness.listed()
+        changes = self._cache.offer_list(
+            record_full_listing.kind,
+            record_full_listing.revision,
+            record_full_listing.objects,
+        )
+        if record_full_listing.kind == self._cache.kinds[-1]:
+            self._readiness.record_full_listing()
         return tuple(changes)
 
     def _take_watch(self, result: WatchResult) -> tuple[Change, ...]:
@@ -188,7 +194,7 @@
         return tuple(change for change in offered if change is not None)
 
     def _take_message(self, event: PeerMessage, now_s: float) -> tuple[Change, ...]:
-        answers = self._exchange.take(event.sender, event.message, now_s)
+        answers = self._exchange.handle_message(event.sender, event.message, now_s)
         for message in answers.messages:
             self._send(event.sender, message)
         return answers.changes
@@ -212,7 +218,7 @@
             self._exchange.forget(name)
         self._peers = {peer.name: peer for peer in peers if peer.name != self._name}
         members = [self._view(), *self._peers.values()]
-        self._roles = zone_roles(self._zone, members, self._settings)
+        self._roles = compute_zone_roles(self._zone, members, self._settings)
         self._feeders = None
         # A new feeder is told at once.
         self._digest_due_s = min(self._digest_due_s, now_s)
@@ -248,7 +254,7 @@
         reachable = self._reachable()
         zone_peers = [n for n in reachable if self._peers[n].zone == self._zone]
         others = [n for n in reachable if self._peers[n].zone != self._zone]
-        return self._readiness.ask(zone_peers, others, now_s)
+        return self._readiness.choose_peers_to_ask(zone_peers, others, now_s)
 
     def _exchange_as_watcher(self) -> None:
         writer = self._roles.status_writer
--- a/endivepick/records/roles.py
+++ b/endivepick/records/roles.py
@@ -14,7 +14,7 @@
 from endivepick.membership.view import InstanceView, PeerState
 from endivepick.records.settings import DisseminationSettings
 
-__all__ = ["ZoneRoles", "hash_names", "watchers_elsewhere", "zone_roles"]
+__all__ = ["ZoneRoles", "hash_names", "watchers_elsewhere", "compute_zone_roles"]
 
 
 @dataclass(frozen=True)
@@ -114,7 +114,7 @@
     return dealt
 
 
-def zone_roles(
+def compute_zone_roles(
     zone: str, members: Iterable[InstanceView], settings: DisseminationSettings
 ) -> ZoneRoles:
     """Work out the roles in a zone.
@@ -181,7 +181,7 @@
     chosen = []
     for step in range(turn * count, (turn + 1) * count):
         lap, index = divmod(step, len(zones))
-        watchers = zone_roles(zones[index], peers, settings).watchers
+        watchers = compute_zone_roles(zones[index], peers, settings).watchers
         if watchers:
             chosen.append(watchers[lap % len(watchers)])
     return chosen
--- a/endivepick/records/status.py
+++ b/endivepick/records/status.py
@@ -13,7 +13,7 @@
 from endivepick.records._status_body import (
     READY_STATE,
     RECORD_ROWS,
-    ShownRows,
+    RowSelection,
     StatusNews,
     StatusView,
     floor_of,
@@ -27,7 +27,7 @@
 __all__ = [
     "READY_STATE",
     "ReadStatus",
-    "ShownRows",
+    "RowSelection",
     "StatusAction",
     "StatusView",
     "StatusWriter",
@@ -41,14 +41,14 @@
 
 @dataclass(frozen=True)
 class ReadStatus:
-    """Read the status object, then call ``was_read``."""
+    """Read the status object, then call ``on_read``."""
 
     name: str
 
 
 @dataclass(frozen=True)
 class WriteStatus:
-    """Write the status object, then call ``was_written`` or ``failed``.
+    """Write the status object, then call ``on_written`` or ``failed``.
 
     Attributes
     ----------
@@ -106,7 +106,7 @@
         self._due_s = 0.0
         self._read_s = 0.0
 
-    def note(self, sender: str, part: InstanceStatus, now_s: float) -> None:
+    def record_part(self, sender: str, part: InstanceStatus, now_s: float) -> None:
         """Take an instance's part of the status."""
         if sender not in self._parts:
             # Who does not write never comes to ``step``.
@@ -175,19 +175,19 @@
             if record.version <= floor:
                 self._earlier[record.name] = record.version
 
-    def resign(self) -> None:
+    def invalidate(self) -> None:
         """Forget the object: another instance writes now."""
         self._known = False
 
-    def was_read(self, stored: StoredObject | None) -> None:
+    def on_read(self, stored: StoredObject | None) -> None:
         """Take the present object, or None if there is none."""
         self._busy = False
         self._known = True
         self._base = stored
 
-    def was_written(self, stored: StoredObject) -> None:
+    def on_written(self, stored: StoredObject) -> None:
         """Take the version that the write made."""
-        self.was_read(stored)
+        self.on_read(stored)
 
     def failed(self, now_s: float, wait_s: float) -> None:
         """Take note that a call failed, by conflict or otherwise: read again.
--- a/endivepick/records/status_groups.py
+++ b/endivepick/records/status_groups.py
@@ -12,10 +12,16 @@
 from math import ceil
 
 from endivepick.core.rendezvous import owner
-from endivepick.records._status_body import ShownRows
+from endivepick.records._status_body import RowSelection
 from endivepick.records.roles import ZoneRoles
 
-__all__ = ["StatusGroup", "group_count", "group_number", "shown_rows", "status_group"]
+__all__ = [
+    "StatusGroup",
+    "group_count",
+    "compute_group_number",
+    "select_rows",
+    "find_status_group",
+]
 
 GROUPS_AT_FULL_RATE = 4
 """Groups of a zone that write as often as a zone without groups."""
@@ -60,7 +66,7 @@
 
 
 @lru_cache(maxsize=16_384)
-def group_number(name: str, groups: int) -> int:
+def compute_group_number(name: str, groups: int) -> int:
     """Return the group of an instance; one more group moves few instances."""
     return int(owner(f"status:{name}", _numbers(groups)) or 0)
 
@@ -70,7 +76,7 @@
     return tuple(str(number) for number in range(1, groups + 1))
 
 
-def status_group(
+def find_status_group(
     name: str, zone: str, roles: ZoneRoles, size: int
 ) -> StatusGroup | None:
     """Work out the group of an instance, or None in a zone without groups.
@@ -88,7 +94,7 @@
     groups = group_count(len(everyone), size)
     if groups == 0:
         return None
-    number = group_number(name, groups)
+    number = compute_group_number(name, groups)
     able = _of_group(number, groups, roles.ranked)
     members = frozenset(able) | frozenset(_of_group(number, groups, roles.others))
     # The order of the ranked spreads writers away from the zone's own roles.
@@ -97,16 +103,16 @@
 
 
 def _of_group(number: int, groups: int, names: Iterable[str]) -> list[str]:
-    return [name for name in names if group_number(name, groups) == number]
+    return [name for name in names if compute_group_number(name, groups) == number]
 
 
-def shown_rows(
+def select_rows(
     name: str,
     members: Collection[str],
     group: StatusGroup | None,
     writes_zone: bool,
     of_group: bool,
-) -> ShownRows:
+) -> RowSelection:
     """Choose the rows of the zone's object, or of the group's.
 
     An instance of an earlier build, or one that sees other groups, sends its part to
@@ -126,10 +132,10 @@
         Whether the rows are for the object of its group.
     """
     if group is None:
-        return ShownRows()
+        return RowSelection()
     own = group.members.intersection(members)
     if of_group:
         reporting = frozenset() if writes_zone else frozenset(members) - own
-        return ShownRows(own, reporting, group=group.number)
+        return RowSelection(own, reporting, group=group.number)
     elsewhere = own if group.writer == name else frozenset()
-    return ShownRows(frozenset(), frozenset(members) - elsewhere, group.groups)
+    return RowSelection(frozenset(), frozenset(members) - elsewhere, group.groups)
--- a/endivepick/records/tests/network.py
+++ b/endivepick/records/tests/simulated_network.py
@@ -4,8 +4,8 @@
 from collections import deque
 
 from endivepick.core.actions import SendToPeer
-from endivepick.core.codec import decode_struct, encode_struct
 from endivepick.core.events import PeerMessage
+from endivepick.core.packet_codec import decode_struct, encode_struct
 from endivepick.membership.view import InstanceView, PeerState
 from endivepick.platform.answers import ObjectList, WatchResult
 from endivepick.records.cache import CACHED_KINDS, RecordCache
--- a/endivepick/records/tests/test_book.py
+++ b/endivepick/records/tests/test_active_records.py
@@ -1,7 +1,7 @@
 import unittest
 
-from endivepick.records.book import (
-    ServiceBook,
+from endivepick.records.active_records import (
+    ActiveRecords,
     ServiceChanged,
     ServiceRefused,
     ServiceRemoved,
@@ -14,7 +14,7 @@
 class TestServiceBook(unittest.TestCase):
     def setUp(self):
         self.cache = RecordCache()
-        self.book = ServiceBook()
+        self.book = ActiveRecords()
 
     def offer(self, version, body):
         change = self.cache.offer(StoredObject("service", "leave", version, body))
--- a/endivepick/records/tests/test_dissemination.py
+++ b/endivepick/records/tests/test_dissemination.py
@@ -14,7 +14,7 @@
 from endivepick.records.peer_messages import ConfigDelta, ConfigDigest
 from endivepick.records.roles import hash_names
 from endivepick.records.settings import DisseminationSettings
-from endivepick.records.tests.network import Network
+from endivepick.records.tests.simulated_network import Network
 
 HARADA = {"fukuoka": 3, "kumamoto": 3, "kagoshima": 2}
 SECONDS_ALLOWED = 5.0
--- a/endivepick/records/tests/test_roles.py
+++ b/endivepick/records/tests/test_roles.py
@@ -4,7 +4,7 @@
 
 from endivepick.core.rendezvous import rank
 from endivepick.membership.view import InstanceView, PeerState
-from endivepick.records.roles import zone_roles
+from endivepick.records.roles import compute_zone_roles
 from endivepick.records.settings import DisseminationSettings
 
 ZONE = "thamel"
@@ -16,7 +16,7 @@
     states |= dict.fromkeys(suspects, PeerState.SUSPECT)
     states |= dict.fromkeys(leaving, PeerState.LEAVING)
     views = [InstanceView(name, ZONE, 1, "", state) for name, state in states.items()]
-    return zone_roles(ZONE, views, SETTINGS)
+    return compute_zone_roles(ZONE, views, SETTINGS)
 
 
 def first_choices(roles):
--- a/endivepick/records/tests/test_status.py
+++ b/endivepick/records/tests/test_status.py
@@ -44,10 +44,10 @@
     def write(self, shown):
         action = self.step(shown)
         if isinstance(action, ReadStatus):
-            self.writer.was_read(None)
+            self.writer.on_read(None)
             action = self.step(shown)
         self.assertIsInstance(action, WriteStatus)
-        self.writer.was_written(self.store(action.body))
+        self.writer.on_written(self.store(action.body))
         return action.body["records"]["leave"]
 
     def test_in_force_only_once_every_instance_reported_it(self):
@@ -71,7 +71,7 @@
         self.write(view(5, 5))
         self.assertIsNone(self.step(view(5, 6)))
         self.assertIsNotNone(self.writer.step(view(6, 6), self.now_s + 2.0, 0.5))
-        self.writer.was_written(self.store({}))
+        self.writer.on_written(self.store({}))
         self.assertIsNone(self.writer.step(view(7, 7), self.now_s + 2.1, 0.5))
 
     def test_fields_of_a_newer_writer_stay(self):
@@ -81,7 +81,7 @@
             "weather": "fair",
             "records": {"leave": {"in_force": 3, "since_s": 12}},
         }
-        self.writer.was_read(self.store(newer))
+        self.writer.on_read(self.store(newer))
         action = self.step(view(5, 5))
         self.assertEqual(action.if_version, 1)
         self.assertEqual(action.body["schema_version"], 2)
@@ -99,12 +99,12 @@
     def test_parts_of_instances_are_joined_and_expire(self):
         target = TargetStatus("leave", "t1", "ready", 1, 0, 3)
         part = InstanceStatus("serving", 100.0, (1, 2), (target,))
-        self.writer.note("a", part, self.now_s)
+        self.writer.record_part("a", part, self.now_s)
         self.step(view(5, 5))
-        self.writer.was_read(None)
+        self.writer.on_read(None)
         body = self.step(view(5, 5)).body
         self.assertEqual(body["instances"]["a"]["state"], "serving")
         self.assertEqual(body["targets"]["leave/t1"]["owner"], "a")
-        self.writer.was_written(self.store(body))
+        self.writer.on_written(self.store(body))
         self.now_s += 60.0
         self.assertEqual(self.step(view(5, 5)).body["targets"], {})
--- a/endivepick/records/tests/test_status_bounds.py
+++ b/endivepick/records/tests/test_status_bounds.py
@@ -5,7 +5,7 @@
 from endivepick.records._status_body import (
     RECORD_ROWS,
     TARGET_ROWS,
-    ShownRows,
+    RowSelection,
     StatusNews,
     StatusView,
     merge_status,
@@ -38,7 +38,7 @@
     ]
     revision = BASE_VERSION + MANY - 1 if revision is None else revision
     report = SubtreeReport(revision, len(reporting), hash_names(reporting), refused)
-    shown = ShownRows((), MEMBERS, 19)
+    shown = RowSelection((), MEMBERS, 19)
     return StatusView(records, report, MEMBERS, {}, shown, all_refusals)
 
 
@@ -51,9 +51,9 @@
     def test_changed_record_shows_the_version_that_is_in_force(self):
         writer = StatusWriter(StatusSettings(), "thamel")
         writer.step(view(), 0.0, 0.5)
-        writer.was_read(None)
+        writer.on_read(None)
         first = writer.step(view(), 10.0, 0.5)
-        writer.was_written(StoredObject("status", "thamel", 1, first.body))
+        writer.on_written(StoredObject("status", "thamel", 1, first.body))
         body = writer.step(view(changed=2), 20.0, 0.5).body
         self.assertEqual(sorted(body["records"]), ["service-0", "service-1"])
         row = body["records"]["service-1"]
@@ -121,7 +121,7 @@
         self.assertEqual(sorted(body["instances"]), ["entry-3"])
 
     def test_object_of_a_group_keeps_fields_of_a_newer_build(self):
-        shown = ShownRows(("entry-3",), group=4)
+        shown = RowSelection(("entry-3",), group=4)
         base = {
             "schema_version": 9,
             "weather": "fair",
@@ -149,14 +149,14 @@
                 for n in range(100)
             )
             part = InstanceStatus("ready", 1.0, (2,), targets)
-            writer.note("a", part, float(second))
+            writer.record_part("a", part, float(second))
             action = writer.step(shown, float(second), 0.5)
             if isinstance(action, ReadStatus):
-                writer.was_read(None)
+                writer.on_read(None)
             elif action is not None:
                 sizes.append(len(msgspec.json.encode(action.body)))
                 stored = StoredObject("status", "thamel", second, action.body)
-                writer.was_written(stored)
+                writer.on_written(stored)
         self.assertGreater(len(sizes), 10)
         self.assertLessEqual(sum(sizes[:-1]), 300 * settings.write_bytes_per_s)
 
--- a/endivepick/records/tests/test_transfer.py
+++ b/endivepick/records/tests/test_transfer.py
@@ -4,7 +4,7 @@
 from endivepick.core.events import PeerMessage
 from endivepick.membership.view import InstanceView, PeerState
 from endivepick.platform.answers import ObjectList
-from endivepick.records._transfer import Transfers, build_delta, build_push
+from endivepick.records._transfer import TransferReceiver, build_delta, build_push
 from endivepick.records.cache import CACHED_KINDS, RecordCache
 from endivepick.records.dissemination import Dissemination
 from endivepick.records.events import ListReceived, MembersChanged, Tick
@@ -36,7 +36,7 @@
 class TestTransfers(unittest.TestCase):
     def test_part_above_the_senders_revision_claims_nothing(self):
         sender, receiver = cache_at(5, put("a", 4)), RecordCache()
-        transfers = Transfers(receiver)
+        transfers = TransferReceiver(receiver)
         sender.offer(put("late", 30))
         sender.offer(put("later", 40))
         request = ConfigRequest(0, 0)
@@ -58,7 +58,7 @@
         # Between 3 and 9 an object came and went that only this peer saw come.
         behind = cache_at(6, put("a", 3), put("gone", 5))
         delta = build_delta(agreed, ConfigRequest(6, 6), 1000)
-        received = Transfers(behind).take_delta("peer", delta)
+        received = TransferReceiver(behind).take_delta("peer", delta)
         self.assertEqual(behind.revision, 6)
         self.assertIsInstance(received.answer, InventoryRequest)
 
@@ -67,7 +67,7 @@
         sender.offer(put("lost", 9))
         sender.offer(put("b", 11))
         sender.advance(5, 12)
-        Transfers(receiver).take_delta("peer", build_push(sender, 5, 1000))
+        TransferReceiver(receiver).take_delta("peer", build_push(sender, 5, 1000))
         self.assertEqual(receiver.revision, 12)
         self.assertIsNotNone(receiver.get("service", "lost"))
 
@@ -78,7 +78,7 @@
             receiver = RecordCache()
             broken = ConfigObject("service", "a", 4, body)
             sent = ConfigDelta(0, 0, 0, 4, True, delta.root, 5, (broken,))
-            Transfers(receiver).take_delta("peer", sent)
+            TransferReceiver(receiver).take_delta("peer", sent)
             self.assertEqual(receiver.revision, 0)
 
 
--- a/endivepick/settings/_coordination_models.py
+++ b/endivepick/settings/_coordination_models.py
@@ -3,7 +3,7 @@
 from pydantic import Field
 
 from endivepick.settings import model
-from endivepick.settings._border import Group, RemoteAddresses
+from endivepick.settings._base import Group, RemoteAddresses
 
 __all__ = ["KeyModel", "MembershipModel", "RecordsModel", "StatusModel"]
 
--- a/endivepick/settings/_flow_models.py
+++ b/endivepick/settings/_flow_models.py
@@ -3,7 +3,7 @@
 from pydantic import Field
 
 from endivepick.settings import model
-from endivepick.settings._border import Group
+from endivepick.settings._base import Group
 
 __all__ = ["DispatchModel", "FlowModel"]
 
--- a/endivepick/settings/_process_models.py
+++ b/endivepick/settings/_process_models.py
@@ -3,7 +3,7 @@
 from pydantic import Field
 
 from endivepick.settings import model
-from endivepick.settings._border import (
+from endivepick.settings._base import (
     Group,
     ListenAddress,
     OptionalAddress,
--- a/endivepick/settings/reader.py
+++ b/endivepick/settings/reader.py
@@ -12,7 +12,7 @@
 
 from endivepick.errors import SettingsInvalidError
 from endivepick.settings import model
-from endivepick.settings._combinations import combination_faults
+from endivepick.settings._conflicts import combination_faults
 from endivepick.settings._positions import KeyPath, key_positions
 from endivepick.settings.schema import SettingsModel
 
--- a/endivepick/settings/schema.py
+++ b/endivepick/settings/schema.py
@@ -2,7 +2,7 @@
 
 from pydantic import Field
 
-from endivepick.settings._border import Group
+from endivepick.settings._base import Group
 from endivepick.settings._coordination_models import (
     KeyModel,
     MembershipModel,
--- a/endivepick/store/connection.py
+++ b/endivepick/store/connection.py
@@ -68,15 +68,15 @@
     pause_s : float
         Between two pieces of the answer, in seconds.
     connect_s : float or None
-        To connect, in seconds; None: within ``begin_s`` only.
+        To connect, in seconds; None: within ``first_byte_s`` only.
     whole_s : float or None
         For the whole call, in seconds; None: no further limit.
     """
 
-    begin_s: float
-    pause_s: float = READ_TIMEOUT_S
+    first_byte_s: float
+    read_s: float = READ_TIMEOUT_S
     connect_s: float | None = None
-    whole_s: float | None = None
+    total_s: float | None = None
 
 
 class _Reader:
@@ -209,7 +209,7 @@
             How long it may take.
         """
         try:
-            with gevent.Timeout(limits.whole_s):
+            with gevent.Timeout(limits.total_s):
                 return self._call(call, limits)
         except (OSError, gevent.Timeout, httptools.HttpParserError) as error:
             self.close()
@@ -221,7 +221,7 @@
 
     def _call(self, call: StoreCall, limits: CallLimits) -> CallOutcome:
         reader = _Reader()
-        with gevent.Timeout(limits.begin_s):
+        with gevent.Timeout(limits.first_byte_s):
             if self._asked is not None:
                 self._socket = _adopt(self._asked)
                 self._asked = None
@@ -233,7 +233,7 @@
                 connection.sendall(self._encode(call))
             self._read_into(reader)
         while not reader.complete:
-            with gevent.Timeout(limits.pause_s):
+            with gevent.Timeout(limits.read_s):
                 self._read_into(reader)
         if not reader.kept:
             self.close()
--- a/endivepick/store/tests/test_connection.py
+++ b/endivepick/store/tests/test_connection.py
@@ -192,7 +192,7 @@
                 gevent.sleep(0.01)
 
         pool = self.pool(self.serve(drip))
-        limits = CallLimits(TIMEOUT_S, whole_s=0.1)
+        limits = CallLimits(TIMEOUT_S, total_s=0.1)
         self.assertIsInstance(pool.call(StoreCall("GET", "/"), limits), AnswerLost)
 
     def test_unreachable_store_got_nothing(self):
--- a/endivepick/tests/compatibility/_kinds.py
+++ b/endivepick/tests/compatibility/_message_families.py
@@ -7,26 +7,26 @@
 
 import msgspec
 
-from endivepick.core.codec import (
-    decode_caller_packet,
-    decode_instance_packet,
-    decode_struct,
-    encode_packet,
-    encode_struct,
-)
 from endivepick.core.messages import (
     AnswerHead,
     CallerPacket,
     InstancePacket,
     RequestHead,
 )
-from endivepick.core.token import FlowToken, TokenCodec
-from endivepick.core.wire import (
+from endivepick.core.packet_codec import (
+    decode_caller_packet,
+    decode_instance_packet,
+    decode_struct,
+    encode_packet,
+    encode_struct,
+)
+from endivepick.core.peer_envelope import (
     AnyPeerMessage,
     Envelope,
     decode_envelope,
     encode_envelope,
 )
+from endivepick.core.token import FlowToken, TokenCodec
 
 CLOCK = 2**60
 NOW_S = 0.0
--- a/endivepick/tests/compatibility/generate.py
+++ b/endivepick/tests/compatibility/generate.py
@@ -8,7 +8,7 @@
 import json
 from pathlib import Path
 
-from endivepick.tests.compatibility._kinds import WIRES, example, named
+from endivepick.tests.compatibility._message_families import WIRES, example, named
 
 FOLDER = Path(__file__).parent / "samples"
 
--- a/endivepick/tests/compatibility/test_wire.py
+++ b/endivepick/tests/compatibility/test_wire.py
@@ -1,13 +1,18 @@
 import unittest
 
-from endivepick.core.wire import UNKNOWN_KIND
+from endivepick.core.peer_envelope import UNKNOWN_KIND
 from endivepick.errors import PacketInvalidError, TokenInvalidError
 from endivepick.membership.peer_messages import Liveness, Phase
-from endivepick.records._transfer import Transfers, build_inventory
+from endivepick.records._transfer import TransferReceiver, build_inventory
 from endivepick.records.cache import CACHED_KINDS, RecordCache
 from endivepick.records.objects import StoredObject
 from endivepick.records.peer_messages import InventoryRequest
-from endivepick.tests.compatibility._kinds import WIRES, as_lists, example, named
+from endivepick.tests.compatibility._message_families import (
+    WIRES,
+    as_lists,
+    example,
+    named,
+)
 from endivepick.tests.compatibility.generate import (
     read_samples,
     sample_files,
@@ -75,7 +80,7 @@
         older = RecordCache(kinds=("service",))
         older.offer_list("service", 6, [])
         inventory = build_inventory(older, InventoryRequest(newer.buckets), 1000)
-        received = Transfers(newer).take_inventory(inventory)
+        received = TransferReceiver(newer).handle_inventory(inventory)
         self.assertEqual([c.after.deleted for c in received.changes], [True])
 
 
--- a/endivepick/tests/promises/_uneven.py
+++ b/endivepick/tests/promises/_configuration_case.py
@@ -10,7 +10,7 @@
 from endivepick.cli.connection import platform_client
 from endivepick.records import SERVICE_KIND
 from standins.cluster import Cluster, ClusterSettings, cluster
-from standins.faults import PLATFORM_ZONE
+from standins.faultproxy_handle import PLATFORM_ZONE
 from standins.process import wait_until
 from standins.shapes import SMALL
 
--- a/endivepick/tests/promises/_forger.py
+++ b/endivepick/tests/promises/_forged_token_caller.py
@@ -6,9 +6,13 @@
 from dataclasses import dataclass
 from typing import Any
 
-from endivepick.core.codec import decode_instance_packet, encode_packet, encode_struct
 from endivepick.core.messages import InstancePacket, Open, Opened, RequestHead
 from endivepick.core.messages import RequestPart as Part
+from endivepick.core.packet_codec import (
+    decode_instance_packet,
+    encode_packet,
+    encode_struct,
+)
 from endivepick.core.token import FlowToken, TokenCodec, TokenKeys
 from standins.control import parse_address
 from standins.process import wait_until
--- a/endivepick/tests/promises/_loaded.py
+++ b/endivepick/tests/promises/_load_case.py
@@ -7,7 +7,7 @@
 from typing import Any
 
 from endivepick.core.rendezvous import owner
-from endivepick.tests.promises._uneven import UnevenTestCase
+from endivepick.tests.promises._configuration_case import UnevenTestCase
 from standins.clustersettings import ClusterSettings
 from standins.nodes import Target
 from standins.process import wait_until
--- a/endivepick/tests/promises/_raw_caller.py
+++ b/endivepick/tests/promises/_raw_caller.py
@@ -9,11 +9,6 @@
 import gevent
 from gevent import socket
 
-from endivepick.core.codec import (
-    decode_instance_packet,
-    encode_packet,
-    encode_struct,
-)
 from endivepick.core.messages import (
     Acknowledge,
     AnswerPart,
@@ -28,6 +23,11 @@
     RequestHead,
     RequestPart,
 )
+from endivepick.core.packet_codec import (
+    decode_instance_packet,
+    encode_packet,
+    encode_struct,
+)
 from standins.control import parse_address
 
 __all__ = ["RawCaller", "RawFlow", "RawRequest", "Word"]
--- a/endivepick/tests/promises/test_point1_hand_over.py
+++ b/endivepick/tests/promises/test_point1_hand_over.py
@@ -6,7 +6,7 @@
 from returns.result import Success
 
 from endivepick.core.rendezvous import owner
-from endivepick.tests.promises._planned import (
+from endivepick.tests.promises._planned_change import (
     SESSIONS,
     PlannedChangeTestCase,
     roomy,
--- a/endivepick/tests/promises/test_point1_planned_change.py
+++ b/endivepick/tests/promises/test_point1_planned_change.py
@@ -5,7 +5,7 @@
 
 import gevent
 
-from endivepick.tests.promises._planned import (
+from endivepick.tests.promises._planned_change import (
     EXPORTS,
     SESSIONS,
     PlannedChangeTestCase,
--- a/endivepick/tests/promises/test_point2_key_rotation.py
+++ b/endivepick/tests/promises/test_point2_key_rotation.py
@@ -9,11 +9,11 @@
 
 from endivepick.cli.tests.support import run_command
 from endivepick.client import CallerSettings, open_caller
-from endivepick.tests.metrics import read_metrics
+from endivepick.tests.metrics_reader import read_metrics
 from standins.cluster import ClusterSettings, cluster
 from standins.process import wait_until
 from standins.shapes import SMALL
-from standins.versions import wait_agreed
+from standins.versions import wait_peers_ready
 
 SERVICE = SMALL.services[0].name
 LAGGING = "south-1"
@@ -39,7 +39,7 @@
         settings = ClusterSettings(SMALL, faults=True, instance_settings=SETTINGS)
         self.cluster = self.enterContext(cluster(settings))
         # An instance that is ready may not have found its peers yet.
-        wait_agreed(self.cluster)
+        wait_peers_ready(self.cluster)
 
     def start_load(self):
         settings = {
--- a/endivepick/tests/promises/test_point2_service_isolation.py
+++ b/endivepick/tests/promises/test_point2_service_isolation.py
@@ -11,14 +11,19 @@
 
 import msgspec
 
-from endivepick.core.catalog import HeldKeys
+from endivepick.core.catalog import ActiveKeyring
 from endivepick.core.keyring import keyring_from_body
 from endivepick.core.token import KEY_ID_SIZE_BYTES, MAC_SIZE_BYTES, FlowToken
 from endivepick.records import KEYRING_KIND, SERVICE_KIND
-from endivepick.tests.metrics import read_metrics
-from endivepick.tests.promises._forger import Forger, seal
-from endivepick.tests.promises._loaded import RUNS, LoadedTestCase
-from endivepick.tests.promises._uneven import EXPORTS, NORTH, SESSIONS, SOUTH
+from endivepick.tests.metrics_reader import read_metrics
+from endivepick.tests.promises._configuration_case import (
+    EXPORTS,
+    NORTH,
+    SESSIONS,
+    SOUTH,
+)
+from endivepick.tests.promises._forged_token_caller import Forger, seal
+from endivepick.tests.promises._load_case import RUNS, LoadedTestCase
 from standins.checker import Promise, check
 from standins.evidence import read_evidence
 from standins.process import wait_until
@@ -227,7 +232,7 @@
 
     def keys(self):
         stored = self.platform.get(KEYRING_KIND, "tokens")
-        return HeldKeys(keyring_from_body(stored["body"]))
+        return ActiveKeyring(keyring_from_body(stored["body"]))
 
     def dropped(self, reason):
         """Count packets that the instances dropped for a reason."""
@@ -271,10 +276,10 @@
         self.assert_all_dropped(seal(keys, old), "expired")
         body = self.platform.get(KEYRING_KIND, "tokens")["body"]
         body["keys"][0]["secret_hex"] = SECOND_SECRET_HEX
-        stranger = HeldKeys(keyring_from_body(body))
+        stranger = ActiveKeyring(keyring_from_body(body))
         self.assert_all_dropped(seal(stranger, genuine), "forged")
         body["current"] = body["keys"][0]["key_id"] = 9
-        stranger = HeldKeys(keyring_from_body(body))
+        stranger = ActiveKeyring(keyring_from_body(body))
         self.assert_all_dropped(seal(stranger, genuine), "unknown_key")
         sealed = bytearray(seal(keys, genuine))
         sealed[len(sealed) // 2] ^= 1
--- a/endivepick/tests/promises/test_point3_whole_answers.py
+++ b/endivepick/tests/promises/test_point3_whole_answers.py
@@ -8,7 +8,7 @@
 from returns.result import Failure
 
 from endivepick.client import GaveUp, OutcomeUnknown
-from endivepick.tests.promises._disturbed import (
+from endivepick.tests.promises._fault_injection import (
     EXPORTS,
     SESSIONS,
     DisturbedTestCase,
--- a/endivepick/tests/promises/test_point4_frozen_hand_over.py
+++ b/endivepick/tests/promises/test_point4_frozen_hand_over.py
@@ -2,7 +2,7 @@
 
 import unittest
 
-from endivepick.tests.promises._disturbed import (
+from endivepick.tests.promises._fault_injection import (
     EXPORTS,
     DisturbedTestCase,
 )
--- a/endivepick/tests/promises/test_point4_frozen_owner.py
+++ b/endivepick/tests/promises/test_point4_frozen_owner.py
@@ -4,7 +4,7 @@
 
 from endivepick.client import OutcomeUnknown
 from endivepick.core.messages import AnswerPart
-from endivepick.tests.promises._disturbed import (
+from endivepick.tests.promises._fault_injection import (
     EXPORTS,
     DisturbedTestCase,
 )
--- a/endivepick/tests/promises/test_point4_not_run_is_true.py
+++ b/endivepick/tests/promises/test_point4_not_run_is_true.py
@@ -5,7 +5,7 @@
 
 from endivepick.client import NotRun, OutcomeUnknown
 from endivepick.core.messages import Refused
-from endivepick.tests.promises._disturbed import EXPORTS, DisturbedTestCase
+from endivepick.tests.promises._fault_injection import EXPORTS, DisturbedTestCase
 from endivepick.tests.promises._waiting import wait
 
 COPIES = 5
--- a/endivepick/tests/promises/test_point5_at_most_once.py
+++ b/endivepick/tests/promises/test_point5_at_most_once.py
@@ -5,7 +5,7 @@
 from returns.result import Failure
 
 from endivepick.client import OutcomeUnknown
-from endivepick.tests.promises._disturbed import (
+from endivepick.tests.promises._fault_injection import (
     EXPORTS,
     SESSIONS,
     DisturbedTestCase,
--- a/endivepick/tests/promises/test_point5_closed_flows.py
+++ b/endivepick/tests/promises/test_point5_closed_flows.py
@@ -3,7 +3,7 @@
 import unittest
 from dataclasses import replace
 
-from endivepick.tests.promises._disturbed import (
+from endivepick.tests.promises._fault_injection import (
     EXPORTS,
     SESSIONS,
     DisturbedTestCase,
--- a/endivepick/tests/promises/test_point5_owner_lost.py
+++ b/endivepick/tests/promises/test_point5_owner_lost.py
@@ -6,7 +6,7 @@
 from returns.pipeline import is_successful
 
 from endivepick.client import OutcomeUnknown
-from endivepick.tests.promises._disturbed import (
+from endivepick.tests.promises._fault_injection import (
     EXPORTS,
     SESSIONS,
     DisturbedTestCase,
--- a/endivepick/tests/promises/test_point6_leaving_targets.py
+++ b/endivepick/tests/promises/test_point6_leaving_targets.py
@@ -13,8 +13,13 @@
 import unittest
 from collections import Counter
 
-from endivepick.tests.promises._loaded import LoadedTestCase
-from endivepick.tests.promises._uneven import EXPORTS, NORTH, SESSIONS, SOUTH
+from endivepick.tests.promises._configuration_case import (
+    EXPORTS,
+    NORTH,
+    SESSIONS,
+    SOUTH,
+)
+from endivepick.tests.promises._load_case import LoadedTestCase
 from standins.process import wait_until
 
 FURTHER_RUNS = 30
--- a/endivepick/tests/promises/test_point7_graceful_stop.py
+++ b/endivepick/tests/promises/test_point7_graceful_stop.py
@@ -6,7 +6,7 @@
 
 from returns.result import Success
 
-from endivepick.tests.promises._planned import (
+from endivepick.tests.promises._planned_change import (
     EXPORTS,
     SESSIONS,
     PlannedChangeTestCase,
--- a/endivepick/tests/promises/test_point8_configuration.py
+++ b/endivepick/tests/promises/test_point8_configuration.py
@@ -4,11 +4,11 @@
 import unittest
 
 from endivepick.cli.connection import platform_client
-from endivepick.cli.writing import ObjectName, update_object
+from endivepick.cli.object_writes import ObjectName, update_object
 from endivepick.errors import RecordConflictError
 from endivepick.records import SERVICE_KIND, STATUS_KIND
 from endivepick.records.schema import parse_service, write_service
-from endivepick.tests.promises._uneven import (
+from endivepick.tests.promises._configuration_case import (
     EXPORTS,
     NORTH,
     SESSIONS,
--- a/endivepick/tests/test_put_back.py
+++ b/endivepick/tests/test_target_restoration.py
@@ -3,8 +3,8 @@
 import signal
 import unittest
 
-from endivepick.tests.promises._loaded import LoadedTestCase
-from endivepick.tests.promises._uneven import SESSIONS
+from endivepick.tests.promises._configuration_case import SESSIONS
+from endivepick.tests.promises._load_case import LoadedTestCase
 from standins.process import wait_until
 
 
--- a/standins/_inforcecases.py
+++ b/standins/_inforcecases.py
@@ -9,7 +9,7 @@
 from typing import Any
 
 from endivepick.membership.view import InstanceView, PeerState
-from endivepick.records.roles import zone_roles
+from endivepick.records.roles import compute_zone_roles
 from endivepick.records.settings import DisseminationSettings
 from standins.cluster import Cluster
 from standins.versions import wait_in_force
@@ -169,7 +169,7 @@
         InstanceView(plan.name, plan.zone, 0, "", PeerState.ALIVE)
         for plan in run.running.shape.instances
     ]
-    return zone_roles(zone, views, DisseminationSettings()).watchers
+    return compute_zone_roles(zone, views, DisseminationSettings()).watchers
 
 
 def _watchers_killed(run: Run) -> None:
--- a/standins/cluster.py
+++ b/standins/cluster.py
@@ -27,10 +27,10 @@
     target_arguments,
 )
 from standins.endpoint import call_ok
-from standins.faults import PLATFORM_ZONE, FaultsHandle
+from standins.faultproxy_handle import PLATFORM_ZONE, FaultsHandle
 from standins.launcher import Launcher
 from standins.nodes import Instance, Target
-from standins.platformcontrol import ListedInstance, PlatformHandle
+from standins.platform_handle import ListedInstance, PlatformHandle
 from standins.process import ChildProcess, wait_until
 from standins.shapes import InstancePlan, ServicePlan, TargetPlan
 
--- a/standins/in_force.py
+++ b/standins/in_force.py
@@ -22,7 +22,7 @@
 from standins.cluster import Cluster, ClusterSettings, cluster
 from standins.jsonlines import read_lines
 from standins.process import exit_on_signal
-from standins.versions import wait_agreed, watch_versions
+from standins.versions import wait_peers_ready, watch_versions
 
 __all__ = ["InForceTimes", "main", "measure_case"]
 
@@ -86,11 +86,11 @@
         Times in seconds, and versions that went back.
     """
     run = Run(running, random.Random(f"{seed}:{case.name}"))
-    wait_agreed(running)
+    wait_peers_ready(running)
     with watch_versions(running, over_restarts=True) as watch, case.around(run):
         for _ in range(changes or case.changes):
             if case.settled:
-                wait_agreed(running)
+                wait_peers_ready(running)
             time.sleep(run.draw_s((0.0, PAUSE_S)))
             case.once(run)
     return {**_figures(run), "reverted": watch.reverted}
--- a/standins/nodes.py
+++ b/standins/nodes.py
@@ -5,7 +5,7 @@
 from typing import Any
 
 from standins.endpoint import call, call_ok
-from standins.platformcontrol import ListedInstance
+from standins.platform_handle import ListedInstance
 from standins.process import ChildProcess
 from standins.shapes import InstancePlan, TargetPlan
 
--- a/standins/time_to_answer.py
+++ b/standins/time_to_answer.py
@@ -25,7 +25,7 @@
 from standins.evidence import Request, read_evidence
 from standins.jsonlines import read_lines
 from standins.process import exit_on_signal, wait_until
-from standins.versions import wait_agreed
+from standins.versions import wait_peers_ready
 
 __all__ = ["CASES", "Case", "main", "measure_case"]
 
@@ -53,7 +53,7 @@
 def _replace(running: Cluster, name: str) -> None:
     running.stop_instance(name)
     running.start_instance(name)
-    wait_agreed(running)
+    wait_peers_ready(running)
 
 
 def _kill(running: Cluster, name: str) -> None:
@@ -160,7 +160,7 @@
     running: Cluster, case: Case, idle_flows: int
 ) -> tuple[list[Request], Window]:
     """Disturb once under load; returns the requests and the time of it."""
-    wait_agreed(running)
+    wait_peers_ready(running)
     running.control_fabric(to_instances=case.faults, to_callers=case.faults)
     before = _flows(running)
     with _load(running, case, idle_flows) as log:
--- a/standins/versions.py
+++ b/standins/versions.py
@@ -14,7 +14,7 @@
 __all__ = [
     "InstanceVersions",
     "VersionWatch",
-    "wait_agreed",
+    "wait_peers_ready",
     "wait_in_force",
     "watch_versions",
 ]
@@ -79,7 +79,7 @@
     wait_until(all_have_it, f"{record} version {version} in force everywhere")
 
 
-def wait_agreed(running: Cluster) -> None:
+def wait_peers_ready(running: Cluster) -> None:
     """Wait until all instances know that all others are ready."""
     names = set(running.instances)
 
