--- a/endivepick/model/_caller.py
+++ b/endivepick/model/_caller.py
@@ -1,4 +1,4 @@
-"""The caller library's rules about one request, in the abstract."""
+"""Abstract model of the caller library for one request."""
 
 from collections.abc import Iterator
 
@@ -22,20 +22,20 @@
 
 
 def steps(world: World, bounds: Bounds) -> Iterator[CallerStep]:
-    """Yield what the caller may do: label, state after it, packets sent."""
+    """Yield the caller's steps: label, next state and packets sent."""
     caller = world.caller
     if caller.outcome is Outcome.WAITING:
-        for packet in world.told:
+        for packet in world.caller_packets:
             yield from _receive(caller, packet, bounds)
         if bounds.cancels:
             sent = frozenset([encode_packet(Cancel(caller.token, caller.seq))])
-            yield "gives up", caller._replace(outcome=Outcome.UNKNOWN), sent
-        if bounds.closes:
+            yield "cancels the request", caller._replace(outcome=Outcome.UNKNOWN), sent
+        if bounds.closes_flow:
             closed = caller._replace(outcome=Outcome.UNKNOWN)
-            yield "closes the flow", closed, _closing(caller)
+            yield "closes the flow", closed, _close_packets(caller)
         return
-    if bounds.closes and not _closing(caller) <= world.packets:
-        yield "closes the flow", caller, _closing(caller)
+    if bounds.closes_flow and not _close_packets(caller) <= world.packets:
+        yield "closes the flow", caller, _close_packets(caller)
     if bounds.acknowledges:
         done = encode_packet(Acknowledge(caller.token, caller.seq, 1, [], 1, True))
         if done not in world.packets:
@@ -45,10 +45,10 @@
         sent = frozenset([request(caller.token, seq, bounds)])
         yield "sends its next request", caller._replace(next_seq=seq), sent
     if caller.outcome is Outcome.NOT_RUN and caller.new_numbers:
-        yield _try_again(caller, bounds)
+        yield _retry_under_new_number(caller, bounds)
 
 
-def _closing(caller: Caller) -> frozenset[bytes]:
+def _close_packets(caller: Caller) -> frozenset[bytes]:
     return frozenset([encode_packet(FlowClosed(caller.token))])
 
 
@@ -61,9 +61,13 @@
         case AnswerPart(binding=caller.binding, seq=caller.seq):
             yield "gets the answer", _ended(caller, Outcome.ANSWERED), _NOTHING
         case OutcomePacket(binding=caller.binding, seq=caller.seq):
-            yield "hears 'outcome unknown'", _ended(caller, Outcome.UNKNOWN), _NOTHING
+            yield (
+                "receives 'outcome unknown'",
+                _ended(caller, Outcome.UNKNOWN),
+                _NOTHING,
+            )
         case Refused(binding=caller.binding, seq=caller.seq):
-            yield "hears 'not run'", _refused(caller, bounds), _NOTHING
+            yield "receives 'not run'", _refused(caller, bounds), _NOTHING
 
 
 def _ended(caller: Caller, outcome: Outcome) -> Caller:
@@ -71,7 +75,7 @@
 
 
 def _refused(caller: Caller, bounds: Bounds) -> Caller:
-    if caller.may_have_run and not bounds.caller.believes_last_refusal:
+    if caller.may_have_run and not bounds.caller.trusts_last_refusal:
         return _ended(caller, Outcome.UNKNOWN)
     return _ended(caller, Outcome.NOT_RUN)
 
@@ -81,7 +85,11 @@
         if packet.token == caller.token:
             return
         sent = request(packet.token, caller.seq, bounds)
-        yield "goes on", caller._replace(token=packet.token), frozenset([sent])
+        yield (
+            "continues with a new token",
+            caller._replace(token=packet.token),
+            frozenset([sent]),
+        )
         return
     if not (bounds.idempotent or bounds.caller.resends_non_idempotent):
         ended = _ended(caller, Outcome.UNKNOWN)
@@ -96,8 +104,8 @@
     yield "sends again under a new binding", again, frozenset([sent])
 
 
-def _try_again(caller: Caller, bounds: Bounds) -> CallerStep:
-    """Use a new number after "not run"."""
+def _retry_under_new_number(caller: Caller, bounds: Bounds) -> CallerStep:
+    """Submit the request under a new number after "not run"."""
     again = caller._replace(
         seq=caller.seq + 1,
         outcome=Outcome.WAITING,
