--- a/endivepick/model/configuration.py
+++ b/endivepick/model/configuration.py
@@ -19,7 +19,7 @@
     SendDigest,
     Watched,
 )
-from endivepick.model._memory import TransitionCache
+from endivepick.model._transition_cache import TransitionCache
 from endivepick.model.checker import Specification
 
 __all__ = ["ConfigBounds", "configuration_specification"]
--- a/endivepick/model/evidence.py
+++ b/endivepick/model/evidence.py
@@ -34,7 +34,7 @@
     TargetState,
 )
 from endivepick.model._freeze import freeze
-from endivepick.model._memory import TransitionCache
+from endivepick.model._transition_cache import TransitionCache
 from endivepick.model.checker import Specification
 
 __all__ = ["EvidenceBounds", "evidence_specification"]
--- a/endivepick/model/placement.py
+++ b/endivepick/model/placement.py
@@ -12,7 +12,6 @@
 from endivepick.core.actions import Action, RequestId, SendToCaller, StartAttempt
 from endivepick.core.dispatch import FinishKind
 from endivepick.core.messages import Refused
-from endivepick.model._memory import TransitionCache
 from endivepick.model._placement_node import (
     SERVICE,
     TARGETS,
@@ -23,6 +22,7 @@
     Probed,
     RequestCopy,
 )
+from endivepick.model._transition_cache import TransitionCache
 from endivepick.model.checker import Specification
 
 __all__ = ["PlacementBounds", "TargetRules", "placement_specification"]
--- a/endivepick/model/restarts.py
+++ b/endivepick/model/restarts.py
@@ -29,7 +29,7 @@
     TargetBelief,
 )
 from endivepick.model._freeze import freeze
-from endivepick.model._memory import TransitionCache
+from endivepick.model._transition_cache import TransitionCache
 from endivepick.model.checker import Specification
 
 __all__ = ["RestartBounds", "restart_specification"]
