--- a/endivepick/model/flows.py
+++ b/endivepick/model/flows.py
@@ -10,6 +10,7 @@
 from endivepick.core.dispatch import FinishKind
 from endivepick.core.flow_table import Identity
 from endivepick.core.peer_messages import HandOverRefused
+from endivepick.model import _caller_steps
 from endivepick.model._environment import Placement, View
 from endivepick.model._events import (
     AttemptEnded,
@@ -123,7 +124,7 @@
             if self._bounds.expires_flows:
                 yield from self._event(world, index, ExpireFlows(), "expires flows")
         yield from self._targets(world)
-        for label, caller, packets in _caller.steps(world, self._bounds):
+        for label, caller, packets in _caller_steps.steps(world, self._bounds):
             sent = world.packets | packets
             yield f"caller {label}", world._replace(caller=caller, packets=sent)
 
--- a/endivepick/model/tests/test_checker.py
+++ b/endivepick/model/tests/test_checker.py
@@ -3,7 +3,7 @@
 from collections import deque
 from itertools import count
 
-from endivepick.model import _freeze, checker, flows
+from endivepick.model import _freeze, _transition_cache, checker, flows
 from endivepick.model._freeze import freeze
 from endivepick.model.checker import Specification, check
 from endivepick.model.run import specification_of
@@ -37,7 +37,7 @@
 
 class CheckerTest(unittest.TestCase):
     def test_examples_run(self):
-        for module in (checker, flows, _freeze, _memory):
+        for module in (checker, flows, _freeze, _transition_cache):
             self.assertEqual(doctest.testmod(module).failed, 0, module.__name__)
 
     def test_violation_has_the_shortest_trace(self):
