--- a/endivepick/client/_core/actions.py
+++ b/endivepick/client/_core/actions.py
@@ -139,7 +139,8 @@
     actions : list
         Actions since the last `take_actions`.
     counts : collections.Counter
-        Counts of dropped and repeated packets, by name.
+        Protocol counters, by name: dropped, duplicate and retransmitted packets,
+        polls and socket errors.
     """
 
     actions: list[Action] = field(default_factory=list)
--- a/endivepick/client/_core/answer_window.py
+++ b/endivepick/client/_core/answer_window.py
@@ -17,6 +17,8 @@
 class AnswerWindow:
     """Window that grows while parts arrive and halves on congestion.
 
+    The size is adapted after each round. A round spans one window of parts.
+
     Parameters
     ----------
     size_parts : int
@@ -45,7 +47,7 @@
         """Count parts that were reported as lost."""
         self._round_losses += count
 
-    def on_false_loss(self) -> None:
+    def on_spurious_loss(self) -> None:
         """Undo the count of a loss, because the part was only delayed."""
         self._round_losses -= 1
 
--- a/endivepick/client/_core/caller_core.py
+++ b/endivepick/client/_core/caller_core.py
@@ -63,7 +63,11 @@
 
     @property
     def counts(self) -> Counter[str]:
-        """Counts of dropped and repeated packets, by name."""
+        """Protocol counters, by name.
+
+        They cover dropped, duplicate and retransmitted packets, polls and socket
+        errors.
+        """
         return self._outbox.counts
 
     @property
@@ -82,7 +86,7 @@
         return self.tick(now_s)
 
     def abandon(self, open_id: int, now_s: float) -> list[Action]:
-        """Abandon an opening; a flow that it still opens is closed."""
+        """Abandon an opening; close its flow if it was opened, or is opened later."""
         opening = self._openings.get(open_id)
         if opening is not None:
             opening.end()
@@ -188,6 +192,8 @@
         known_flow_id = self._flow_ids_by_open_id.get(packet.open_id)
         if known_flow_id is None or known_flow_id == packet.flow_id:
             return
+        # A second instance opened another flow, or the opening has ended without a
+        # flow, for instance because it was abandoned: close this flow.
         repeated = RepeatedPacket(FlowClosed(packet.token), self._outbox, now_s)
         self._timers.update(repeated)
 
--- a/endivepick/client/_core/event_stream.py
+++ b/endivepick/client/_core/event_stream.py
@@ -49,6 +49,7 @@
         """
         lines = (self._incomplete_line + chunk).split(b"\n")
         self._incomplete_line = lines.pop()
+        # The other lines of this chunk are not parsed yet and not counted here.
         if len(self._incomplete_line) + self._data_bytes > MAX_EVENT_BYTES:
             raise EventTooLongError
         for line in lines:
@@ -75,6 +76,7 @@
         match name:
             case "data":
                 self._data.append(value)
+                # Counts characters, which are at most as many as the bytes.
                 self._data_bytes += len(value)
             case "id":
                 self._id = value
--- a/endivepick/client/_core/flow.py
+++ b/endivepick/client/_core/flow.py
@@ -183,7 +183,11 @@
         self._context.outbox.send(done)
 
     def on_reissued(self, packet: Reissued, now_s: float) -> None:
-        """Use a new token, unless it was used before or replaces an old binding."""
+        """Use a new token.
+
+        It is dropped if it was already used, or was issued for a binding other than
+        the current one.
+        """
         if packet.old_binding != self._context.binding or packet.token in self._tokens:
             self._context.outbox.counts["token_dropped"] += 1
             return
--- a/endivepick/client/_core/flow_context.py
+++ b/endivepick/client/_core/flow_context.py
@@ -49,9 +49,10 @@
 
 
 class RepeatedPacket:
-    """Sends a packet that has no acknowledgement three times.
+    """Sends an unacknowledged packet three times.
 
-    The repetitions make up for the loss of a datagram.
+    It is sent at once, and again after 0.05 s and 0.2 s, to make up for the loss
+    of a datagram.
 
     Parameters
     ----------
@@ -66,12 +67,12 @@
     def __init__(self, packet: CallerPacket, outbox: Outbox, now_s: float) -> None:
         self._packet = packet
         self._outbox = outbox
-        self._remaining_s = [now_s + after_s for after_s in REPEAT_AFTER_S]
-        self.due_at_s = self._remaining_s.pop(0)
+        self._resend_times_s = [now_s + after_s for after_s in REPEAT_AFTER_S]
+        self.due_at_s = self._resend_times_s.pop(0)
         self.queued_at_s = NEVER_S
         outbox.send(packet)
 
     def on_due(self, now_s: float) -> None:
         """Send the packet again."""
         self._outbox.send(self._packet)
-        self.due_at_s = self._remaining_s.pop(0) if self._remaining_s else NEVER_S
+        self.due_at_s = self._resend_times_s.pop(0) if self._resend_times_s else NEVER_S
--- a/endivepick/client/_core/missing_parts.py
+++ b/endivepick/client/_core/missing_parts.py
@@ -27,23 +27,23 @@
     """Tracks missing parts and decides when they count as lost.
 
     A part is missing if a later one arrived. On a path that reorders packets,
-    delayed parts can be reported as lost by mistake. Such a false loss shows when
-    the part arrives twice; the wait before a part counts as lost is then extended
-    to 1.25 times the delay of that part, at most 20 ms.
+    delayed parts can be reported as lost by mistake. Such a spurious loss is
+    detected when the part arrives twice; the wait before a part counts as lost is
+    then extended to 1.25 times the delay of that part, at most 20 ms.
 
     Attributes
     ----------
-    reorder_parts : int
+    reorder_threshold_parts : int
         Number of later parts that must arrive before a part counts as lost.
     reorder_wait_s : float
-        Additional wait, in seconds; 0 until a false loss is detected.
+        Additional wait, in seconds; 0 until a spurious loss is detected.
     """
 
-    reorder_parts: int = REORDER_PARTS
+    reorder_threshold_parts: int = REORDER_PARTS
     reorder_wait_s: float = 0.0
     _parts: dict[int, _MissingPart] = field(default_factory=dict)
     _unreported: deque[int] = field(default_factory=deque)
-    _late_by_s: dict[int, float] = field(default_factory=dict)
+    _delay_s_by_index: dict[int, float] = field(default_factory=dict)
 
     def __len__(self) -> int:
         return len(self._parts)
@@ -59,9 +59,9 @@
         part = self._parts.pop(index, None)
         if part is None or not part.report_count:
             return
-        self._late_by_s[index] = now_s - part.detected_at_s
-        if len(self._late_by_s) > MAX_LATE_PARTS:
-            del self._late_by_s[next(iter(self._late_by_s))]
+        self._delay_s_by_index[index] = now_s - part.detected_at_s
+        if len(self._delay_s_by_index) > MAX_LATE_PARTS:
+            del self._delay_s_by_index[next(iter(self._delay_s_by_index))]
 
     def reported_once_at_s(self, index: int) -> float | None:
         """Return when a missing part was reported, if it was reported only once."""
@@ -76,12 +76,12 @@
         Returns
         -------
         bool
-            Whether the reported loss was a false one.
+            Whether the reported loss was spurious.
         """
-        late_by_s = self._late_by_s.pop(index, None)
-        if late_by_s is None:
+        delay_s = self._delay_s_by_index.pop(index, None)
+        if delay_s is None:
             return False
-        wanted_s = max(self.reorder_wait_s, late_by_s * REORDER_WAIT_FACTOR)
+        wanted_s = max(self.reorder_wait_s, delay_s * REORDER_WAIT_FACTOR)
         self.reorder_wait_s = min(wanted_s, REORDER_WAIT_MAX_S)
         return True
 
--- a/endivepick/client/_core/opening.py
+++ b/endivepick/client/_core/opening.py
@@ -46,7 +46,7 @@
         self._backoff = Backoff(packet.open_id, OPEN_RESEND_MAX_S)
 
     def on_due(self, now_s: float) -> None:
-        """Retransmit the packet, or fail at the deadline."""
+        """Send or retransmit the packet, or fail at the deadline."""
         if now_s >= self._deadline_at_s:
             error = OpenTimedOut(self._packet.service)
             self._outbox.emit(OpenFailed(self._packet.open_id, error))
--- a/endivepick/client/_core/receiver.py
+++ b/endivepick/client/_core/receiver.py
@@ -12,8 +12,8 @@
 REPORTS_PER_WINDOW = 4
 MAX_AHEAD_PARTS = 1024
 """Parts at least this far beyond the next part in order are dropped."""
-TAIL_PROBE_PARTS = 32
-"""Number of parts beyond the highest received one that a probe requests."""
+POLL_TAIL_PARTS = 32
+"""Number of parts beyond the highest received one that a poll requests."""
 
 
 @dataclass(slots=True)
@@ -44,7 +44,7 @@
     missing_parts: MissingParts = field(default_factory=MissingParts)
     _out_of_order: dict[int, bytes] = field(default_factory=dict)
     _parts_since_report: int = 0
-    _reported_index: int = 0
+    _interval_start_index: int = 0
 
     @property
     def complete(self) -> bool:
@@ -55,7 +55,7 @@
         """Store a part; return False if it is a duplicate or invalid."""
         if not self._is_valid(index, final) or index in self._out_of_order:
             if self.missing_parts.on_duplicate(index):
-                self.window.on_false_loss()
+                self.window.on_spurious_loss()
             return False
         if final:
             self.final_index = index
@@ -109,8 +109,8 @@
         due = self._parts_since_report >= self._report_every_parts
         if not due and not self.missing_parts.has_unreported_loss(last_eligible, now_s):
             return None
-        moved = self.next_index > self._reported_index
-        self._mark_reported()
+        moved = self.next_index > self._interval_start_index
+        self._start_report_interval()
         missing, new_losses = self.missing_parts.collect_lost(
             last_eligible, now_s, repeat_s
         )
@@ -123,22 +123,25 @@
 
     def _last_eligible_index(self) -> int:
         """Return the highest part that may count as lost if it is missing."""
-        if self.highest_index + 1 >= self._reported_index + self.window.size_parts:
+        if (
+            self.highest_index + 1
+            >= self._interval_start_index + self.window.size_parts
+        ):
             # The window is exhausted: no later part arrives before the next report.
             return self.highest_index
-        return self.highest_index - self.missing_parts.reorder_parts
+        return self.highest_index - self.missing_parts.reorder_threshold_parts
 
-    def _mark_reported(self) -> None:
+    def _start_report_interval(self) -> None:
         self._parts_since_report = 0
-        self._reported_index = self.next_index
+        self._interval_start_index = self.next_index
 
-    def probe(self, now_s: float) -> list[int]:
+    def collect_parts_for_poll(self, now_s: float) -> list[int]:
         """Return the parts to request when no part arrived for a while.
 
         Parts after the highest received one may be lost without being detected as
         missing, so they are included.
         """
-        self._mark_reported()
+        self._start_report_interval()
         missing, new_losses = self.missing_parts.collect_lost(
             self.highest_index, now_s, repeat_s=0.0
         )
@@ -149,4 +152,4 @@
         if self.final_index is not None or self.highest_index < 0:
             return []
         first = self.highest_index + 1
-        return list(range(first, first + TAIL_PROBE_PARTS))
+        return list(range(first, first + POLL_TAIL_PARTS))
--- a/endivepick/client/_core/request.py
+++ b/endivepick/client/_core/request.py
@@ -123,7 +123,7 @@
         if self._attempt.seq == 0:
             self._end(event, NotRun(unsent_reason))
             return
-        self._log("request_given_up", "request abandoned")
+        self._log("request_given_up", "request cancelled or deadline passed")
         self._attempt.cancel(now_s)
         self._end(event, error)
 
@@ -151,6 +151,8 @@
                 self._backoff.reset()
                 self._schedule(now_s + self._context.round_trip.resend_s)
         elif packet.next_index == 0 and not packet.missing:
+            # The owner has no state for this request: send it again from the first
+            # part.
             self._step("forget")
             self._begin_sending(now_s)
         else:
@@ -257,7 +259,7 @@
 
     def _poll(self, now_s: float) -> None:
         self._context.outbox.counts["poll"] += 1
-        self._attempt.acknowledge(self._attempt.receiver.probe(now_s))
+        self._attempt.acknowledge(self._attempt.receiver.collect_parts_for_poll(now_s))
         self._schedule(now_s + self._backoff.next_s(self._poll_base_s))
 
     @property
--- a/endivepick/client/_core/sender.py
+++ b/endivepick/client/_core/sender.py
@@ -22,6 +22,13 @@
     payload : bytes
         Encoded request.
 
+    Attributes
+    ----------
+    next_index : int
+        Lowest part that is not confirmed.
+    sent_index : int
+        Lowest part that is not sent.
+
     Examples
     --------
     >>> sender = PartSender(b"x" * 1500)
@@ -32,7 +39,7 @@
     payload: bytes
     next_index: int = 0
     sent_index: int = 0
-    _confirmed_ahead: set[int] = field(default_factory=set)
+    _confirmed_out_of_order: set[int] = field(default_factory=set)
     _sent_at_s: dict[int, float] = field(default_factory=dict)
 
     @property
@@ -62,7 +69,7 @@
     def take_unconfirmed(self, now_s: float) -> Iterator[int]:
         """Yield the parts that were sent but not confirmed."""
         for index in range(self.next_index, self.sent_index):
-            if index not in self._confirmed_ahead:
+            if index not in self._confirmed_out_of_order:
                 self._sent_at_s[index] = now_s
                 yield index
 
@@ -87,7 +94,7 @@
         if wanted:
             # The part `next_index` itself cannot have arrived.
             arrived = range(self.next_index + 1, max(wanted))
-            self._confirmed_ahead.update(
+            self._confirmed_out_of_order.update(
                 index for index in arrived if index not in wanted
             )
         return [
@@ -104,10 +111,10 @@
         if target < self.next_index:
             # The report is from a new owner or was delayed. The next report
             # corrects the effect of a delayed one.
-            self._confirmed_ahead.clear()
+            self._confirmed_out_of_order.clear()
             self.next_index = target
         for index in range(self.next_index, target):
-            self._confirmed_ahead.discard(index)
+            self._confirmed_out_of_order.discard(index)
             self._sent_at_s.pop(index, None)
         self.next_index = target
 
@@ -120,6 +127,6 @@
     def restart(self) -> None:
         """Reset all confirmations, because the owner has none of the parts."""
         self.next_index = 0
-        self._confirmed_ahead.clear()
+        self._confirmed_out_of_order.clear()
         self._sent_at_s.clear()
         self.sent_index = 0
--- a/endivepick/client/_task.py
+++ b/endivepick/client/_task.py
@@ -77,7 +77,11 @@
 
     @property
     def counts(self) -> Counter[str]:
-        """Counts of dropped and repeated packets, by name."""
+        """Protocol counters, by name.
+
+        They cover dropped, duplicate and retransmitted packets, polls and socket
+        errors.
+        """
         return self._core.counts
 
     def run(self) -> None:
--- a/endivepick/client/caller.py
+++ b/endivepick/client/caller.py
@@ -223,7 +223,11 @@
 
     @property
     def counts(self) -> Counter[str]:
-        """Counts of dropped and repeated packets, by name."""
+        """Protocol counters, by name.
+
+        They cover dropped, duplicate and retransmitted packets, polls and socket
+        errors.
+        """
         return self.task.counts
 
     def open(
--- a/endivepick/client/tests/test_parts.py
+++ b/endivepick/client/tests/test_parts.py
@@ -44,7 +44,7 @@
         self._accept(*range(5, 21))
         self.assertIsNone(self.receiver.report_if_due(0.01, 0.03))
 
-    def test_false_loss_extends_the_reorder_wait(self):
+    def test_spurious_loss_extends_the_reorder_wait(self):
         self._accept(0, 2, 3, 4)
         self.receiver.report_if_due(0.0, 0.03)
         self._accept(1, now_s=0.004)
--- a/endivepick/daemon/_persistent_http.py
+++ b/endivepick/daemon/_persistent_http.py
@@ -32,7 +32,8 @@
         self._connection = HTTPConnection(
             *address, timeout=timeout_s, source_address=source
         )
-        # Only `get` opens the connection, so that the caller knows its age.
+        # Only `get` opens the connection, so that the user of this class can track
+        # its age.
         self._connection.auto_open = 0
 
     @property
@@ -57,6 +58,8 @@
             response = self._connection.getresponse()
             body = response.read(RESPONSE_SIZE_BYTES_MAX + 1)
         except ConnectionError:
+            # RemoteDisconnected is also an HTTPException. It stays an OSError, so that
+            # the probe is retried on a new connection.
             raise
         except HTTPException as error:
             raise HttpResponseError(str(error)) from error
--- a/endivepick/daemon/core_loop.py
+++ b/endivepick/daemon/core_loop.py
@@ -71,7 +71,7 @@
         self.core = core
         self._clock = clock
         self._inbox: Queue[Event] = Queue(maxsize=INBOX_EVENTS_MAX)
-        self._urgent: Queue[Event] = Queue()
+        self._priority_inbox: Queue[Event] = Queue()
         self._busy_until_s = 0.0
         self._timer: Any = None
         self._timer_period_s = 0.0
@@ -89,8 +89,12 @@
         self._inbox.put(event)
 
     def deliver_nowait(self, event: Event) -> None:
-        """Queue an event from the task of the core itself, which must not block."""
-        self._urgent.put(event)
+        """Queue an event without blocking.
+
+        It is handled before the events of the inbox, at the latest after the next
+        tick.
+        """
+        self._priority_inbox.put(event)
 
     def run(self, executor: ActionExecutor) -> None:
         """Handle events until the planned stop has finished."""
@@ -105,8 +109,8 @@
                 self._set_timer(self.tick_period_s)
 
     def _next_event(self) -> Event:
-        if not self._urgent.empty():
-            return self._urgent.get()
+        if not self._priority_inbox.empty():
+            return self._priority_inbox.get()
         return self._inbox.get()
 
     @contextmanager
--- a/endivepick/daemon/logs.py
+++ b/endivepick/daemon/logs.py
@@ -24,7 +24,10 @@
 _SEVERITY: dict[LogLevel, int] = {"debug": 0, "info": 1, "warning": 2, "error": 3}
 _SEVERITY_OFF = len(_SEVERITY)
 _HEX_FIELDS = frozenset({"flow", "binding", "incarnation", "successor"})
-"""64-bit ids, written in hexadecimal because JSON readers lose their low bits."""
+"""64-bit ids, written in hexadecimal.
+
+Many JSON parsers read numbers as doubles and round 64-bit values.
+"""
 
 _eliot_logger = eliot.Logger()
 _encoder = msgspec.json.Encoder(enc_hook=str)
--- a/endivepick/daemon/metrics.py
+++ b/endivepick/daemon/metrics.py
@@ -30,14 +30,14 @@
     "opens_refused": ("reason", "Flows not opened, by reason."),
     "flows_reissued": (
         "reason",
-        "Packets answered with a new binding: owner lost (no reason), or forgotten.",
+        "Packets answered with a new binding, by reason: none (owner lost), forgotten.",
     ),
     "flows_handed_over": ("service", "Flows moved to a successor, by service."),
     "attempts_retried": (
         "reason",
         "Requests sent to a target again, by how the last attempt ended.",
     ),
-    "key_checks": ("result", "Looks whether a pending key may sign, by result."),
+    "key_checks": ("result", "Checks whether a pending key may sign, by result."),
     "platform_calls": ("result", "Calls of the platform's object API, by result."),
 }
 """Label name and help text of each counter, by the name in the ``Count`` action."""
@@ -118,8 +118,11 @@
             for name, help_text in (
                 ("messages_sent", "Messages sent to peers since the start."),
                 ("messages_received", "Messages of peers since the start."),
-                ("bytes_sent", "Their encoded bytes, without encryption."),
-                ("bytes_received", "Their encoded bytes, without encryption."),
+                ("bytes_sent", "Encoded bytes sent to peers, before encryption."),
+                (
+                    "bytes_received",
+                    "Encoded bytes received from peers, after decryption.",
+                ),
             )
         }
         self._dropped_gauge = self._gauge(
--- a/endivepick/daemon/peers.py
+++ b/endivepick/daemon/peers.py
@@ -254,7 +254,9 @@
         return self.send(address, address, message)
 
     def _record_send_failure(self, name: str) -> None:
-        """Close a socket that has had no connection for too long.
+        """Record a failed send; close the connection after some seconds of failures.
+
+        The next send then recreates it.
 
         The library stops reconnecting once a server of another protocol has answered
         at the address, even if a peer listens there later.
@@ -306,7 +308,8 @@
         dealer.curve_serverkey = self._keys[0]
         dealer.linger = 0
         dealer.sndhwm = QUEUE_MESSAGES_MAX
-        # Messages are not queued without a connection: a late message is better lost.
+        # Do not queue while disconnected: stale messages are dropped instead of
+        # delivered late.
         dealer.immediate = True
         dealer.reconnect_ivl = RECONNECT_DELAY_MS
         dealer.reconnect_ivl_max = RECONNECT_DELAY_MAX_MS
--- a/endivepick/daemon/platform.py
+++ b/endivepick/daemon/platform.py
@@ -50,7 +50,10 @@
 UNWATCHED_PERIOD_FACTOR = 5
 """Factor on the list period of an instance that does not watch."""
 LISTS_PER_S = 25.0
-"""Approximate list rate of a large fleet as a whole; at least half of it is reached."""
+"""Target total rate of list requests from all instances of a large fleet.
+
+The actual rate is at least half of it.
+"""
 _OK = "ok"
 _log = PartLog("platform")
 
@@ -178,7 +181,8 @@
     def _listing_delay_s(self) -> float:
         """Return the jittered delay before the next list.
 
-        An instance that lists a change notifies the instances concerned.
+        Rare listing suffices, because an instance that lists a change notifies the
+        instances concerned.
         """
         jitter = 0.5 + self._random.random()
         period_s = self._settings.list_every_s
--- a/endivepick/daemon/run.py
+++ b/endivepick/daemon/run.py
@@ -66,6 +66,7 @@
     incarnation = random_source.getrandbits(64) | 1
     clock = MonotonicClock()
     metrics = DaemonMetrics()
+    # Assigned below: the tasks need `deliver` before the loop exists.
     loops: list[CoreLoop] = []
 
     def deliver(event: Event) -> None:
@@ -169,7 +170,8 @@
     _log.event(action.name, action.message, **action.ids)
     print(
         f"{len(core.table)} flows to hand over, {len(open_flows)} of them with a "
-        "request in progress. Wait, or send SIGKILL to abort them.",
+        "request in progress. Wait for the handover, or send SIGKILL to "
+        "stop without it.",
         file=sys.stderr,
         flush=True,
     )
--- a/endivepick/daemon/targets.py
+++ b/endivepick/daemon/targets.py
@@ -81,7 +81,7 @@
         """Send a request to its target."""
         greenlet = self._group.spawn(self._run_and_deliver, action)
         key = (action.request_id, action.attempt)
-        self._attempts[key] = (greenlet, _cancel_path(action))
+        self._attempts[key] = (greenlet, _cancel_address_and_path(action))
         greenlet.link(lambda _: self._attempts.pop(key, None))
 
     def cancel(self, action: CancelAttempt) -> None:
@@ -281,7 +281,7 @@
     return headers
 
 
-def _cancel_path(action: StartAttempt) -> str:
+def _cancel_address_and_path(action: StartAttempt) -> str:
     return f"{action.address}/requests/{action.idempotency_key}"
 
 
