--- a/endivepick/bench/path_cost.py
+++ b/endivepick/bench/path_cost.py
@@ -128,9 +128,9 @@
 
     def __init__(self) -> None:
         super().__init__()
-        self.batch = lambda _: None
+        self.record_batch = lambda _: None
 
-    def fold(self) -> None:
+    def aggregate(self) -> None:
         """Do nothing."""
 
 
@@ -173,24 +173,24 @@
     log = open_log("front-1")
     metrics = ForwarderMetrics() if told else _NoMetrics()
     decisions = DecisionLog(log, metrics) if told else _NoLog(log, metrics)
-    requests = PathRequests(lambda: None, lambda _target, _found_here: None)
+    requests = PathRequests(lambda: None, lambda _target, _detected_locally: None)
     codec, dialect = cast(PacketCodec, _Codec()), cast(StoreDialect, None)
     kind = PacketPath if told else _UncountedPath
     with kind(_make_core(), codec, dialect, decisions, requests).open(
         "127.0.0.1:0"
     ) as at:
-        gevent.spawn(_fold_periodically, metrics)
+        gevent.spawn(_aggregate_periodically, metrics)
         _print_to_stderr(at.port)
         for _ in range(2):
             gevent.get_hub().threadpool.apply(sys.stdin.readline)
             _print_to_stderr(time.process_time())
 
 
-def _fold_periodically(metrics: ForwarderMetrics) -> None:
+def _aggregate_periodically(metrics: ForwarderMetrics) -> None:
     """Fold metrics at the period of a forwarder, in both kinds of process."""
     while True:
         gevent.sleep(TICK_S)
-        metrics.fold()
+        metrics.aggregate()
 
 
 def _print_to_stderr(value: object) -> None:
--- a/endivepick/forwarder/forwarder.py
+++ b/endivepick/forwarder/forwarder.py
@@ -226,7 +226,7 @@
             self._path.perform_effects()
             if self._zone is not None:
                 self._zone.report_observations()
-            self.decisions.metrics.fold()
+            self.decisions.metrics.aggregate()
             self.decisions.log.flush()
 
     def _on_pause(self, paused_s: float, now_s: float) -> None:
--- a/endivepick/forwarder/metrics.py
+++ b/endivepick/forwarder/metrics.py
@@ -72,7 +72,7 @@
         self._new_services: list[str] = []
         self._new_batches_s: list[float] = []
         self.forwarded: Callable[[str], None] = self._new_services.append
-        self.batch: Callable[[float], None] = self._new_batches_s.append
+        self.record_batch: Callable[[float], None] = self._new_batches_s.append
         self._batches = [0] * (len(_BUCKETS_S) + 1)
         self._batches_s = 0.0
 
@@ -80,7 +80,7 @@
         """Increase a counter."""
         self.counts[name, kind] += number
 
-    def fold(self) -> None:
+    def aggregate(self) -> None:
         """Add the events in the lists to the counters and the histogram."""
         for service, number in Counter(self._new_services).items():
             self.counts["packets_forwarded", service] += number
@@ -92,7 +92,7 @@
 
     def snapshot(self) -> MetricsSnapshot:
         """Return the current values, for use in another thread."""
-        self.fold()
+        self.aggregate()
         counts = Counter(self.counts)
         return MetricsSnapshot(counts, list(self._batches), self._batches_s)
 
--- a/endivepick/forwarder/packet_path.py
+++ b/endivepick/forwarder/packet_path.py
@@ -110,7 +110,7 @@
             address,
             self._on_packet,
             self._decisions.log_packet_error,
-            self._metrics.batch,
+            self._metrics.record_batch,
             steady_now_s,
             early,
         ) as datagrams:
--- a/endivepick/forwarder/run.py
+++ b/endivepick/forwarder/run.py
@@ -11,7 +11,7 @@
 from endivepick.forwarder.logs import open_log
 from endivepick.forwarder.ports import FeedKind, PacketCodec, StoreDialect
 from endivepick.forwarder.settings import load_forwarder_settings
-from endivepick.forwarder.settings_reload import SettingsLoader, SettingsReload
+from endivepick.forwarder.settings_monitor import SettingsLoader, SettingsReload
 from endivepick.forwarder.tasks import spawn_supervised
 
 __all__ = ["run"]
--- a/endivepick/forwarder/tests/test_metrics.py
+++ b/endivepick/forwarder/tests/test_metrics.py
@@ -7,8 +7,8 @@
     def test_counters_gauges_and_the_histogram_are_rendered(self):
         metrics = ForwarderMetrics()
         metrics.count("flows_reset", "no_route", 3)
-        metrics.batch(0.0002)
-        metrics.batch(7.0)
+        metrics.record_batch(0.0002)
+        metrics.record_batch(7.0)
         page = render_page(metrics.snapshot(), {"flows": 12}).decode()
         for line in (
             'endivepick_forwarder_flows_reset_total{kind="no_route"} 3',
@@ -24,8 +24,8 @@
         metrics = ForwarderMetrics()
         for _ in range(3):
             metrics.forwarded("notes")
-            metrics.batch(0.002)
-            metrics.fold()
+            metrics.record_batch(0.002)
+            metrics.aggregate()
         metrics.forwarded("mail")
         page = render_page(metrics.snapshot(), {}).decode()
         name = "endivepick_forwarder_packets_forwarded_total"
--- a/endivepick/model/_caller.py
+++ b/endivepick/model/_caller_steps.py
@@ -13,7 +13,7 @@
 )
 from endivepick.core.messages import Outcome as OutcomePacket
 from endivepick.core.packet_codec import encode_packet
-from endivepick.model._world import Bounds, Caller, Outcome, World, request
+from endivepick.model._flow_state import Bounds, Caller, Outcome, World, request
 
 __all__ = ["steps"]
 
--- a/endivepick/model/_change_mutants.py
+++ b/endivepick/model/_change_mutants.py
@@ -8,7 +8,7 @@
 from endivepick.forwarding import Configuration, ConfigurationChange, apply_change
 from endivepick.forwarding.routes import RouteTable
 from endivepick.model.checker import Specification
-from endivepick.model.told_changes import ChangeBounds, changes_specification
+from endivepick.model.configuration_deltas import ChangeBounds, changes_specification
 
 __all__ = ["CHANGE_MUTATIONS", "CHANGE_SCENARIOS"]
 
--- a/endivepick/model/_events.py
+++ b/endivepick/model/_events.py
@@ -21,7 +21,7 @@
     Reissued,
 )
 from endivepick.core.packet_codec import encode_struct
-from endivepick.model._choices import Placement, View
+from endivepick.model._environment import Placement, View
 
 __all__ = [
     "Cancelled",
--- a/endivepick/model/_flow_effects.py
+++ b/endivepick/model/_flow_effects.py
@@ -13,8 +13,8 @@
     ToCaller,
     ToPeer,
 )
-from endivepick.model._instances import Instances
-from endivepick.model._world import Attempt, Bounds, World
+from endivepick.model._flow_state import Attempt, Bounds, World
+from endivepick.model._instance_states import Instances
 
 __all__ = ["FlowEffects", "pending", "replaced", "runs_after"]
 
--- a/endivepick/model/_flow_invariants.py
+++ b/endivepick/model/_flow_invariants.py
@@ -3,8 +3,8 @@
 from collections.abc import Callable
 
 from endivepick.core.messages import Refused
-from endivepick.model._instances import Instances
-from endivepick.model._world import Bounds, Outcome, World
+from endivepick.model._flow_state import Bounds, Outcome, World
+from endivepick.model._instance_states import Instances
 
 __all__ = ["FlowInvariants"]
 
--- a/endivepick/model/_flow_mutants.py
+++ b/endivepick/model/_flow_mutants.py
@@ -16,7 +16,7 @@
 from endivepick.core.replay_window import ReplayWindow, WindowSnapshot
 from endivepick.core.router import PacketRouter
 from endivepick.core.token import FlowToken
-from endivepick.model._forgetful import ForgetfulTable
+from endivepick.model._eager_expiry_table import ForgetfulTable
 
 __all__ = [
     "AnyIncarnationTaker",
--- a/endivepick/model/_node.py
+++ b/endivepick/model/_flow_node.py
@@ -29,7 +29,12 @@
 from endivepick.core.router import PacketRouter
 from endivepick.core.settings import FlowSettings
 from endivepick.core.token import TokenCodec
-from endivepick.model._choices import ZONE, AllServices, ChoiceDispatcher, ChoicePeers
+from endivepick.model._environment import (
+    ZONE,
+    AllServices,
+    ChoiceDispatcher,
+    ChoicePeers,
+)
 from endivepick.model._events import (
     Ended,
     Event,
--- a/endivepick/model/_flow_scenarios.py
+++ b/endivepick/model/_flow_scenarios.py
@@ -3,10 +3,10 @@
 from dataclasses import replace
 
 from endivepick.model import _flow_mutants as mutants
-from endivepick.model._forgetful import ForgetfulTable
+from endivepick.model._eager_expiry_table import ForgetfulTable
+from endivepick.model._flow_node import Parts
+from endivepick.model._flow_state import Bounds, CallerRules
 from endivepick.model._mutation import Mutation
-from endivepick.model._node import Parts
-from endivepick.model._world import Bounds, CallerRules
 from endivepick.model.flows import flow_specification
 
 __all__ = ["FLOW_MUTATIONS", "FLOW_SCENARIOS"]
--- a/endivepick/model/_world.py
+++ b/endivepick/model/_flow_state.py
@@ -8,9 +8,9 @@
 from endivepick.core.flow_table import Identity
 from endivepick.core.messages import InstancePacket, RequestHead, RequestPart
 from endivepick.core.packet_codec import encode_packet, encode_struct
-from endivepick.model._choices import Placement
+from endivepick.model._environment import Placement
 from endivepick.model._events import ToPeer
-from endivepick.model._node import Parts
+from endivepick.model._flow_node import Parts
 
 __all__ = ["Attempt", "Bounds", "Caller", "CallerRules", "Outcome", "World", "request"]
 
--- a/endivepick/model/_instances.py
+++ b/endivepick/model/_instance_states.py
@@ -5,8 +5,8 @@
 from endivepick.core.flow_table import Identity
 from endivepick.core.messages import Opened
 from endivepick.model._events import Effect, Event, effects_of
-from endivepick.model._memory import Memory
-from endivepick.model._node import Node, Parts
+from endivepick.model._flow_node import Node, Parts
+from endivepick.model._transition_cache import Memory
 
 __all__ = ["Instances", "Reaction"]
 
--- a/endivepick/model/_placement_node.py
+++ b/endivepick/model/_placement_node.py
@@ -19,8 +19,8 @@
 from endivepick.core.packet_codec import encode_struct
 from endivepick.core.settings import FlowSettings
 from endivepick.core.token import TokenCodec
+from endivepick.model._flow_node import CODEC, NOW_S
 from endivepick.model._freeze import freeze
-from endivepick.model._node import CODEC, NOW_S
 from endivepick.records.model import Affinity, ServiceRecord, TargetRecord
 
 __all__ = ["Copy", "Finished", "PlacementNode", "PlacementParts", "Probed", "SERVICE"]
--- a/endivepick/model/_description.py
+++ b/endivepick/model/_step_labels.py
@@ -5,8 +5,8 @@
 from endivepick.core.messages import Open
 from endivepick.core.packet_codec import decode_caller_packet
 from endivepick.core.token import FlowToken
-from endivepick.model._choices import View
-from endivepick.model._node import CODEC, NOW_S
+from endivepick.model._environment import View
+from endivepick.model._flow_node import CODEC, NOW_S
 
 __all__ = ["describe", "describe_view", "token_of"]
 
--- a/endivepick/model/configuration.py
+++ b/endivepick/model/configuration.py
@@ -19,7 +19,7 @@
     Received,
     Watched,
 )
-from endivepick.model._memory import Memory
+from endivepick.model._transition_cache import Memory
 from endivepick.model.checker import Specification
 
 __all__ = ["ConfigBounds", "configuration_specification"]
--- a/endivepick/model/told_changes.py
+++ b/endivepick/model/configuration_deltas.py
@@ -21,7 +21,7 @@
 )
 from endivepick.forwarding.routes import RouteTable
 from endivepick.model._freeze import freeze
-from endivepick.model._memory import Memory
+from endivepick.model._transition_cache import Memory
 from endivepick.model.checker import Specification
 
 __all__ = ["ChangeBounds", "changes_specification"]
--- a/endivepick/model/evidence.py
+++ b/endivepick/model/evidence.py
@@ -33,7 +33,7 @@
     TargetState,
 )
 from endivepick.model._freeze import freeze
-from endivepick.model._memory import Memory
+from endivepick.model._transition_cache import Memory
 from endivepick.model.checker import Specification
 
 __all__ = ["EvidenceBounds", "evidence_specification"]
--- a/endivepick/model/flows.py
+++ b/endivepick/model/flows.py
@@ -10,9 +10,7 @@
 from endivepick.core.dispatch import FinishKind
 from endivepick.core.flow_table import Identity
 from endivepick.core.peer_messages import HandOverRefused
-from endivepick.model import _caller
-from endivepick.model._choices import Placement, View
-from endivepick.model._description import describe, describe_view, token_of
+from endivepick.model._environment import Placement, View
 from endivepick.model._events import (
     Ended,
     Event,
@@ -31,9 +29,8 @@
     runs_after,
 )
 from endivepick.model._flow_invariants import FlowInvariants
-from endivepick.model._instances import Instances
-from endivepick.model._node import CODEC, NOW_S
-from endivepick.model._world import (
+from endivepick.model._flow_node import CODEC, NOW_S
+from endivepick.model._flow_state import (
     Attempt,
     Bounds,
     Caller,
@@ -42,6 +39,8 @@
     World,
     request,
 )
+from endivepick.model._instance_states import Instances
+from endivepick.model._step_labels import describe, describe_view, token_of
 from endivepick.model.checker import Specification
 
 __all__ = ["flow_specification"]
--- a/endivepick/model/placement.py
+++ b/endivepick/model/placement.py
@@ -11,7 +11,6 @@
 from endivepick.core.actions import Action, RequestId, SendToCaller, StartAttempt
 from endivepick.core.dispatch import FinishKind
 from endivepick.core.messages import Refused
-from endivepick.model._memory import Memory
 from endivepick.model._placement_node import (
     SERVICE,
     TARGETS,
@@ -22,6 +21,7 @@
     PlacementParts,
     Probed,
 )
+from endivepick.model._transition_cache import Memory
 from endivepick.model.checker import Specification
 
 __all__ = ["PlacementBounds", "TargetRules", "placement_specification"]
--- a/endivepick/model/registry.py
+++ b/endivepick/model/registry.py
@@ -16,7 +16,7 @@
 from endivepick.forwarding.registry_news import RemovedTarget
 from endivepick.forwarding.settings import ForwardingSettings
 from endivepick.model._freeze import freeze
-from endivepick.model._memory import Memory
+from endivepick.model._transition_cache import Memory
 from endivepick.model.checker import Specification
 
 __all__ = ["RegistryBounds", "registry_specification"]
--- a/endivepick/model/restarts.py
+++ b/endivepick/model/restarts.py
@@ -28,7 +28,7 @@
     TargetBelief,
 )
 from endivepick.model._freeze import freeze
-from endivepick.model._memory import Memory
+from endivepick.model._transition_cache import Memory
 from endivepick.model.checker import Specification
 
 __all__ = ["RestartBounds", "restart_specification"]
--- a/endivepick/model/tests/test_checker.py
+++ b/endivepick/model/tests/test_checker.py
@@ -3,7 +3,7 @@
 from collections import deque
 from itertools import count
 
-from endivepick.model import _freeze, _memory, checker, flows
+from endivepick.model import _freeze, checker, flows
 from endivepick.model._freeze import freeze
 from endivepick.model.checker import Specification, check
 from endivepick.model.run import specification_of
